--- a/crates/core/examples/layout.rs
+++ b/crates/core/examples/layout.rs
@@ -6,7 +6,7 @@
 
 use briarswitch_core::engine::{EngineModel, ModelSpec};
 use briarswitch_core::id::{DomainId, ModelId};
-use briarswitch_core::layout::{plan_layout, DomainLayout, DomainStock, LayoutPhase};
+use briarswitch_core::layout::{plan_layout, DomainInventory, DomainLayout, LayoutPhase};
 use indexmap::IndexMap;
 
 /// Targets of a domain.
@@ -34,24 +34,30 @@
     }
 }
 
-fn stock(targets: usize) -> Vec<DomainStock> {
+fn stock(targets: usize) -> Vec<DomainInventory> {
     let zones = (targets / ZONE_TARGETS).max(1);
-    let domains = (0..targets / DOMAIN_TARGETS).map(|index| DomainStock {
+    let domains = (0..targets / DOMAIN_TARGETS).map(|index| DomainInventory {
         domain: format!("d{index}"),
         zone: format!("z{}", index % zones),
         empty: DOMAIN_TARGETS,
-        ..DomainStock::default()
+        ..DomainInventory::default()
     });
     domains.collect()
 }
 
 /// Returns the stock after the layout was carried out and each tenth domain has a new target.
-fn held(stock: &[DomainStock], layouts: &IndexMap<DomainId, DomainLayout>) -> Vec<DomainStock> {
-    let held = stock.iter().enumerate().map(|(index, domain)| DomainStock {
-        holders: layouts[&domain.domain].holders.clone(),
-        empty: usize::from(index % 10 == 0),
-        ..domain.clone()
-    });
+fn held(
+    stock: &[DomainInventory],
+    layouts: &IndexMap<DomainId, DomainLayout>,
+) -> Vec<DomainInventory> {
+    let held = stock
+        .iter()
+        .enumerate()
+        .map(|(index, domain)| DomainInventory {
+            holders: layouts[&domain.domain].holders.clone(),
+            empty: usize::from(index % 10 == 0),
+            ..domain.clone()
+        });
     held.collect()
 }
 
--- a/crates/core/examples/policies.rs
+++ b/crates/core/examples/policies.rs
@@ -271,7 +271,7 @@
         };
         Self {
             policy,
-            planner: GroupPlanner::open(Duration::from_secs(LOAD), Duration::from_secs(2)),
+            planner: GroupPlanner::new(Duration::from_secs(LOAD), Duration::from_secs(2)),
             fleet,
             machines: std::iter::repeat_with(machine).take(vms).collect(),
             ready: BTreeMap::new(),
@@ -406,7 +406,7 @@
                 ..member.clone()
             };
             let members: Vec<GroupMember> = group.members.iter().map(renew).collect();
-            (members != group.members).then(|| PlanStep::Mend {
+            (members != group.members).then(|| PlanStep::Repair {
                 group: group.id.clone(),
                 members,
                 reason: String::new(),
@@ -446,7 +446,7 @@
                 let group = GroupRecord::forming(id.clone(), DEPLOYMENT.to_owned(), members, 1);
                 self.fleet.groups.insert(id, group);
             }
-            PlanStep::Mend { group, members, .. } => {
+            PlanStep::Repair { group, members, .. } => {
                 self.release(&group);
                 self.claim(&group, &members);
                 if let Some(record) = self.fleet.groups.get_mut(&group) {
@@ -534,7 +534,7 @@
             address: String::new(),
             incarnation: 1,
             accelerators: 2,
-            standing: VmStanding::Live,
+            status: VmStatus::Live,
         },
         claimed: None,
         report: Some(report(index, 1, &None, true)),
--- a/crates/core/src/assembly.rs
+++ b/crates/core/src/assembly.rs
@@ -18,12 +18,12 @@
 use crate::order::{OrderResult, TargetAction, TargetOrder};
 use crate::target::{Membership, MembershipState};
 
-mod seen;
+mod observed;
 mod staging;
 
 pub use staging::HeldWeights;
 
-use seen::{lives_mark, seen_groups, SeenGroup};
+use observed::{incarnations_suffix, observe_groups, ObservedGroup};
 
 /// Time that members may be missing from a group that is being formed by somebody else.
 ///
@@ -36,13 +36,13 @@
 ///
 /// Two controllers that begin again at the same moment refuse each other's orders for ever. The time
 /// doubles with each conflict in a row and is drawn differently by each.
-const CONFLICT_PAUSE: Duration = Duration::from_millis(100);
+const MIN_CONFLICT_BACKOFF: Duration = Duration::from_millis(100);
 /// Conflicts in a row after which the pause grows no more.
-const LONGEST_BACKOFF: u32 = 4;
+const MAX_COUNTED_CONFLICTS: u32 = 4;
 
 /// Whether a target can be counted on.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum TargetStanding {
+pub enum TargetStatus {
     /// Answers, and asked for nothing else.
     Live,
     /// Answers, and wants to leave.
@@ -59,7 +59,7 @@
     /// Life that the other facts are of.
     pub incarnation: Incarnation,
     /// Whether it can be counted on.
-    pub standing: TargetStanding,
+    pub status: TargetStatus,
     /// Its group.
     pub membership: Option<Membership>,
     /// Model of its group.
@@ -94,7 +94,7 @@
     /// Before the first caller that is the soonest way to serve. Later a target that loads for many
     /// seconds would bind the others of its group, which could complete another one at once; it
     /// loads first, and joins when it is needed.
-    pub joins_load: bool,
+    pub may_load_on_join: bool,
     /// Least epoch of a new group.
     ///
     /// It has to be higher than that of any order sent before, to whichever life and by whichever
@@ -113,22 +113,22 @@
 
 /// The controller's memory of one domain.
 #[derive(Clone, Debug)]
-pub struct DomainKeeper {
-    prefix: String,
+pub struct DomainReconciler {
+    name_prefix: String,
     count: u64,
     in_flight: IndexMap<TargetId, TargetOrder>,
-    unsure: IndexSet<TargetId>,
+    awaiting_report: IndexSet<TargetId>,
     forming: IndexMap<GroupId, FormingGroup>,
-    incomplete: IndexMap<GroupId, Moment>,
+    incomplete_since: IndexMap<GroupId, Moment>,
     conflicts: u32,
-    is_conflict_new: bool,
-    paused_until: Moment,
+    has_new_conflict: bool,
+    backoff_until: Moment,
     dissolving: IndexMap<GroupId, TargetId>,
     /// Groups that are being closed because their targets hold another model's weights by now.
-    giving: IndexSet<GroupId>,
+    reassigning: IndexSet<GroupId>,
     released: IndexSet<GroupId>,
     last_model: IndexMap<TargetId, LastModel>,
-    doubtful: IndexSet<TargetId>,
+    stale_candidates: IndexSet<TargetId>,
 }
 
 /// Model of the last group that a life of a target was in.
@@ -144,38 +144,38 @@
     loads: usize,
 }
 
-impl DomainKeeper {
+impl DomainReconciler {
     /// Opens a keeper whose group names begin with `prefix`.
     ///
     /// The prefix has to differ between controllers and between the lives of one: a name used twice
     /// with other members would let a late order put a target into a group it was not chosen for.
-    pub fn open(prefix: impl Into<String>) -> Self {
+    pub fn new(prefix: impl Into<String>) -> Self {
         Self {
-            prefix: prefix.into(),
+            name_prefix: prefix.into(),
             count: 0,
             in_flight: IndexMap::new(),
-            unsure: IndexSet::new(),
+            awaiting_report: IndexSet::new(),
             forming: IndexMap::new(),
-            incomplete: IndexMap::new(),
+            incomplete_since: IndexMap::new(),
             conflicts: 0,
-            is_conflict_new: false,
-            paused_until: Moment::ZERO,
+            has_new_conflict: false,
+            backoff_until: Moment::ZERO,
             dissolving: IndexMap::new(),
-            giving: IndexSet::new(),
+            reassigning: IndexSet::new(),
             released: IndexSet::new(),
             last_model: IndexMap::new(),
-            doubtful: IndexSet::new(),
+            stale_candidates: IndexSet::new(),
         }
     }
 
     /// Returns the targets that have to report before they can be chosen, each once.
-    pub fn take_doubtful(&mut self) -> IndexSet<TargetId> {
-        std::mem::take(&mut self.doubtful)
+    pub fn take_stale_candidates(&mut self) -> IndexSet<TargetId> {
+        std::mem::take(&mut self.stale_candidates)
     }
 
     /// Takes in that a target was asked for its state after its last order.
     pub fn note_report(&mut self, target: &str) {
-        self.unsure.swap_remove(target);
+        self.awaiting_report.swap_remove(target);
     }
 
     /// Takes in what became of an order.
@@ -188,7 +188,7 @@
         };
         let is_accepted = matches!(result, OrderResult::Begun | OrderResult::Held);
         if !is_accepted {
-            self.unsure.insert(target.to_owned());
+            self.awaiting_report.insert(target.to_owned());
         }
         match order.action {
             // Only when the first member has left can the others be taken as they are.
@@ -199,8 +199,8 @@
             }
             // Without this member the group can not become whole; there is nothing to wait for.
             TargetAction::Join { group, .. } if !is_accepted && result != OrderResult::Lost => {
-                self.incomplete.insert(group, Moment::ZERO);
-                self.is_conflict_new = result == OrderResult::Conflict;
+                self.incomplete_since.insert(group, Moment::ZERO);
+                self.has_new_conflict = result == OrderResult::Conflict;
             }
             TargetAction::Open { .. } if is_accepted => self.conflicts = 0,
             _ => {}
@@ -209,20 +209,20 @@
 
     /// Returns the orders to send at `now`.
     pub fn plan(&mut self, view: DomainView<'_>, now: Moment) -> Vec<TargetOrder> {
-        self.forget_gone(&view);
+        self.prune(&view);
         let groups = self.groups(&view);
         let mut orders = Vec::new();
         for (group, seen) in &groups {
-            orders.extend(self.tend(group, seen, &view, now));
+            orders.extend(self.reconcile_group(group, seen, &view, now));
         }
-        orders.extend(self.join_again(&view, &orders));
+        orders.extend(self.retry_joins(&view, &orders));
         let mut free = self.free(&view, &orders);
         let mut budget = view.load_budget;
         self.back_off(now);
-        if now < self.paused_until {
+        if now < self.backoff_until {
             free.clear();
         }
-        let mut wanted = self.wanted(&groups, &view);
+        let mut wanted = self.missing_groups(&groups, &view);
         while let Some(candidate) = self.next_candidate(&wanted, &free, &view, budget) {
             free.retain(|id| !candidate.members.contains(id));
             if let Some(count) = wanted.get_mut(&candidate.model) {
@@ -237,9 +237,9 @@
                 budget -= candidate.loads;
                 orders.extend(self.form(candidate, &view));
             }
-            self.doubtful.extend(stale);
+            self.stale_candidates.extend(stale);
         }
-        self.give_up(&groups, &free, &wanted, &view);
+        self.reassign_surplus(&groups, &free, &wanted, &view);
         let staged = self.stage(&free, &groups, &view, &orders, budget);
         orders.extend(staged);
         for order in &orders {
@@ -249,20 +249,20 @@
     }
 
     fn back_off(&mut self, now: Moment) {
-        if !std::mem::take(&mut self.is_conflict_new) {
+        if !std::mem::take(&mut self.has_new_conflict) {
             return;
         }
-        self.conflicts = (self.conflicts + 1).min(LONGEST_BACKOFF);
-        let draw = xxh3_64(format!("{}-{}", self.prefix, self.count).as_bytes());
+        self.conflicts = (self.conflicts + 1).min(MAX_COUNTED_CONFLICTS);
+        let draw = xxh3_64(format!("{}-{}", self.name_prefix, self.count).as_bytes());
         let share = 0.5 + (draw % 1_000) as f64 / 1_000.0;
-        let pause = CONFLICT_PAUSE * 2_u32.pow(self.conflicts - 1);
-        self.paused_until = now + pause.mul_f64(share);
+        let pause = MIN_CONFLICT_BACKOFF * 2_u32.pow(self.conflicts - 1);
+        self.backoff_until = now + pause.mul_f64(share);
     }
 
-    fn forget_gone(&mut self, view: &DomainView<'_>) {
+    fn prune(&mut self, view: &DomainView<'_>) {
         let is_there = |id: &TargetId| view.targets.contains_key(id);
         self.in_flight.retain(|id, _| is_there(id));
-        self.unsure.retain(is_there);
+        self.awaiting_report.retain(is_there);
         self.last_model.retain(|id, _| is_there(id));
         for (id, facts) in view.targets {
             if let (Some(_), Some(model)) = (&facts.membership, &facts.model) {
@@ -278,21 +278,22 @@
             .values()
             .filter_map(|facts| facts.membership.as_ref().map(|held| &held.group))
             .collect();
-        self.incomplete.retain(|group, _| named.contains(group));
+        self.incomplete_since
+            .retain(|group, _| named.contains(group));
         let ordered: IndexSet<GroupId> = self
             .in_flight
             .values()
             .filter_map(|order| order.action.group().cloned())
             .collect();
         self.dissolving.retain(|group, _| named.contains(group));
-        self.giving.retain(|group| named.contains(group));
+        self.reassigning.retain(|group| named.contains(group));
         self.released.retain(|group| named.contains(group));
         self.forming
             .retain(|group, _| named.contains(group) || ordered.contains(group));
     }
 
-    fn groups(&self, view: &DomainView<'_>) -> IndexMap<GroupId, SeenGroup> {
-        let mut groups = seen_groups(view);
+    fn groups(&self, view: &DomainView<'_>) -> IndexMap<GroupId, ObservedGroup> {
+        let mut groups = observe_groups(view);
         for (group, seen) in &mut groups {
             if let Some(forming) = self.forming.get(group) {
                 seen.model = Some(forming.model.clone());
@@ -301,10 +302,10 @@
         groups
     }
 
-    fn tend(
+    fn reconcile_group(
         &mut self,
         group: &GroupId,
-        seen: &SeenGroup,
+        seen: &ObservedGroup,
         view: &DomainView<'_>,
         now: Moment,
     ) -> Vec<TargetOrder> {
@@ -312,14 +313,13 @@
             return Vec::new();
         }
         let head = seen.members.get(&0);
-        let is_head_silent =
-            head.is_some_and(|id| view.targets[id].standing == TargetStanding::Silent);
+        let is_head_silent = head.is_some_and(|id| view.targets[id].status == TargetStatus::Silent);
         let Some(head) = head.filter(|_| !is_head_silent) else {
             // A first member that is not there may still be joining.
-            if !is_head_silent && self.is_awaited(group, now) {
+            if !is_head_silent && self.may_complete(group, now) {
                 return Vec::new();
             }
-            return self.abandon(group, seen, view);
+            return self.disband(group, seen, view);
         };
         let Some(held) = &view.targets[head].membership else {
             return Vec::new();
@@ -335,24 +335,24 @@
         };
         let next = if state == MembershipState::Broken {
             Some(leave("head_broken"))
-        } else if view.targets[head].standing == TargetStanding::Unlisted {
+        } else if view.targets[head].status == TargetStatus::Unlisted {
             // Were its members taken without its word, an order to open that is held up could still reach it.
             Some(leave("head_unlisted"))
-        } else if !seen.is_whole(view, is_served) {
+        } else if !seen.is_complete(view, is_served) {
             let is_lost = seen
                 .members
                 .values()
-                .any(|id| view.targets[id].standing == TargetStanding::Silent);
-            if !is_lost && !is_served && self.is_awaited(group, now) {
+                .any(|id| view.targets[id].status == TargetStatus::Silent);
+            if !is_lost && !is_served && self.may_complete(group, now) {
                 None
             } else {
                 Some(leave("member_lost"))
             }
-        } else if !seen.are_lives_chosen(group, view) {
+        } else if !seen.has_chosen_incarnations(group, view) {
             Some(leave("member_restarted"))
         } else {
-            self.incomplete.swap_remove(group);
-            self.tend_whole(group, seen, view, state, epoch)
+            self.incomplete_since.swap_remove(group);
+            self.next_action(group, seen, view, state, epoch)
         };
         if let Some((TargetAction::Leave { .. }, _)) = &next {
             self.dissolving.insert(group.clone(), head.clone());
@@ -362,20 +362,20 @@
             .collect()
     }
 
-    fn tend_whole(
+    fn next_action(
         &self,
         group: &GroupId,
-        seen: &SeenGroup,
+        seen: &ObservedGroup,
         view: &DomainView<'_>,
         state: MembershipState,
         epoch: Epoch,
     ) -> Option<(TargetAction, &'static str)> {
-        let is_given = self.giving.contains(group);
+        let is_given = self.reassigning.contains(group);
         let group = group.clone();
         let is_draining = seen
             .members
             .values()
-            .any(|id| view.targets[id].standing == TargetStanding::Draining);
+            .any(|id| view.targets[id].status == TargetStatus::Draining);
         let are_ready = seen.members.iter().all(|(rank, id)| {
             let held = view.targets[id].membership.as_ref();
             *rank == 0 || held.is_some_and(|held| held.state == MembershipState::Ready)
@@ -405,10 +405,10 @@
     /// The same order on the same condition takes effect at most once, and only if nothing else has
     /// begun at the target since. On a newer condition it could bring a target back into a group that
     /// it was ordered out of, whose other members are already taken.
-    fn join_again(&self, view: &DomainView<'_>, orders: &[TargetOrder]) -> Vec<TargetOrder> {
+    fn retry_joins(&self, view: &DomainView<'_>, orders: &[TargetOrder]) -> Vec<TargetOrder> {
         let mut again = Vec::new();
         for (group, forming) in &self.forming {
-            let is_given_up = self.incomplete.get(group) == Some(&Moment::ZERO);
+            let is_given_up = self.incomplete_since.get(group) == Some(&Moment::ZERO);
             let is_ending = self.released.contains(group) || self.dissolving.contains_key(group);
             if is_given_up || is_ending {
                 continue;
@@ -417,14 +417,14 @@
                 let facts = view.targets.get(&order.target);
                 let is_unmoved = facts.is_some_and(|facts| {
                     let held = facts.membership.as_ref();
-                    facts.standing == TargetStanding::Live
+                    facts.status == TargetStatus::Live
                         && facts.incarnation == order.incarnation
                         && facts.sequence == order.expected
                         && held.is_none_or(|held| held.group != *group)
                 });
                 is_unmoved
                     && !self.in_flight.contains_key(&order.target)
-                    && !self.unsure.contains(&order.target)
+                    && !self.awaiting_report.contains(&order.target)
                     && !orders.iter().any(|other| other.target == order.target)
             });
             again.extend(due);
@@ -433,12 +433,12 @@
     }
 
     /// Returns whether a group that is not whole may still become so.
-    fn is_awaited(&mut self, group: &GroupId, now: Moment) -> bool {
+    fn may_complete(&mut self, group: &GroupId, now: Moment) -> bool {
         let is_ordered = self
             .in_flight
             .values()
             .any(|order| order.action.group() == Some(group));
-        let since = *self.incomplete.entry(group.clone()).or_insert(now);
+        let since = *self.incomplete_since.entry(group.clone()).or_insert(now);
         is_ordered || now < since + FORMING_GRACE
     }
 
@@ -446,10 +446,10 @@
     ///
     /// Were they told to join elsewhere at once, a first member that is only out of reach would
     /// still count them as its own. Once one of them has left, that first member can do no work.
-    fn abandon(
+    fn disband(
         &mut self,
         group: &GroupId,
-        seen: &SeenGroup,
+        seen: &ObservedGroup,
         view: &DomainView<'_>,
     ) -> Vec<TargetOrder> {
         let mut orders = Vec::new();
@@ -458,7 +458,7 @@
             let Some(held) = facts.membership.as_ref() else {
                 continue;
             };
-            if facts.standing == TargetStanding::Silent {
+            if facts.status == TargetStatus::Silent {
                 continue;
             }
             let action = TargetAction::Leave {
@@ -477,7 +477,7 @@
         reason: &'static str,
         view: &DomainView<'_>,
     ) -> Option<TargetOrder> {
-        if self.in_flight.contains_key(target) || self.unsure.contains(target) {
+        if self.in_flight.contains_key(target) || self.awaiting_report.contains(target) {
             return None;
         }
         Some(TargetOrder {
@@ -496,9 +496,9 @@
                 Some(held) => self.released.contains(&held.group) && held.rank != 0,
             };
             is_out
-                && facts.standing == TargetStanding::Live
+                && facts.status == TargetStatus::Live
                 && !self.in_flight.contains_key(id)
-                && !self.unsure.contains(id)
+                && !self.awaiting_report.contains(id)
                 && !orders.iter().any(|order| order.target == *id)
         };
         let free = view.targets.iter().filter(|(id, facts)| is_free(id, facts));
@@ -506,15 +506,15 @@
     }
 
     /// Returns how many groups of each model the domain lacks.
-    fn wanted(
+    fn missing_groups(
         &self,
-        groups: &IndexMap<GroupId, SeenGroup>,
+        groups: &IndexMap<GroupId, ObservedGroup>,
         view: &DomainView<'_>,
     ) -> IndexMap<ModelId, usize> {
         let is_staying = |group: &GroupId| {
             !self.released.contains(group)
                 && !self.dissolving.contains_key(group)
-                && !self.giving.contains(group)
+                && !self.reassigning.contains(group)
         };
         let lacking = view.layout.holders.iter().map(|(model, holders)| {
             let size = view.engine.models.get(model).map_or(1, |model| model.size);
@@ -560,7 +560,7 @@
         ranked.truncate(model.size);
         let loading = ranked.iter().filter(|(time, _)| *time >= model.load_time);
         let loads = loading.count();
-        let is_allowed = loads == 0 || (view.joins_load && loads <= budget);
+        let is_allowed = loads == 0 || (view.may_load_on_join && loads <= budget);
         is_allowed.then(|| Candidate {
             model: model.id.clone(),
             members: ranked.into_iter().map(|(_, id)| id.clone()).collect(),
@@ -586,7 +586,12 @@
         self.count += 1;
         let lives = candidate.members.iter();
         let lives = lives.map(|id| (id, view.targets[id].incarnation));
-        let group = format!("{}-{}-{}", self.prefix, self.count, lives_mark(lives));
+        let group = format!(
+            "{}-{}-{}",
+            self.name_prefix,
+            self.count,
+            incarnations_suffix(lives)
+        );
         let seen = view.targets.values().map(|facts| facts.epoch_seen);
         let epoch = (seen.max().unwrap_or(0) + 1).max(view.epoch_floor);
         let expected = candidate.members.iter().map(|id| {
--- a/crates/core/src/assembly/staging.rs
+++ b/crates/core/src/assembly/staging.rs
@@ -2,8 +2,8 @@
 
 use indexmap::IndexMap;
 
-use super::seen::SeenGroup;
-use super::{DomainKeeper, DomainView, TargetStanding};
+use super::observed::ObservedGroup;
+use super::{DomainReconciler, DomainView, TargetStatus};
 use crate::id::{GroupId, ModelId, TargetId};
 use crate::order::{TargetAction, TargetOrder};
 use crate::target::{Membership, MembershipState};
@@ -75,12 +75,12 @@
     }
 
     /// Returns whether a target loads weights that somebody else ordered.
-    fn is_loading_unknown(&self, id: &TargetId) -> bool {
+    fn has_foreign_load(&self, id: &TargetId) -> bool {
         self.targets[id].is_busy && !self.loading.contains_key(id)
     }
 
     /// Returns whether a target's weights are of use in the domain as it should be.
-    fn is_of_use(&self, id: &TargetId) -> bool {
+    fn has_useful_weights(&self, id: &TargetId) -> bool {
         let mut models = self.layout.holders.keys();
         models.any(|model| self.will_hold(id, model))
     }
@@ -90,27 +90,27 @@
     }
 }
 
-impl DomainKeeper {
+impl DomainReconciler {
     /// Has targets load the weights that the domain lacks: free ones, then members of groups beyond need.
     ///
     /// A member loads beside its work, and its group goes on serving.
     pub(super) fn stage(
         &self,
         free: &[TargetId],
-        groups: &IndexMap<GroupId, SeenGroup>,
+        groups: &IndexMap<GroupId, ObservedGroup>,
         view: &DomainView<'_>,
         orders: &[TargetOrder],
         budget: usize,
     ) -> Vec<TargetOrder> {
         let mut idle: Vec<&TargetId> = free.iter().collect();
-        let given = self.givers(groups, view);
+        let given = self.surplus_groups(groups, view);
         let mut givers: Vec<&TargetId> = given.values().flatten().copied().collect();
         givers.retain(|id| !orders.iter().any(|order| order.target == **id));
         let mut staged = Vec::new();
         for (model, holders) in &view.layout.holders {
             let members = view.targets.iter().filter(|(id, facts)| {
                 let is_given = facts.membership.as_ref().is_some_and(|held| {
-                    given.contains_key(&held.group) || self.giving.contains(&held.group)
+                    given.contains_key(&held.group) || self.reassigning.contains(&held.group)
                 });
                 // The weights on a member's host are of no use while its group stays.
                 let held = if is_given {
@@ -153,26 +153,27 @@
     /// Returns the groups beyond those that the domain should hold, with their members.
     ///
     /// Those go first of which most members have other weights already.
-    fn givers<'a>(
+    fn surplus_groups<'a>(
         &self,
-        groups: &'a IndexMap<GroupId, SeenGroup>,
+        groups: &'a IndexMap<GroupId, ObservedGroup>,
         view: &DomainView<'_>,
     ) -> IndexMap<&'a GroupId, Vec<&'a TargetId>> {
         let mut givers = IndexMap::new();
-        if view.joins_load {
+        if view.may_load_on_join {
             // Nobody is served yet, and what the domain should hold changes with each target that registers.
             return givers;
         }
         for model in view.engine.models.keys() {
             let of_model = groups.iter().filter(|(id, seen)| {
-                let is_staying = !self.dissolving.contains_key(*id) && !self.giving.contains(*id);
-                seen.model.as_ref() == Some(model) && is_staying && is_at_work(seen, view)
+                let is_staying =
+                    !self.dissolving.contains_key(*id) && !self.reassigning.contains(*id);
+                seen.model.as_ref() == Some(model) && is_staying && is_serving(seen, view)
             });
-            let mut of_model: Vec<(&GroupId, &SeenGroup)> = of_model.collect();
+            let mut of_model: Vec<(&GroupId, &ObservedGroup)> = of_model.collect();
             let holders = view.layout.holders.get(model).copied().unwrap_or(0);
             let kept = holders / view.size_of(model).max(1);
             let surplus = of_model.len().saturating_sub(kept);
-            let staying = |seen: &SeenGroup| {
+            let staying = |seen: &ObservedGroup| {
                 let members = seen.members.values();
                 let staying = members.filter(|id| view.next_model(id) == Some(model));
                 staying.count()
@@ -189,9 +190,9 @@
     ///
     /// No group is given up while a member is still loading, for less than a whole group of the other model, or for
     /// the few of its members that happen to have other weights.
-    pub(super) fn give_up(
+    pub(super) fn reassign_surplus(
         &mut self,
-        groups: &IndexMap<GroupId, SeenGroup>,
+        groups: &IndexMap<GroupId, ObservedGroup>,
         free: &[TargetId],
         wanted: &IndexMap<ModelId, usize>,
         view: &DomainView<'_>,
@@ -199,9 +200,9 @@
         if wanted.values().all(|count| *count == 0) {
             return;
         }
-        let givers = self.givers(groups, view);
+        let givers = self.surplus_groups(groups, view);
         for (model, _) in wanted.iter().filter(|(_, count)| **count > 0) {
-            let given = self.giving.iter().filter_map(|id| groups.get(id));
+            let given = self.reassigning.iter().filter_map(|id| groups.get(id));
             let given = given.flat_map(|seen| seen.members.values());
             let coming = free.iter().chain(given);
             let mut ready = coming.filter(|id| view.is_ready_for(id, model)).count();
@@ -219,21 +220,21 @@
                 }
             }
             if ready >= view.size_of(model) {
-                self.giving.extend(chosen);
+                self.reassigning.extend(chosen);
             }
         }
     }
 }
 
 /// Returns whether a group is open and all its members can be counted on.
-fn is_at_work(seen: &SeenGroup, view: &DomainView<'_>) -> bool {
+fn is_serving(seen: &ObservedGroup, view: &DomainView<'_>) -> bool {
     let head = seen.members.get(&0).map(|id| &view.targets[id]);
     let held = head.and_then(|facts| facts.membership.as_ref());
     held.is_some_and(|held| held.state == MembershipState::Open)
         && seen
             .members
             .values()
-            .all(|id| view.targets[id].standing == TargetStanding::Live)
+            .all(|id| view.targets[id].status == TargetStatus::Live)
 }
 
 /// Takes up to `count` targets that hold a model's weights or load them out of a list; returns how many lack.
@@ -245,7 +246,7 @@
 ) -> usize {
     let mut lacking = count;
     idle.retain(|id| {
-        let is_holder = view.will_hold(id, model) || view.is_loading_unknown(id);
+        let is_holder = view.will_hold(id, model) || view.has_foreign_load(id);
         let is_taken = lacking > 0 && is_holder;
         lacking -= usize::from(is_taken);
         !is_taken
@@ -261,7 +262,7 @@
 ) -> Vec<&'a TargetId> {
     let mut movable = idle.clone();
     movable.retain(|id| !view.targets[*id].is_busy);
-    movable.sort_by_key(|id| view.is_of_use(id));
+    movable.sort_by_key(|id| view.has_useful_weights(id));
     movable.truncate(count);
     idle.retain(|id| !movable.contains(id));
     movable
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -23,18 +23,18 @@
 /// The book only spares table reads: a key that is not in it is still claimed in the table before
 /// any byte goes out, so forgetting an entry costs a read and never a second run.
 #[derive(Clone, Debug)]
-pub struct ClaimBook {
+pub struct ClaimCache {
     capacity: usize,
-    keep: Duration,
+    retention: Duration,
     entries: IndexMap<String, (ClaimState, Moment)>,
 }
 
-impl ClaimBook {
+impl ClaimCache {
     /// Opens a book of at most `capacity` keys, each kept for `keep` after it settled.
-    pub fn open(capacity: usize, keep: Duration) -> Self {
+    pub fn new(capacity: usize, keep: Duration) -> Self {
         Self {
             capacity,
-            keep,
+            retention: keep,
             entries: IndexMap::new(),
         }
     }
@@ -45,7 +45,7 @@
     /// use briarswitch_core::prelude::*;
     /// use std::time::Duration;
     ///
-    /// let mut book = ClaimBook::open(8, Duration::from_secs(60));
+    /// let mut book = ClaimCache::open(8, Duration::from_secs(60));
     /// assert_eq!(book.begin("order-1", Duration::ZERO), None);
     /// assert_eq!(book.begin("order-1", Duration::ZERO), Some(ClaimState::Open));
     /// ```
@@ -115,7 +115,7 @@
         if self.entries.len() < self.capacity {
             return;
         }
-        let keep = self.keep;
+        let keep = self.retention;
         self.entries
             .retain(|_, (state, at)| *state == ClaimState::Open || now < *at + keep);
     }
--- a/crates/core/src/cover.rs
+++ b/crates/core/src/coverage.rs
@@ -6,7 +6,7 @@
 use crate::id::ModelId;
 
 /// Cover that stands for none at all, in groups for each that the demand fills.
-const LEAST_COVER: f64 = 0.05;
+const COVERAGE_OFFSET: f64 = 0.05;
 
 /// Returns what a model's cover weighs against another's: between its callers and the targets they fill.
 ///
@@ -21,13 +21,13 @@
 ///
 /// With the square, what a model lacks weighs more than what another has over: a model whose groups are
 /// just filled loses callers with each loss, one that has twice its need loses none.
-pub(crate) fn cover_worth(groups: f64, demand: f64) -> f64 {
+pub(crate) fn coverage_utility(groups: f64, demand: f64) -> f64 {
     let cover = groups / demand.max(f64::MIN_POSITIVE);
-    -1.0 / (cover + LEAST_COVER).powi(2)
+    -1.0 / (cover + COVERAGE_OFFSET).powi(2)
 }
 
 /// Returns how many groups each model's requests fill, by what was seen or, before that, declared.
-pub(crate) fn demand_of(models: &[&ModelSpec], demand: &IndexMap<ModelId, f64>) -> Vec<f64> {
+pub(crate) fn demand_by_model(models: &[&ModelSpec], demand: &IndexMap<ModelId, f64>) -> Vec<f64> {
     let seen = models.iter().map(|model| demand.get(&model.id).copied());
     let seen: Vec<f64> = seen.map(Option::unwrap_or_default).collect();
     if seen.iter().any(|rate| *rate > 0.0) {
--- a/crates/core/src/draft.rs
+++ b/crates/core/src/draft.rs
@@ -8,10 +8,10 @@
 
 use crate::deployment::{Deployment, DeploymentKind};
 use crate::fleet::{FleetState, PlanStep, PlanWeights, VmFacts};
-use crate::free::{FreeKey, FreePool};
+use crate::free_pool::{FreePool, PoolDomain};
 use crate::group::{GroupMember, GroupRecord, GroupState};
 use crate::id::{DeploymentId, DomainId, GroupId, Moment, PoolId};
-use crate::vm::VmStanding;
+use crate::vm::VmStatus;
 
 /// A group that has lost members.
 struct BrokenGroup<'a> {
@@ -29,18 +29,18 @@
 pub(crate) struct PlanDraft<'a> {
     fleet: &'a FleetState,
     now: Moment,
-    patience: Duration,
+    replacement_delay: Duration,
     grace: Duration,
     free: FreePool<'a>,
-    ranked: Vec<&'a Deployment>,
-    dropped: BTreeSet<GroupId>,
-    mended: BTreeSet<GroupId>,
-    budget: usize,
+    by_priority: Vec<&'a Deployment>,
+    dissolved: BTreeSet<GroupId>,
+    repaired: BTreeSet<GroupId>,
+    load_budget: usize,
     pub(crate) steps: Vec<PlanStep>,
 }
 
 impl<'a> PlanDraft<'a> {
-    pub(crate) fn open(
+    pub(crate) fn new(
         fleet: &'a FleetState,
         now: Moment,
         patience: Duration,
@@ -51,23 +51,23 @@
         Self {
             fleet,
             now,
-            patience,
+            replacement_delay: patience,
             grace,
-            free: FreePool::open(fleet),
-            ranked,
-            dropped: BTreeSet::new(),
-            mended: BTreeSet::new(),
-            budget: fleet.load_budget,
+            free: FreePool::new(fleet),
+            by_priority: ranked,
+            dissolved: BTreeSet::new(),
+            repaired: BTreeSet::new(),
+            load_budget: fleet.load_budget,
             steps: Vec::new(),
         }
     }
 
     /// Dissolves groups of deleted or changed deployments and those above the wanted number.
-    pub(crate) fn drop_unwanted(&mut self) {
+    pub(crate) fn dissolve_surplus(&mut self) {
         let fleet = self.fleet;
         let mut counts: IndexMap<&DeploymentId, u32> = IndexMap::new();
-        for group in active(fleet) {
-            let Some((size, wanted, weights)) = model_of(fleet, &group.deployment) else {
+        for group in active_groups(fleet) {
+            let Some((size, wanted, weights)) = replica_params(fleet, &group.deployment) else {
                 self.dissolve(&group.id, "its deployment is gone");
                 continue;
             };
@@ -85,9 +85,9 @@
     }
 
     /// Replaces lost members from free machines, and breaks groups up where none are free.
-    pub(crate) fn mend_broken(&mut self) {
-        let mut broken: Vec<_> = active(self.fleet)
-            .filter(|group| !self.dropped.contains(&group.id))
+    pub(crate) fn repair_broken(&mut self) {
+        let mut broken: Vec<_> = active_groups(self.fleet)
+            .filter(|group| !self.dissolved.contains(&group.id))
             .filter_map(|group| self.examine(group))
             .collect();
         // The group that lacks least is whole again soonest for the loads it takes.
@@ -97,7 +97,7 @@
         });
         let mut waiting: Vec<BrokenGroup<'a>> = Vec::new();
         for group in broken {
-            if !self.mend(&group) && !self.relocate(&group) {
+            if !self.repair(&group) && !self.relocate(&group) {
                 waiting.push(group);
             }
         }
@@ -135,36 +135,36 @@
         let Some(facts) = facts else {
             return Some(true);
         };
-        if facts.vm.incarnation != member.incarnation || facts.vm.standing == VmStanding::Leaving {
+        if facts.vm.incarnation != member.incarnation || facts.vm.status == VmStatus::Leaving {
             return Some(true);
         }
         let gone = self.now.saturating_sub(facts.lost_since?);
         if gone < self.grace {
             return None;
         }
-        Some(gone >= self.patience)
+        Some(gone >= self.replacement_delay)
     }
 
-    fn mend(&mut self, broken: &BrokenGroup<'a>) -> bool {
+    fn repair(&mut self, broken: &BrokenGroup<'a>) -> bool {
         let lacking = broken.group.members.len() - broken.kept.len();
         let key = (broken.pool.clone(), broken.domain.clone());
-        let warm = self.free.count_warm(&key, &broken.group.deployment);
+        let warm = self.free.count_preloaded(&key, &broken.group.deployment);
         // A spare that holds the weights already is worth more than any return awaited.
         if !broken.is_overdue && warm < lacking {
             return false;
         }
         let loads = lacking.saturating_sub(warm);
-        if loads > self.budget {
+        if loads > self.load_budget {
             return false;
         }
-        let Some(found) = self.take_for_mend(broken, lacking) else {
+        let Some(found) = self.take_for_repair(broken, lacking) else {
             return false;
         };
-        self.budget -= loads;
-        self.mended.insert(broken.group.id.clone());
+        self.load_budget -= loads;
+        self.repaired.insert(broken.group.id.clone());
         let mut members = broken.kept.clone();
         members.extend(found);
-        self.steps.push(PlanStep::Mend {
+        self.steps.push(PlanStep::Repair {
             group: broken.group.id.clone(),
             members,
             reason: format!("{lacking} of its members were lost and machines are free"),
@@ -176,8 +176,8 @@
     /// whole new one, as when its own domain went dark; the new one is formed in the same round.
     fn relocate(&mut self, broken: &BrokenGroup<'a>) -> bool {
         let size = broken.group.members.len();
-        let is_elsewhere = self.free.tightest(&broken.pool, size).is_some();
-        if !broken.is_overdue || size > self.budget || !is_elsewhere {
+        let is_elsewhere = self.free.best_fit(&broken.pool, size).is_some();
+        if !broken.is_overdue || size > self.load_budget || !is_elsewhere {
             return false;
         }
         self.dissolve(
@@ -190,8 +190,8 @@
     /// Loads weights on free machines, for the deployment of the pool that weighs downtime most.
     pub(crate) fn preload_spares(&mut self) {
         let mut steps = Vec::new();
-        for ((pool, _), vms) in self.free.places() {
-            let Some(deployment) = self.neediest(pool) else {
+        for ((pool, _), vms) in self.free.by_domain() {
+            let Some(deployment) = self.preload_deployment(pool) else {
                 continue;
             };
             for vm in vms {
@@ -201,7 +201,7 @@
                     .get(&vm.id)
                     .and_then(|facts| facts.report.as_ref());
                 let is_empty = report.is_some_and(|report| report.weights.is_none());
-                if !is_empty || self.budget == steps.len() {
+                if !is_empty || self.load_budget == steps.len() {
                     continue;
                 }
                 steps.push(PlanStep::Preload {
@@ -214,34 +214,34 @@
         self.steps.extend(steps);
     }
 
-    fn neediest(&self, pool: &str) -> Option<DeploymentId> {
+    fn preload_deployment(&self, pool: &str) -> Option<DeploymentId> {
         let models = self
-            .ranked
+            .by_priority
             .iter()
             .filter(|deployment| deployment.pool == pool);
         models
             .filter_map(|deployment| {
-                let (_, wanted, weights) = model_of(self.fleet, &deployment.id)?;
+                let (_, wanted, weights) = replica_params(self.fleet, &deployment.id)?;
                 (wanted > 0).then_some((weights.downtime, &deployment.id))
             })
             .max_by_key(|(weight, _)| *weight)
             .map(|(_, id)| id.clone())
     }
 
-    fn take_for_mend(
+    fn take_for_repair(
         &mut self,
         broken: &BrokenGroup<'a>,
         lacking: usize,
     ) -> Option<Vec<GroupMember>> {
         let key = (broken.pool.clone(), broken.domain.clone());
-        let spans = may_span(self.fleet, &broken.group.deployment);
+        let spans = may_span_domains(self.fleet, &broken.group.deployment);
         if let Some(found) = self.free.take(&key, lacking, &broken.group.deployment) {
             return Some(found);
         }
         if spans {
             return self
                 .free
-                .take_anywhere(&broken.pool, lacking, &broken.group.deployment);
+                .take_across_domains(&broken.pool, lacking, &broken.group.deployment);
         }
         None
     }
@@ -249,17 +249,17 @@
     /// Dissolves the weakest broken group of a domain where that completes stronger ones, or a
     /// group that nobody asked for.
     fn break_up(&mut self, waiting: Vec<BrokenGroup<'a>>) {
-        let mut places: IndexMap<FreeKey, Vec<BrokenGroup<'a>>> = IndexMap::new();
+        let mut places: IndexMap<PoolDomain, Vec<BrokenGroup<'a>>> = IndexMap::new();
         for group in waiting.into_iter().filter(|group| group.is_overdue) {
             let key = (group.pool.clone(), group.domain.clone());
             places.entry(key).or_default().push(group);
         }
         for (key, groups) in places {
-            self.break_up_place(&key, &groups);
+            self.break_up_in_domain(&key, &groups);
         }
     }
 
-    fn break_up_place(&mut self, key: &FreeKey, groups: &[BrokenGroup<'a>]) {
+    fn break_up_in_domain(&mut self, key: &PoolDomain, groups: &[BrokenGroup<'a>]) {
         if self.is_releasing(key) {
             return;
         }
@@ -267,7 +267,7 @@
         let lacking = strongest.group.members.len() - strongest.kept.len();
         let free = self.free.count(key);
         let mut gained = free;
-        if let Some(spare) = self.expendable(key, strongest) {
+        if let Some(spare) = self.expendable_group(key, strongest) {
             let reason = format!("its machines complete {}", strongest.group.id);
             self.dissolve(&spare, &reason);
             return;
@@ -283,7 +283,7 @@
     }
 
     /// Returns whether machines of the place are on their way to being free.
-    fn is_releasing(&self, (pool, domain): &FreeKey) -> bool {
+    fn is_releasing(&self, (pool, domain): &PoolDomain) -> bool {
         self.fleet
             .groups
             .values()
@@ -297,18 +297,22 @@
 
     /// Finds a whole group in the place that matters less than the broken one: one beyond its
     /// deployment's wanted number, or one of a lower priority.
-    fn expendable(&self, (pool, domain): &FreeKey, broken: &BrokenGroup<'_>) -> Option<GroupId> {
+    fn expendable_group(
+        &self,
+        (pool, domain): &PoolDomain,
+        broken: &BrokenGroup<'_>,
+    ) -> Option<GroupId> {
         let mut counts: IndexMap<&DeploymentId, u32> = IndexMap::new();
-        for group in active(self.fleet).filter(|group| !self.dropped.contains(&group.id)) {
+        for group in active_groups(self.fleet).filter(|group| !self.dissolved.contains(&group.id)) {
             *counts.entry(&group.deployment).or_default() += 1;
         }
-        active(self.fleet)
+        active_groups(self.fleet)
             .filter(|group| !self.is_changed(group) && group.id != broken.group.id)
-            .filter(|group| self.stands_in(group, pool, domain))
+            .filter(|group| self.is_located_in(group, pool, domain))
             .filter(|group| self.examine(group).is_none())
             .filter_map(|group| {
                 let deployment = self.fleet.deployments.get(&group.deployment)?;
-                let (_, wanted, _) = model_of(self.fleet, &group.deployment)?;
+                let (_, wanted, _) = replica_params(self.fleet, &group.deployment)?;
                 let is_extra = counts[&group.deployment] > wanted;
                 let is_lower = deployment.priority < broken.priority;
                 let rank = (!is_extra, deployment.priority);
@@ -320,10 +324,10 @@
 
     /// Returns whether a step of this plan changes a group already.
     fn is_changed(&self, group: &GroupRecord) -> bool {
-        self.dropped.contains(&group.id) || self.mended.contains(&group.id)
+        self.dissolved.contains(&group.id) || self.repaired.contains(&group.id)
     }
 
-    fn stands_in(&self, group: &GroupRecord, pool: &str, domain: &str) -> bool {
+    fn is_located_in(&self, group: &GroupRecord, pool: &str, domain: &str) -> bool {
         group
             .members
             .first()
@@ -333,11 +337,11 @@
 
     /// Forms groups until each deployment has the number it wants.
     pub(crate) fn form_wanted(&mut self) {
-        for deployment in self.ranked.clone() {
-            let Some((size, wanted, _)) = model_of(self.fleet, &deployment.id) else {
+        for deployment in self.by_priority.clone() {
+            let Some((size, wanted, _)) = replica_params(self.fleet, &deployment.id) else {
                 continue;
             };
-            let mut standing = self.standing(&deployment.id);
+            let mut standing = self.count_active(&deployment.id);
             while standing < wanted {
                 if !self.form(deployment, size, "fewer replicas stand than are wanted") {
                     self.preempt_for(deployment, size);
@@ -350,8 +354,8 @@
 
     /// Forms groups beyond the wanted number where the operator weighs stranded accelerators more.
     pub(crate) fn form_extra(&mut self) {
-        for deployment in self.ranked.clone() {
-            let Some((size, wanted, weights)) = model_of(self.fleet, &deployment.id) else {
+        for deployment in self.by_priority.clone() {
+            let Some((size, wanted, weights)) = replica_params(self.fleet, &deployment.id) else {
                 continue;
             };
             if wanted == 0 || !prefers_extra(weights) {
@@ -361,25 +365,25 @@
         }
     }
 
-    fn standing(&self, deployment: &str) -> u32 {
-        let count = active(self.fleet)
-            .filter(|group| group.deployment == deployment && !self.dropped.contains(&group.id))
+    fn count_active(&self, deployment: &str) -> u32 {
+        let count = active_groups(self.fleet)
+            .filter(|group| group.deployment == deployment && !self.dissolved.contains(&group.id))
             .count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
     fn form(&mut self, deployment: &Deployment, size: usize, why: &str) -> bool {
-        if size > self.budget {
+        if size > self.load_budget {
             return false;
         }
-        let single = self.free.tightest(&deployment.pool, size);
+        let single = self.free.best_fit(&deployment.pool, size);
         let (members, spans_domains) =
             match single.and_then(|key| self.free.take(&key, size, &deployment.id)) {
                 Some(members) => (members, false),
-                None if may_span(self.fleet, &deployment.id) => {
+                None if may_span_domains(self.fleet, &deployment.id) => {
                     match self
                         .free
-                        .take_anywhere(&deployment.pool, size, &deployment.id)
+                        .take_across_domains(&deployment.pool, size, &deployment.id)
                     {
                         Some(members) => (members, true),
                         None => return false,
@@ -387,7 +391,7 @@
                 }
                 None => return false,
             };
-        self.budget -= size;
+        self.load_budget -= size;
         let reason = if spans_domains {
             format!("{why}; no single fabric domain has {size} free machines")
         } else {
@@ -404,11 +408,11 @@
 
     /// Dissolves one group of a lower priority where its machines let a wanted group form.
     fn preempt_for(&mut self, deployment: &Deployment, size: usize) {
-        if size > self.budget {
+        if size > self.load_budget {
             return;
         }
         let fleet = self.fleet;
-        let candidate = active(fleet)
+        let candidate = active_groups(fleet)
             .filter(|group| !self.is_changed(group))
             .filter_map(|group| {
                 let other = fleet.deployments.get(&group.deployment)?;
@@ -431,7 +435,7 @@
     }
 
     fn dissolve(&mut self, group: &str, reason: &str) {
-        let is_new = self.dropped.insert(group.to_owned());
+        let is_new = self.dissolved.insert(group.to_owned());
         if is_new {
             self.steps.push(PlanStep::Dissolve {
                 group: group.to_owned(),
@@ -441,14 +445,14 @@
     }
 }
 
-fn active(fleet: &FleetState) -> impl Iterator<Item = &GroupRecord> {
+fn active_groups(fleet: &FleetState) -> impl Iterator<Item = &GroupRecord> {
     fleet
         .groups
         .values()
         .filter(|group| group.state != GroupState::Dissolving)
 }
 
-fn model_of(fleet: &FleetState, deployment: &str) -> Option<(usize, u32, PlanWeights)> {
+fn replica_params(fleet: &FleetState, deployment: &str) -> Option<(usize, u32, PlanWeights)> {
     match fleet.deployments.get(deployment)?.kind {
         DeploymentKind::Model {
             vms_per_replica,
@@ -460,7 +464,7 @@
     }
 }
 
-fn may_span(fleet: &FleetState, deployment: &str) -> bool {
+fn may_span_domains(fleet: &FleetState, deployment: &str) -> bool {
     let kind = fleet.deployments.get(deployment).map(|found| &found.kind);
     matches!(
         kind,
--- a/crates/core/src/exchange.rs
+++ b/crates/core/src/exchange.rs
@@ -9,7 +9,7 @@
 
 use crate::engine::EngineModel;
 use crate::id::{DomainId, ModelId};
-use crate::layout::{DomainLayout, DomainStock, HolderCounts, LayoutDraft, LayoutPhase};
+use crate::layout::{DomainInventory, DomainLayout, HolderCounts, LayoutDraft, LayoutPhase};
 
 /// Gain that an exchange has to bring, as a part of what all models weigh.
 const LEAST_GAIN: f64 = 0.02;
@@ -40,7 +40,7 @@
     /// Groups that each model's callers fill, smoothed over about the time of a load.
     pub demand: &'a IndexMap<ModelId, f64>,
     /// What each domain holds.
-    pub domains: &'a [DomainStock],
+    pub domains: &'a [DomainInventory],
     /// Targets that are loading each model's weights where the stock does not show it.
     pub coming: &'a IndexMap<ModelId, usize>,
 }
@@ -52,7 +52,7 @@
 /// ```
 /// use briarswitch_core::engine::{EngineModel, ModelSpec};
 /// use briarswitch_core::exchange::{plan_exchange, ExchangeTerms};
-/// use briarswitch_core::layout::DomainStock;
+/// use briarswitch_core::layout::DomainInventory;
 /// use indexmap::IndexMap;
 ///
 /// let model = |id: &str, size| {
@@ -62,7 +62,7 @@
 /// let models = IndexMap::from([model("large", 4), model("small", 2)]);
 /// let engine = EngineModel { models, ..EngineModel::default() };
 /// let holders = IndexMap::from([("large".to_owned(), 24), ("small".to_owned(), 4)]);
-/// let domain = DomainStock { holders, ..DomainStock::default() };
+/// let domain = DomainInventory { holders, ..DomainInventory::default() };
 /// let demand = IndexMap::from([("large".to_owned(), 1.0), ("small".to_owned(), 3.0)]);
 /// let layouts = plan_exchange(ExchangeTerms {
 ///     engine: &engine,
@@ -74,8 +74,8 @@
 /// ```
 pub fn plan_exchange(terms: ExchangeTerms<'_>) -> IndexMap<DomainId, DomainLayout> {
     let phase = LayoutPhase::Serving;
-    let mut draft = LayoutDraft::open(terms.engine, terms.demand, terms.domains, phase);
-    let unseen = draft.fill_empty();
+    let mut draft = LayoutDraft::new(terms.engine, terms.demand, terms.domains, phase);
+    let unseen = draft.assign_empty();
     draft.note_coming(terms.coming, &unseen);
     draft.exchange();
     draft.finish()
@@ -111,9 +111,9 @@
             let giver =
                 others.max_by(|left, right| self.cover(*left).total_cmp(&self.cover(*right)));
             if let Some(giver) = giver {
-                self.coming[giver] -= moving / self.models[giver].size as f64;
+                self.unreported_loads[giver] -= moving / self.models[giver].size as f64;
             }
-            self.coming[model] += moving / self.models[model].size as f64;
+            self.unreported_loads[model] += moving / self.models[model].size as f64;
         }
     }
 
@@ -125,12 +125,12 @@
             let Some(step) = self.best_step() else {
                 return;
             };
-            self.change(step.domain, |domain| domain.holders = step.holders);
+            self.update_domain(step.domain, |domain| domain.holders = step.holders);
         }
     }
 
     fn best_step(&mut self) -> Option<ExchangeStep> {
-        let before = self.worth();
+        let before = self.utility();
         let mut best: Option<ExchangeStep> = None;
         for domain in 0..self.domains.len() {
             for step in self.steps_of(domain, before) {
@@ -174,14 +174,14 @@
         holders[from] -= count;
         holders[to] += count;
         let next = holders.clone();
-        self.change(domain, |domain| domain.holders = next);
-        let gain = (self.worth() - before) / self.weights.iter().sum::<f64>();
+        self.update_domain(domain, |domain| domain.holders = next);
+        let gain = (self.utility() - before) / self.weights.iter().sum::<f64>();
         // A model is never left with less than the one that it gave to had.
         // By the square, a model that lacks little takes little, and one that lacks half takes what there is.
         let has = (self.cover(to) / ENOUGH_COVER).min(1.0);
         let kept = cover_before.max(GIVER_COVER * has.powi(2));
-        let keeps_enough = self.cover(from) >= kept && self.groups_left(from) >= LEAST_GROUPS;
-        self.change(domain, |domain| domain.holders = held);
+        let keeps_enough = self.cover(from) >= kept && self.surviving_groups(from) >= LEAST_GROUPS;
+        self.update_domain(domain, |domain| domain.holders = held);
         let is_worth_it = gain >= LEAST_GAIN + TARGET_GAIN * count as f64;
         (keeps_enough && is_worth_it).then_some(ExchangeStep {
             domain,
@@ -192,6 +192,6 @@
 
     /// Returns the groups that a model is expected to have left for each that its callers fill.
     fn cover(&self, model: usize) -> f64 {
-        self.groups_left(model) / self.demand[model].max(f64::MIN_POSITIVE)
+        self.surviving_groups(model) / self.demand[model].max(f64::MIN_POSITIVE)
     }
 }
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -6,7 +6,7 @@
 use crate::evidence::{MemberReport, MemberState};
 use crate::group::{GroupMember, GroupRecord};
 use crate::id::{DeploymentId, GroupId, Moment, VmId};
-use crate::vm::{Vm, VmStanding};
+use crate::vm::{Vm, VmStatus};
 
 /// What an operator weighs for a deployment.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -46,7 +46,7 @@
         let is_idle = self.report.as_ref().is_some_and(|report| {
             report.state == MemberState::Idle && report.incarnation == self.vm.incarnation
         });
-        self.claimed.is_none() && self.vm.standing == VmStanding::Live && is_idle
+        self.claimed.is_none() && self.vm.status == VmStatus::Live && is_idle
     }
 }
 
@@ -78,7 +78,7 @@
         reason: String,
     },
     /// Replaces members of a group and raises its generation.
-    Mend {
+    Repair {
         /// Group mended.
         group: GroupId,
         /// Members by rank after the change.
--- a/crates/core/src/free.rs
+++ b/crates/core/src/free_pool.rs
@@ -8,47 +8,52 @@
 use crate::vm::Vm;
 
 /// Free machines of one pool in one fabric domain.
-pub(crate) type FreeKey = (PoolId, DomainId);
+pub(crate) type PoolDomain = (PoolId, DomainId);
 
 /// Free machines by pool and fabric domain.
 pub(crate) struct FreePool<'a> {
     fleet: &'a FleetState,
-    places: IndexMap<FreeKey, Vec<&'a Vm>>,
+    by_domain: IndexMap<PoolDomain, Vec<&'a Vm>>,
 }
 
 impl<'a> FreePool<'a> {
     /// Opens the pool of every machine that may be claimed.
-    pub(crate) fn open(fleet: &'a FleetState) -> Self {
-        let mut places: IndexMap<FreeKey, Vec<&Vm>> = IndexMap::new();
+    pub(crate) fn new(fleet: &'a FleetState) -> Self {
+        let mut places: IndexMap<PoolDomain, Vec<&Vm>> = IndexMap::new();
         for facts in fleet.vms.values().filter(|facts| facts.is_free()) {
             let key = (facts.vm.pool.clone(), facts.vm.domain.clone());
             places.entry(key).or_default().push(&facts.vm);
         }
-        Self { fleet, places }
+        Self {
+            fleet,
+            by_domain: places,
+        }
     }
 
     /// Returns the free machines by place.
-    pub(crate) fn places(&self) -> impl Iterator<Item = (&FreeKey, &[&'a Vm])> {
-        self.places.iter().map(|(key, vms)| (key, vms.as_slice()))
+    pub(crate) fn by_domain(&self) -> impl Iterator<Item = (&PoolDomain, &[&'a Vm])> {
+        self.by_domain
+            .iter()
+            .map(|(key, vms)| (key, vms.as_slice()))
     }
 
     /// Counts the free machines of a place.
-    pub(crate) fn count(&self, key: &FreeKey) -> usize {
-        self.places.get(key).map_or(0, Vec::len)
+    pub(crate) fn count(&self, key: &PoolDomain) -> usize {
+        self.by_domain.get(key).map_or(0, Vec::len)
     }
 
     /// Counts the free machines of a place that hold a deployment's weights.
-    pub(crate) fn count_warm(&self, key: &FreeKey, deployment: &str) -> usize {
-        let vms = self.places.get(key).map_or(&[][..], Vec::as_slice);
+    pub(crate) fn count_preloaded(&self, key: &PoolDomain, deployment: &str) -> usize {
+        let vms = self.by_domain.get(key).map_or(&[][..], Vec::as_slice);
         vms.iter()
-            .filter(|vm| self.holds(&vm.id, deployment))
+            .filter(|vm| self.has_weights(&vm.id, deployment))
             .count()
     }
 
     /// Returns the domain with the fewest free machines that still fit, which keeps large runs of
     /// free machines whole for large replicas.
-    pub(crate) fn tightest(&self, pool: &str, size: usize) -> Option<FreeKey> {
-        self.places
+    pub(crate) fn best_fit(&self, pool: &str, size: usize) -> Option<PoolDomain> {
+        self.by_domain
             .iter()
             .filter(|((found, _), vms)| found == pool && vms.len() >= size)
             .min_by_key(|(_, vms)| vms.len())
@@ -58,46 +63,46 @@
     /// Takes free machines, those that hold the deployment's weights first.
     pub(crate) fn take(
         &mut self,
-        key: &FreeKey,
+        key: &PoolDomain,
         count: usize,
         deployment: &str,
     ) -> Option<Vec<GroupMember>> {
-        let mut vms = std::mem::take(self.places.get_mut(key)?);
+        let mut vms = std::mem::take(self.by_domain.get_mut(key)?);
         let is_enough = vms.len() >= count;
         let taken = is_enough.then(|| {
-            vms.sort_by_cached_key(|vm| self.holds(&vm.id, deployment));
+            vms.sort_by_cached_key(|vm| self.has_weights(&vm.id, deployment));
             vms.split_off(vms.len() - count)
         });
-        self.places.insert(key.clone(), vms);
+        self.by_domain.insert(key.clone(), vms);
         Some(taken?.into_iter().map(member_of).collect())
     }
 
     /// Takes free machines of a pool wherever they stand.
-    pub(crate) fn take_anywhere(
+    pub(crate) fn take_across_domains(
         &mut self,
         pool: &str,
         count: usize,
         deployment: &str,
     ) -> Option<Vec<GroupMember>> {
-        let places: Vec<FreeKey> = self
-            .places
+        let places: Vec<PoolDomain> = self
+            .by_domain
             .keys()
             .filter(|(found, _)| found == pool)
             .cloned()
             .collect();
-        let total: usize = places.iter().map(|key| self.places[key].len()).sum();
+        let total: usize = places.iter().map(|key| self.by_domain[key].len()).sum();
         if total < count {
             return None;
         }
         let mut members = Vec::with_capacity(count);
         for key in places {
-            let share = (count - members.len()).min(self.places[&key].len());
+            let share = (count - members.len()).min(self.by_domain[&key].len());
             members.extend(self.take(&key, share, deployment).unwrap_or_default());
         }
         Some(members)
     }
 
-    fn holds(&self, vm: &str, deployment: &str) -> bool {
+    fn has_weights(&self, vm: &str, deployment: &str) -> bool {
         let report = self
             .fleet
             .vms
--- a/crates/core/src/layout.rs
+++ b/crates/core/src/layout.rs
@@ -14,7 +14,7 @@
 
 use indexmap::IndexMap;
 
-use crate::cover::{cover_worth, demand_of, model_weight};
+use crate::coverage::{coverage_utility, demand_by_model, model_weight};
 use crate::engine::{EngineModel, ModelSpec};
 use crate::id::{DomainId, ModelId, ZoneId};
 use crate::losses::{GroupTable, LossCase};
@@ -22,13 +22,13 @@
 /// Part of the worth of weights that counts within each zone for itself.
 ///
 /// A zone that is cut off has to serve its callers alone.
-const ZONE_SHARE: f64 = 0.1;
+const ZONE_UTILITY_SHARE: f64 = 0.1;
 /// Sweeps over all domains before the first caller; the second and third change little.
-const SWEEPS: usize = 4;
+const IMPROVEMENT_SWEEPS: usize = 4;
 
 /// What is known of one domain.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct DomainStock {
+pub struct DomainInventory {
     /// Domain.
     pub domain: DomainId,
     /// Zone of most of its targets.
@@ -38,18 +38,18 @@
     /// Targets that live and hold none.
     pub empty: usize,
     /// Whether targets that are loading weights count among the holders; else they count as empty.
-    pub shows_loads: bool,
+    pub reports_loads: bool,
 }
 
-impl DomainStock {
+impl DomainInventory {
     /// Returns the targets that live.
     ///
     /// ```
-    /// use briarswitch_core::layout::DomainStock;
+    /// use briarswitch_core::layout::DomainInventory;
     /// use indexmap::IndexMap;
     ///
     /// let holders = IndexMap::from([("large".to_owned(), 5)]);
-    /// let stock = DomainStock { holders, empty: 1, ..DomainStock::default() };
+    /// let stock = DomainInventory { holders, empty: 1, ..DomainInventory::default() };
     /// assert_eq!(stock.targets(), 6);
     /// ```
     pub fn targets(&self) -> usize {
@@ -77,7 +77,7 @@
 ///
 /// ```
 /// use briarswitch_core::engine::{EngineModel, ModelSpec};
-/// use briarswitch_core::layout::{plan_layout, DomainStock, LayoutPhase};
+/// use briarswitch_core::layout::{plan_layout, DomainInventory, LayoutPhase};
 /// use indexmap::IndexMap;
 ///
 /// let model = |id: &str, size, share| {
@@ -86,7 +86,7 @@
 /// };
 /// let models = IndexMap::from([model("large", 4, 0.67), model("small", 2, 0.33)]);
 /// let engine = EngineModel { models, ..EngineModel::default() };
-/// let domain = DomainStock { empty: 8, ..DomainStock::default() };
+/// let domain = DomainInventory { empty: 8, ..DomainInventory::default() };
 /// let layouts = plan_layout(&engine, &IndexMap::new(), &[domain], LayoutPhase::Start);
 /// assert_eq!(layouts[""].holders.values().sum::<usize>(), 8);
 /// assert!(layouts[""].holders["large"] >= 4);
@@ -94,14 +94,14 @@
 pub fn plan_layout(
     engine: &EngineModel,
     demand: &IndexMap<ModelId, f64>,
-    domains: &[DomainStock],
+    domains: &[DomainInventory],
     phase: LayoutPhase,
 ) -> IndexMap<DomainId, DomainLayout> {
-    let mut draft = LayoutDraft::open(engine, demand, domains, phase);
-    draft.fill_empty();
+    let mut draft = LayoutDraft::new(engine, demand, domains, phase);
+    draft.assign_empty();
     if phase == LayoutPhase::Start {
         draft.improve();
-        draft.order_alike();
+        draft.sort_equal_domains();
     }
     draft.finish()
 }
@@ -120,16 +120,16 @@
     /// Domains.
     pub(crate) domains: Vec<DomainDraft<'a>>,
     /// Groups of each model whose targets load their weights unseen.
-    pub(crate) coming: Vec<f64>,
+    pub(crate) unreported_loads: Vec<f64>,
     /// Groups expected to be left of each model, by zone.
-    left: Vec<Vec<f64>>,
+    surviving: Vec<Vec<f64>>,
     table: GroupTable,
     phase: LayoutPhase,
 }
 
 /// What one domain should hold, while it is worked out.
 pub(crate) struct DomainDraft<'a> {
-    stock: &'a DomainStock,
+    inventory: &'a DomainInventory,
     zone: usize,
     targets: usize,
     /// Targets by the model whose weights they should hold.
@@ -139,10 +139,10 @@
 
 impl<'a> LayoutDraft<'a> {
     /// Opens a draft of what domains hold now, or of nothing before the first caller.
-    pub(crate) fn open(
+    pub(crate) fn new(
         engine: &'a EngineModel,
         demand: &IndexMap<ModelId, f64>,
-        domains: &'a [DomainStock],
+        domains: &'a [DomainInventory],
         phase: LayoutPhase,
     ) -> Self {
         let sized = engine.models.values().filter(|model| model.size > 0);
@@ -152,9 +152,9 @@
         zones.dedup();
         let drafts = domains.iter().map(|stock| {
             let zone = zones.iter().position(|zone| **zone == stock.zone);
-            DomainDraft::open(stock, zone.unwrap_or_default(), &models, phase)
+            DomainDraft::new(stock, zone.unwrap_or_default(), &models, phase)
         });
-        let demand = demand_of(&models, demand);
+        let demand = demand_by_model(&models, demand);
         let weights = demand.iter().zip(&models);
         let mut draft = Self {
             weights: weights
@@ -162,20 +162,20 @@
                 .collect(),
             demand,
             domains: drafts.collect(),
-            left: vec![vec![0.0; models.len()]; zones.len()],
-            coming: vec![0.0; models.len()],
+            surviving: vec![vec![0.0; models.len()]; zones.len()],
+            unreported_loads: vec![0.0; models.len()],
             models,
             table: GroupTable::default(),
             phase,
         };
         for index in 0..draft.domains.len() {
-            draft.count(index, 1.0);
+            draft.add_expected_groups(index, 1.0);
         }
         draft
     }
 
     /// Adds or takes away the groups that a domain is expected to have left.
-    fn count(&mut self, index: usize, sign: f64) {
+    fn add_expected_groups(&mut self, index: usize, sign: f64) {
         let domain = &self.domains[index];
         for (model, spec) in self.models.iter().enumerate() {
             let left = self.table.left(LossCase {
@@ -183,21 +183,21 @@
                 holders: domain.holders[model],
                 size: spec.size,
             });
-            self.left[domain.zone][model] += sign * left;
+            self.surviving[domain.zone][model] += sign * left;
         }
     }
 
     /// Gives each target that holds nothing the weights that are worth most there.
     ///
     /// Returns how many got each model's in domains whose loads under way can not be seen.
-    pub(crate) fn fill_empty(&mut self) -> HolderCounts {
+    pub(crate) fn assign_empty(&mut self) -> HolderCounts {
         let mut unseen = vec![0; self.models.len()];
         loop {
             let mut is_done = true;
             for index in 0..self.domains.len() {
                 if self.domains[index].empty > 0 && !self.models.is_empty() {
-                    let model = self.fill_one(index);
-                    let is_unseen = !self.domains[index].stock.shows_loads;
+                    let model = self.assign_one(index);
+                    let is_unseen = !self.domains[index].inventory.reports_loads;
                     unseen[model] += usize::from(is_unseen);
                     is_done = false;
                 }
@@ -209,12 +209,12 @@
     }
 
     /// Gives one empty target of a domain a model's weights, and returns the model.
-    fn fill_one(&mut self, index: usize) -> usize {
+    fn assign_one(&mut self, index: usize) -> usize {
         let holders = &self.domains[index].holders;
         // Of what is worth the same, what the domain holds most of brings its next group nearer.
         let mut models: Vec<usize> = (0..self.models.len()).collect();
         models.sort_by_key(|model| Reverse(holders[*model]));
-        let before = self.worth();
+        let before = self.utility();
         let mut best: Option<(f64, usize)> = None;
         for model in models {
             let gain = self.best_gain(index, model, before);
@@ -223,7 +223,7 @@
             }
         }
         let model = best.map_or(0, |(_, model)| model);
-        self.change(index, |domain| domain.holders[model] += 1);
+        self.update_domain(index, |domain| domain.holders[model] += 1);
         self.domains[index].empty -= 1;
         model
     }
@@ -241,20 +241,20 @@
             _ => 1,
         };
         let gains = (1..=most).map(|count| {
-            let worth = self.worth_with(index, model, count);
+            let worth = self.utility_with(index, model, count);
             (worth - before) / count as f64
         });
         gains.fold(f64::NEG_INFINITY, f64::max)
     }
 
     /// Returns the worth if the one empty target and others that may follow it held a model's weights.
-    fn worth_with(&mut self, index: usize, model: usize, count: usize) -> f64 {
-        self.change(index, |domain| {
+    fn utility_with(&mut self, index: usize, model: usize, count: usize) -> f64 {
+        self.update_domain(index, |domain| {
             domain.holders[model] += count;
             domain.targets += count - 1;
         });
-        let worth = self.worth();
-        self.change(index, |domain| {
+        let worth = self.utility();
+        self.update_domain(index, |domain| {
             domain.holders[model] -= count;
             domain.targets -= count - 1;
         });
@@ -262,18 +262,22 @@
     }
 
     /// Changes what a domain holds, and counts its groups anew.
-    pub(crate) fn change(&mut self, index: usize, change: impl FnOnce(&mut DomainDraft<'_>)) {
-        self.count(index, -1.0);
+    pub(crate) fn update_domain(
+        &mut self,
+        index: usize,
+        change: impl FnOnce(&mut DomainDraft<'_>),
+    ) {
+        self.add_expected_groups(index, -1.0);
         change(&mut self.domains[index]);
-        self.count(index, 1.0);
+        self.add_expected_groups(index, 1.0);
     }
 
     /// Moves targets of one domain at a time from one model to another, as long as that gains.
     fn improve(&mut self) {
-        for _ in 0..SWEEPS {
+        for _ in 0..IMPROVEMENT_SWEEPS {
             for index in 0..self.domains.len() {
                 let options = self.domains[index].neighbours();
-                self.take_best(index, options);
+                self.choose_best(index, options);
             }
         }
     }
@@ -282,7 +286,7 @@
     ///
     /// Which of them holds what is worth the same. Were it left to the way the search went, a domain
     /// that registers a little later would change what the others were told to load.
-    fn order_alike(&mut self) {
+    fn sort_equal_domains(&mut self) {
         let mut alike: IndexMap<(usize, usize), Vec<usize>> = IndexMap::new();
         for (index, domain) in self.domains.iter().enumerate() {
             let key = (domain.zone, domain.targets);
@@ -300,14 +304,14 @@
         }
     }
 
-    fn take_best(&mut self, index: usize, options: Vec<HolderCounts>) {
-        self.count(index, -1.0);
+    fn choose_best(&mut self, index: usize, options: Vec<HolderCounts>) {
+        self.add_expected_groups(index, -1.0);
         let mut best: Option<(f64, HolderCounts)> = None;
         for holders in options {
             self.domains[index].holders = holders;
-            self.count(index, 1.0);
-            let worth = self.worth();
-            self.count(index, -1.0);
+            self.add_expected_groups(index, 1.0);
+            let worth = self.utility();
+            self.add_expected_groups(index, -1.0);
             let holders = std::mem::take(&mut self.domains[index].holders);
             if best.as_ref().is_none_or(|(most, _)| worth > *most) {
                 best = Some((worth, holders));
@@ -316,23 +320,24 @@
         if let Some((_, holders)) = best {
             self.domains[index].holders = holders;
         }
-        self.count(index, 1.0);
+        self.add_expected_groups(index, 1.0);
     }
 
     /// Returns the groups that a model is expected to have left in all domains.
-    pub(crate) fn groups_left(&self, model: usize) -> f64 {
-        self.left.iter().map(|left| left[model]).sum::<f64>() + self.coming[model]
+    pub(crate) fn surviving_groups(&self, model: usize) -> f64 {
+        self.surviving.iter().map(|left| left[model]).sum::<f64>() + self.unreported_loads[model]
     }
 
     /// Returns what the groups left are worth: each more, the less of its model's demand is covered.
-    pub(crate) fn worth(&self) -> f64 {
-        let zones = self.left.len() as f64;
+    pub(crate) fn utility(&self) -> f64 {
+        let zones = self.surviving.len() as f64;
         let of_model = self.demand.iter().enumerate().map(|(model, demand)| {
-            let all = self.groups_left(model);
-            let of_zones = self.left.iter();
-            let of_zones = of_zones.map(|left| cover_worth(left[model] * zones, *demand));
+            let all = self.surviving_groups(model);
+            let of_zones = self.surviving.iter();
+            let of_zones = of_zones.map(|left| coverage_utility(left[model] * zones, *demand));
             let mean = of_zones.sum::<f64>() / zones.max(1.0);
-            let worth = (1.0 - ZONE_SHARE) * cover_worth(all, *demand) + ZONE_SHARE * mean;
+            let worth = (1.0 - ZONE_UTILITY_SHARE) * coverage_utility(all, *demand)
+                + ZONE_UTILITY_SHARE * mean;
             worth * self.weights[model]
         });
         of_model.sum()
@@ -353,15 +358,15 @@
                 (id, domain.holders[*model])
             });
             let holders = holders.filter(|(_, count)| *count > 0).collect();
-            (domain.stock.domain.clone(), DomainLayout { holders })
+            (domain.inventory.domain.clone(), DomainLayout { holders })
         });
         layouts.collect()
     }
 }
 
 impl<'a> DomainDraft<'a> {
-    fn open(
-        stock: &'a DomainStock,
+    fn new(
+        stock: &'a DomainInventory,
         zone: usize,
         models: &[&ModelSpec],
         phase: LayoutPhase,
@@ -374,7 +379,7 @@
         };
         let targets = stock.targets();
         Self {
-            stock,
+            inventory: stock,
             zone,
             targets,
             empty: targets - holders.iter().sum::<usize>(),
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -52,7 +52,7 @@
 
 /// What the table service said to a write.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub enum LeaseAnswer {
+pub enum LeaseWriteResult {
     /// The write is in force at this version.
     Written(RowVersion),
     /// Another write came first.
@@ -65,11 +65,11 @@
 struct PendingWrite {
     record: LeaseRecord,
     sent: Moment,
-    is_lost: bool,
+    is_uncertain: bool,
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-struct SeenRow {
+struct ObservedRow {
     record: Option<LeaseRecord>,
     version: RowVersion,
     since: Moment,
@@ -77,19 +77,19 @@
 
 /// One node's part in the contest for its zone's lease.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct LeaseKeeper {
+pub struct LeaseClient {
     node: NodeId,
     incarnation: Incarnation,
     timing: LeaseTiming,
-    seen: Option<SeenRow>,
+    seen: Option<ObservedRow>,
     pending: Option<PendingWrite>,
     held: Option<(Epoch, Moment)>,
     renewed: Moment,
 }
 
-impl LeaseKeeper {
+impl LeaseClient {
     /// Opens a keeper that holds nothing.
-    pub fn open(node: NodeId, incarnation: Incarnation, timing: LeaseTiming) -> Self {
+    pub fn new(node: NodeId, incarnation: Incarnation, timing: LeaseTiming) -> Self {
         Self {
             node,
             incarnation,
@@ -124,8 +124,10 @@
     }
 
     /// Returns whether a write's fate is open and the row has to be read.
-    pub fn is_unsettled(&self) -> bool {
-        self.pending.as_ref().is_some_and(|write| write.is_lost)
+    pub fn needs_read(&self) -> bool {
+        self.pending
+            .as_ref()
+            .is_some_and(|write| write.is_uncertain)
     }
 
     /// Takes in what was read of the row.
@@ -133,14 +135,14 @@
     /// A read settles a write whose answer was lost: if the row carries its write id it took
     /// effect, and the lease counts from when that write was sent.
     pub fn observe(&mut self, record: Option<LeaseRecord>, version: RowVersion, now: Moment) {
-        self.settle(record.as_ref());
+        self.resolve_pending(record.as_ref());
         let is_changed = self
             .seen
             .as_ref()
             .is_none_or(|seen| seen.version != version);
         if is_changed {
-            self.drop_if_foreign(record.as_ref());
-            self.seen = Some(SeenRow {
+            self.drop_if_not_holder(record.as_ref());
+            self.seen = Some(ObservedRow {
                 record,
                 version,
                 since: now,
@@ -179,35 +181,35 @@
         self.pending = Some(PendingWrite {
             record,
             sent: now,
-            is_lost: false,
+            is_uncertain: false,
         });
         Some(proposal)
     }
 
     /// Takes in what became of the write that was sent last.
-    pub fn answer(&mut self, answer: LeaseAnswer, now: Moment) {
+    pub fn record_result(&mut self, answer: LeaseWriteResult, now: Moment) {
         match answer {
-            LeaseAnswer::Written(version) => {
+            LeaseWriteResult::Written(version) => {
                 let Some(write) = self.pending.take() else {
                     return;
                 };
                 self.hold(&write);
-                self.seen = Some(SeenRow {
+                self.seen = Some(ObservedRow {
                     record: Some(write.record),
                     version,
                     since: now,
                 });
             }
-            LeaseAnswer::Conflict => {
+            LeaseWriteResult::Conflict => {
                 // A conflict may be this node's own earlier write, applied without an answer, so
                 // the row is read again before anything is concluded from it.
                 if let Some(write) = self.pending.as_mut() {
-                    write.is_lost = true;
+                    write.is_uncertain = true;
                 }
             }
-            LeaseAnswer::Lost => {
+            LeaseWriteResult::Lost => {
                 if let Some(write) = self.pending.as_mut() {
-                    write.is_lost = true;
+                    write.is_uncertain = true;
                 }
             }
         }
@@ -234,8 +236,8 @@
         record.holder == self.node && record.incarnation == self.incarnation
     }
 
-    fn settle(&mut self, record: Option<&LeaseRecord>) {
-        let Some(write) = self.pending.take_if(|write| write.is_lost) else {
+    fn resolve_pending(&mut self, record: Option<&LeaseRecord>) {
+        let Some(write) = self.pending.take_if(|write| write.is_uncertain) else {
             return;
         };
         if record.is_some_and(|found| found.write == write.record.write) {
@@ -249,7 +251,7 @@
         self.renewed = write.sent;
     }
 
-    fn drop_if_foreign(&mut self, record: Option<&LeaseRecord>) {
+    fn drop_if_not_holder(&mut self, record: Option<&LeaseRecord>) {
         let is_mine = record.is_some_and(|found| self.owns(found));
         if !is_mine {
             self.held = None;
--- a/crates/core/src/mint.rs
+++ b/crates/core/src/minted_key.rs
@@ -26,7 +26,7 @@
     /// Reads a key, or returns `None` for a caller's own.
     ///
     /// ```
-    /// use briarswitch_core::mint::MintedKey;
+    /// use briarswitch_core::minted_key::MintedKey;
     ///
     /// let key = MintedKey { node: "hall-a-1".into(), incarnation: 7, nonce: 9 };
     /// assert_eq!(MintedKey::parse(&key.to_string()), Some(key));
--- a/crates/core/src/order.rs
+++ b/crates/core/src/order.rs
@@ -70,7 +70,7 @@
     /// Another order came first, or the order does not fit the state.
     Conflict,
     /// Another life answers at the address.
-    Gone,
+    OtherIncarnation,
     /// The target does not know the order or refuses it for good.
     Refused,
     /// No answer came; the order may still be carried out.
--- a/crates/core/src/planner.rs
+++ b/crates/core/src/planner.rs
@@ -25,7 +25,7 @@
 
 impl GroupPlanner {
     /// Opens a planner that has seen nothing yet.
-    pub fn open(load_time: Duration, grace: Duration) -> Self {
+    pub fn new(load_time: Duration, grace: Duration) -> Self {
         Self {
             history: ReturnHistory::default(),
             load_time,
@@ -44,9 +44,9 @@
     /// ```
     pub fn plan(&self, fleet: &FleetState, now: Moment) -> Vec<PlanStep> {
         let patience = self.grace.max(self.history.patience(self.load_time));
-        let mut draft = PlanDraft::open(fleet, now, patience, self.grace);
-        draft.drop_unwanted();
-        draft.mend_broken();
+        let mut draft = PlanDraft::new(fleet, now, patience, self.grace);
+        draft.dissolve_surplus();
+        draft.repair_broken();
         draft.form_wanted();
         draft.form_extra();
         draft.preload_spares();
--- a/crates/core/src/target.rs
+++ b/crates/core/src/target.rs
@@ -72,7 +72,7 @@
     /// The entry is gone.
     Removed(TargetId),
     /// The entry can not be understood, so it names no target to use.
-    Withdrawn(TargetId),
+    Unreadable(TargetId),
 }
 
 impl TargetChange {
@@ -80,7 +80,7 @@
     pub fn target(&self) -> &TargetId {
         match self {
             Self::Put(record) => &record.id,
-            Self::Removed(id) | Self::Withdrawn(id) => id,
+            Self::Removed(id) | Self::Unreadable(id) => id,
         }
     }
 }
@@ -88,28 +88,28 @@
 /// Time after the directory's return within which entries that lapsed meanwhile are put back.
 ///
 /// Targets write their entries again within about two seconds.
-const RETURN_TIME: Duration = Duration::from_millis(2_300);
+const REREGISTRATION_GRACE: Duration = Duration::from_millis(2_300);
 
 /// Tells lapses during an absence of the directory from departures.
 ///
 /// What is missing when the directory returns may only have lapsed. What is removed later has left: kept
 /// as a lapse, it would get requests for seconds after everybody else has stopped.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LapseWindow {
-    is_away: bool,
+pub struct RecoveryWindow {
+    is_unreachable: bool,
     until: Moment,
 }
 
-impl LapseWindow {
+impl RecoveryWindow {
     /// Notes that the directory did not answer.
     pub fn note_failure(&mut self) {
-        self.is_away = true;
+        self.is_unreachable = true;
     }
 
     /// Notes that the directory answered.
     pub fn note_answer(&mut self, now: Moment) {
-        if std::mem::take(&mut self.is_away) {
-            self.until = now + RETURN_TIME;
+        if std::mem::take(&mut self.is_unreachable) {
+            self.until = now + REREGISTRATION_GRACE;
         }
     }
 
@@ -118,10 +118,10 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use briarswitch_core::target::LapseWindow;
+    /// use briarswitch_core::target::RecoveryWindow;
     ///
     /// let at = Duration::from_secs;
-    /// let mut window = LapseWindow::default();
+    /// let mut window = RecoveryWindow::default();
     /// window.note_failure();
     /// window.note_answer(at(10));
     /// assert!(window.keep_until(at(11)).is_some());
@@ -138,11 +138,11 @@
 /// Time for which an entry stays unused after the one that took its address is gone.
 ///
 /// The entry of a target that has ended is gone by then.
-const VACANT_TIME: Duration = Duration::from_secs(6);
+const RESTORE_DELAY: Duration = Duration::from_secs(6);
 /// Most targets that are remembered of one address.
-const MOST_AT_ADDRESS: usize = 4;
+const MAX_TARGETS_PER_ADDRESS: usize = 4;
 /// Most addresses without a listed target that are remembered.
-const MOST_VACANT: usize = 1_024;
+const MAX_UNLISTED_ADDRESSES: usize = 1_024;
 
 /// What the directory lists, with departures held back while the directory itself was away.
 ///
@@ -150,20 +150,20 @@
 /// once more by a call that was held up. What answers at the address would pass for both, and members that are
 /// gone would count as live. So of the entries with one address only that of the target seen last is used.
 #[derive(Clone, Debug, Default)]
-pub struct TargetBook {
+pub struct TargetCache {
     targets: TargetList,
     /// Targets seen at each address, the first one first; shared, since it changes only as targets come.
     seen: Arc<IndexMap<String, Vec<TargetId>>>,
-    lapsed: IndexMap<TargetId, Moment>,
+    removal_due: IndexMap<TargetId, Moment>,
     unlisted: TargetList,
     /// Listed targets whose address another one has since.
     replaced: TargetList,
     /// Those of them whose address nobody has any more, and since when.
-    vacant: IndexMap<TargetId, Moment>,
-    ended: u64,
+    address_free_since: IndexMap<TargetId, Moment>,
+    unexpected_exits: u64,
 }
 
-impl TargetBook {
+impl TargetCache {
     /// Returns the targets by id.
     pub fn targets(&self) -> &TargetList {
         &self.targets
@@ -176,9 +176,9 @@
     /// targets that were cut off for 5 s cost all groups of sixteen and a third of those of four.
     ///
     /// ```
-    /// use briarswitch_core::target::TargetBook;
+    /// use briarswitch_core::target::TargetCache;
     ///
-    /// assert!(TargetBook::default().unlisted().is_empty());
+    /// assert!(TargetCache::default().unlisted().is_empty());
     /// ```
     pub fn unlisted(&self) -> &TargetList {
         &self.unlisted
@@ -187,12 +187,12 @@
     /// Returns how many targets have ended so far without asking for no new work before, lapses among them.
     ///
     /// ```
-    /// use briarswitch_core::target::TargetBook;
+    /// use briarswitch_core::target::TargetCache;
     ///
-    /// assert_eq!(TargetBook::default().ended(), 0);
+    /// assert_eq!(TargetCache::default().ended(), 0);
     /// ```
-    pub fn ended(&self) -> u64 {
-        self.ended
+    pub fn unexpected_exits(&self) -> u64 {
+        self.unexpected_exits
     }
 
     /// Forgets the unlisted members of groups that no listed target is in any more.
@@ -200,13 +200,13 @@
     /// To be called once the changes of an answer are taken in.
     ///
     /// ```
-    /// use briarswitch_core::target::TargetBook;
+    /// use briarswitch_core::target::TargetCache;
     ///
-    /// let mut book = TargetBook::default();
+    /// let mut book = TargetCache::default();
     /// book.forget_ended();
     /// assert!(book.unlisted().is_empty());
     /// ```
-    pub fn forget_ended(&mut self) {
+    pub fn prune_unlisted(&mut self) {
         if self.unlisted.is_empty() {
             return;
         }
@@ -230,34 +230,34 @@
             TargetChange::Put(record) => self.put(Arc::from(record)),
             TargetChange::Removed(id) => match keep_until {
                 Some(until) if self.targets.contains_key(&id) => {
-                    self.lapsed.insert(id, until);
+                    self.removal_due.insert(id, until);
                 }
-                _ => self.depart(&id),
+                _ => self.remove_departed(&id),
             },
             // Somebody wrote it, so it has not lapsed; kept as it was before, it would get requests
             // for as long as nobody writes it again.
-            TargetChange::Withdrawn(id) => self.drop_entry(&id),
+            TargetChange::Unreadable(id) => self.drop_entry(&id),
         }
     }
 
     fn put(&mut self, record: Arc<TargetRecord>) {
         let held = self.targets.get(&record.id);
         let is_known = held.is_some_and(|held| held.address == record.address);
-        if !is_known && !self.takes_address(&record) {
+        if !is_known && !self.claim_address(&record) {
             self.drop_entry(&record.id);
             self.replaced.insert(record.id.clone(), record);
             return;
         }
-        self.lapsed.swap_remove(&record.id);
+        self.removal_due.swap_remove(&record.id);
         self.unlisted.swap_remove(&record.id);
         self.replaced.swap_remove(&record.id);
         let born = record.incarnation;
         let before = self.targets.insert(record.id.clone(), record);
-        self.ended += u64::from(before.is_some_and(|before| before.incarnation != born));
+        self.unexpected_exits += u64::from(before.is_some_and(|before| before.incarnation != born));
     }
 
     /// Returns whether a target that is not in use has its address now; the one that had it gives way.
-    fn takes_address(&mut self, record: &TargetRecord) -> bool {
+    fn claim_address(&mut self, record: &TargetRecord) -> bool {
         let address = &record.address;
         self.unlisted
             .retain(|id, other| *id == record.id || other.address != *address);
@@ -268,7 +268,7 @@
         }
         let mut holders = seen.iter().filter(|id| **id != record.id);
         if let Some(holder) = holders.find_map(|id| self.at_address(id, address)).cloned() {
-            self.ended += u64::from(!holder.is_draining);
+            self.unexpected_exits += u64::from(!holder.is_draining);
             self.drop_entry(&holder.id);
             self.replaced.insert(holder.id.clone(), holder);
         }
@@ -290,10 +290,10 @@
         let seen = Arc::make_mut(&mut self.seen);
         let ids = seen.entry(record.address.clone()).or_default();
         ids.push(record.id.clone());
-        if ids.len() > MOST_AT_ADDRESS {
+        if ids.len() > MAX_TARGETS_PER_ADDRESS {
             ids.remove(0);
         }
-        if seen.len() > self.targets.len() + MOST_VACANT {
+        if seen.len() > self.targets.len() + MAX_UNLISTED_ADDRESSES {
             let targets = &self.targets;
             let is_listed = |ids: &[TargetId]| ids.iter().any(|id| targets.contains_key(id));
             seen.retain(|address, ids| *address == record.address || is_listed(ids));
@@ -301,10 +301,10 @@
     }
 
     /// Drops an entry that nobody renewed; the target may live on as a member of its group.
-    fn depart(&mut self, id: &TargetId) {
+    fn remove_departed(&mut self, id: &TargetId) {
         let record = self.targets.get(id).cloned();
         let is_sudden = record.as_ref().is_some_and(|record| !record.is_draining);
-        self.ended += u64::from(is_sudden);
+        self.unexpected_exits += u64::from(is_sudden);
         self.drop_entry(id);
         let member = record.filter(|record| !record.is_draining && record.membership.is_some());
         if let Some(member) = member {
@@ -315,7 +315,7 @@
     /// Uses entries again that gave way to ones which are gone, and returns whether there were any.
     ///
     /// A node that has just started may take a target's successor for its predecessor.
-    fn give_back(&mut self, now: Moment) -> bool {
+    fn restore_replaced(&mut self, now: Moment) -> bool {
         let is_listed = |address: &str| {
             let mut seen = self.seen.get(address).into_iter().flatten();
             seen.any(|id| self.at_address(id, address).is_some())
@@ -325,12 +325,12 @@
             .filter(|record| !is_listed(&record.address))
             .map(|record| record.id.clone())
             .collect();
-        self.vacant.retain(|id, _| vacant.contains(id));
+        self.address_free_since.retain(|id, _| vacant.contains(id));
         for id in vacant {
-            self.vacant.entry(id).or_insert(now);
+            self.address_free_since.entry(id).or_insert(now);
         }
-        let due = self.vacant.iter();
-        let due = due.filter(|(_, since)| now >= **since + VACANT_TIME);
+        let due = self.address_free_since.iter();
+        let due = due.filter(|(_, since)| now >= **since + RESTORE_DELAY);
         let due: Vec<TargetId> = due.map(|(id, _)| id.clone()).collect();
         for id in &due {
             if let Some(record) = self.replaced.swap_remove(id) {
@@ -342,7 +342,7 @@
 
     fn drop_entry(&mut self, id: &TargetId) {
         self.targets.swap_remove(id);
-        self.lapsed.swap_remove(id);
+        self.removal_due.swap_remove(id);
         self.unlisted.swap_remove(id);
         self.replaced.swap_remove(id);
     }
@@ -363,18 +363,18 @@
     /// Returns whether anything changes by time alone.
     ///
     /// ```
-    /// use briarswitch_core::target::TargetBook;
+    /// use briarswitch_core::target::TargetCache;
     ///
-    /// assert!(!TargetBook::default().is_pending());
+    /// assert!(!TargetCache::default().is_pending());
     /// ```
     pub fn is_pending(&self) -> bool {
-        !self.lapsed.is_empty() || !self.replaced.is_empty()
+        !self.removal_due.is_empty() || !self.replaced.is_empty()
     }
 
     /// Drops entries that were not put back in time, and returns whether anything has changed.
     pub fn expire(&mut self, now: Moment) -> bool {
         let due: Vec<TargetId> = self
-            .lapsed
+            .removal_due
             .iter()
             .filter(|(_, until)| now >= **until)
             .map(|(id, _)| id.clone())
@@ -382,7 +382,7 @@
         for id in &due {
             self.apply(TargetChange::Removed(id.clone()), None);
         }
-        let is_given_back = self.give_back(now);
+        let is_given_back = self.restore_replaced(now);
         !due.is_empty() || is_given_back
     }
 }
--- a/crates/core/src/vm.rs
+++ b/crates/core/src/vm.rs
@@ -4,7 +4,7 @@
 
 /// What the platform says of a machine's future.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum VmStanding {
+pub enum VmStatus {
     /// The machine is there to be used.
     Live,
     /// The machine is going away and takes no new work.
@@ -29,7 +29,7 @@
     /// Accelerators the machine carries.
     pub accelerators: u32,
     /// What the platform says of its future.
-    pub standing: VmStanding,
+    pub status: VmStatus,
 }
 
 /// An availability zone and the nodes configured in it.
--- a/crates/core/tests/exchange.rs
+++ b/crates/core/tests/exchange.rs
@@ -5,7 +5,7 @@
 use briarswitch_core::engine::{EngineModel, ModelSpec};
 use briarswitch_core::exchange::{plan_exchange, ExchangeTerms};
 use briarswitch_core::id::*;
-use briarswitch_core::layout::{DomainLayout, DomainStock};
+use briarswitch_core::layout::{DomainInventory, DomainLayout};
 use googletest::prelude::*;
 use indexmap::IndexMap;
 
@@ -40,14 +40,14 @@
     }
 }
 
-fn stock(holders: &[[usize; 2]]) -> Vec<DomainStock> {
+fn stock(holders: &[[usize; 2]]) -> Vec<DomainInventory> {
     let domains = holders.iter().enumerate();
-    let domains = domains.map(|(index, [large, small])| DomainStock {
+    let domains = domains.map(|(index, [large, small])| DomainInventory {
         domain: format!("d{index}"),
         zone: format!("z{}", index / 2),
         holders: IndexMap::from([(LARGE.to_owned(), *large), (SMALL.to_owned(), *small)]),
         empty: 0,
-        shows_loads: true,
+        reports_loads: true,
     });
     domains.collect()
 }
@@ -62,7 +62,7 @@
 
 fn plan(
     sizes: [usize; 2],
-    domains: &[DomainStock],
+    domains: &[DomainInventory],
     rates: [f64; 2],
 ) -> IndexMap<DomainId, DomainLayout> {
     plan_exchange(ExchangeTerms {
@@ -78,7 +78,7 @@
 }
 
 /// Returns how many targets a plan moves.
-fn moved(domains: &[DomainStock], layouts: &IndexMap<DomainId, DomainLayout>) -> usize {
+fn moved(domains: &[DomainInventory], layouts: &IndexMap<DomainId, DomainLayout>) -> usize {
     let moved = domains.iter().map(|domain| {
         let before = domain.holders.get(SMALL).copied().unwrap_or(0);
         held(&layouts[&domain.domain], SMALL).abs_diff(before)
@@ -177,7 +177,7 @@
 /// A fleet whose callers swing between two models; what is loaded serves after the time of a load.
 struct SwingPlay {
     sizes: [usize; 2],
-    domains: Vec<DomainStock>,
+    domains: Vec<DomainInventory>,
     trend: [f64; 2],
     /// Second, domain, and the model left and taken, of each load under way.
     loads: Vec<(u64, usize, usize)>,
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -9,7 +9,7 @@
     has_room, pick_group, place_share, GroupLoad, NodeWeight, PlaceTerms,
 };
 use briarswitch_core::target::{
-    LapseWindow, Membership, MembershipState, TargetBook, TargetChange, TargetRecord,
+    Membership, MembershipState, RecoveryWindow, TargetCache, TargetChange, TargetRecord,
 };
 use googletest::prelude::*;
 use rand::rngs::StdRng;
@@ -223,7 +223,7 @@
 #[gtest]
 fn a_lapsed_entry_is_kept_for_its_time_and_stays_if_it_is_put_back() {
     let at = Duration::from_millis;
-    let mut book = TargetBook::default();
+    let mut book = TargetCache::default();
     for id in ["a", "b", "c"] {
         book.apply(TargetChange::Put(Box::new(record(id))), None);
     }
@@ -249,7 +249,7 @@
 #[gtest]
 fn a_removal_after_the_return_is_a_departure() {
     let at = Duration::from_millis;
-    let mut window = LapseWindow::default();
+    let mut window = RecoveryWindow::default();
     expect_that!(window.keep_until(at(1_000)), none());
     window.note_failure();
     window.note_answer(at(23_600));
@@ -278,7 +278,7 @@
 /// Cause: what the directory listed no more was forgotten, whether it answered or not.
 #[gtest]
 fn a_member_whose_entry_is_gone_is_known_as_long_as_its_group() {
-    let mut book = TargetBook::default();
+    let mut book = TargetCache::default();
     let removed = |id: &str| TargetChange::Removed(id.to_owned());
     for (rank, id) in ["head", "cut", "foreign", "leaving"]
         .into_iter()
@@ -291,15 +291,15 @@
         book.apply(TargetChange::Put(Box::new(listed)), None);
     }
     book.apply(TargetChange::Put(Box::new(record("single"))), None);
-    book.apply(TargetChange::Withdrawn("foreign".to_owned()), None);
+    book.apply(TargetChange::Unreadable("foreign".to_owned()), None);
     for id in ["cut", "leaving", "single"] {
         book.apply(removed(id), None);
     }
-    book.forget_ended();
+    book.prune_unlisted();
     let unlisted: Vec<&TargetId> = book.unlisted().keys().collect();
     expect_that!(unlisted, elements_are![eq(&"cut")]);
     expect_that!(book.targets().len(), eq(1));
     book.apply(removed("head"), None);
-    book.forget_ended();
+    book.prune_unlisted();
     expect_that!(book.unlisted().len(), eq(0));
 }
--- a/crates/core/tests/layout.rs
+++ b/crates/core/tests/layout.rs
@@ -4,7 +4,7 @@
 
 use briarswitch_core::engine::{EngineModel, ModelSpec};
 use briarswitch_core::id::*;
-use briarswitch_core::layout::{plan_layout, DomainLayout, DomainStock, LayoutPhase};
+use briarswitch_core::layout::{plan_layout, DomainInventory, DomainLayout, LayoutPhase};
 use googletest::prelude::*;
 use indexmap::IndexMap;
 
@@ -32,18 +32,18 @@
     }
 }
 
-fn domains(targets: usize) -> Vec<DomainStock> {
+fn domains(targets: usize) -> Vec<DomainInventory> {
     let names = ZONES.iter().flat_map(|zone| [(zone, 0), (zone, 1)]);
-    let stock = names.map(|(zone, index)| DomainStock {
+    let stock = names.map(|(zone, index)| DomainInventory {
         domain: format!("{zone}{index}"),
         zone: (*zone).to_owned(),
         empty: targets,
-        ..DomainStock::default()
+        ..DomainInventory::default()
     });
     stock.collect()
 }
 
-fn start(sizes: [usize; 2], stock: &[DomainStock]) -> IndexMap<DomainId, DomainLayout> {
+fn start(sizes: [usize; 2], stock: &[DomainInventory]) -> IndexMap<DomainId, DomainLayout> {
     plan_layout(&engine(sizes), &IndexMap::new(), stock, LayoutPhase::Start)
 }
 
--- a/crates/core/tests/losses.rs
+++ b/crates/core/tests/losses.rs
@@ -4,7 +4,7 @@
 
 use briarswitch_core::engine::{EngineModel, ModelSpec};
 use briarswitch_core::id::*;
-use briarswitch_core::layout::{plan_layout, DomainLayout, DomainStock, LayoutPhase};
+use briarswitch_core::layout::{plan_layout, DomainInventory, DomainLayout, LayoutPhase};
 use googletest::prelude::*;
 use indexmap::IndexMap;
 use rand::rngs::StdRng;
@@ -91,13 +91,13 @@
         }
     }
 
-    fn stock(&self) -> Vec<DomainStock> {
+    fn stock(&self) -> Vec<DomainInventory> {
         let names = ZONES.iter().flat_map(|zone| [(zone, 0), (zone, 1)]);
-        let stock = names.map(|(zone, index)| DomainStock {
+        let stock = names.map(|(zone, index)| DomainInventory {
             domain: format!("{zone}{index}"),
             zone: (*zone).to_owned(),
             empty: self.targets,
-            ..DomainStock::default()
+            ..DomainInventory::default()
         });
         stock.collect()
     }
@@ -143,11 +143,11 @@
 struct LossPlay {
     rng: StdRng,
     case: FleetCase,
-    stock: Vec<DomainStock>,
+    stock: Vec<DomainInventory>,
     policy: StartPolicy,
     loads: Vec<LoadRun>,
     coming: Vec<ComingTarget>,
-    dark: Option<DomainStock>,
+    dark: Option<DomainInventory>,
 }
 
 impl LossPlay {
@@ -278,7 +278,7 @@
         }
         if second == DARK_TIME.start {
             let index = self.rng.random_range(0..self.stock.len());
-            let emptied = DomainStock {
+            let emptied = DomainInventory {
                 holders: IndexMap::new(),
                 empty: 0,
                 ..self.stock[index].clone()
--- a/crates/core/tests/properties.rs
+++ b/crates/core/tests/properties.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use briarswitch_core::lease::{LeaseAnswer, LeaseWrite};
+use briarswitch_core::lease::{LeaseWrite, LeaseWriteResult};
 use briarswitch_core::prelude::*;
 use briarswitch_core::stream::EventScanner;
 use briarswitch_core::watch::watchers;
@@ -44,13 +44,13 @@
 }
 
 impl LeaseTable {
-    fn apply(&mut self, write: &LeaseWrite) -> LeaseAnswer {
+    fn apply(&mut self, write: &LeaseWrite) -> LeaseWriteResult {
         if write.expected != self.version {
-            return LeaseAnswer::Conflict;
+            return LeaseWriteResult::Conflict;
         }
         self.version += 1;
         self.row = Some(write.record.clone());
-        LeaseAnswer::Written(self.version)
+        LeaseWriteResult::Written(self.version)
     }
 }
 
@@ -66,12 +66,12 @@
             renew: Duration::from_millis(1500),
         };
         let mut keepers = [
-            LeaseKeeper::open("a".to_owned(), 1, timing),
-            LeaseKeeper::open("b".to_owned(), 1, timing),
+            LeaseClient::new("a".to_owned(), 1, timing),
+            LeaseClient::new("b".to_owned(), 1, timing),
         ];
         let mut table = LeaseTable::default();
         let mut sent: [Option<LeaseWrite>; 2] = [None, None];
-        let mut answers: [Option<LeaseAnswer>; 2] = [None, None];
+        let mut answers: [Option<LeaseWriteResult>; 2] = [None, None];
         let mut late: Vec<LeaseWrite> = Vec::new();
         let mut now = Duration::from_secs(100);
         let mut writes = 0;
@@ -89,13 +89,13 @@
                 }
                 LeaseEvent::Answer(node) => {
                     if let Some(answer) = answers[node].take() {
-                        keepers[node].answer(answer, now);
+                        keepers[node].record_result(answer, now);
                     }
                 }
                 LeaseEvent::Lose(node) => {
                     let was_sent = sent[node].take();
                     if was_sent.is_some() || answers[node].take().is_some() {
-                        keepers[node].answer(LeaseAnswer::Lost, now);
+                        keepers[node].record_result(LeaseWriteResult::Lost, now);
                     }
                     late.extend(was_sent);
                 }
@@ -199,7 +199,7 @@
     /// Every plan is safe whatever the fleet looks like.
     #[test]
     fn plans_are_safe(fleet in fleets(), millis in 0..10_000_u64) {
-        let planner = GroupPlanner::open(Duration::from_secs(60), Duration::from_secs(1));
+        let planner = GroupPlanner::new(Duration::from_secs(60), Duration::from_secs(1));
         let steps = planner.plan(&fleet, Duration::from_millis(millis) + Duration::from_secs(100));
         check_plan(&fleet, &steps)?;
     }
@@ -288,10 +288,10 @@
         address: String::new(),
         incarnation: 1,
         accelerators: 2,
-        standing: if is_leaving && condition == 1 {
-            VmStanding::Leaving
+        status: if is_leaving && condition == 1 {
+            VmStatus::Leaving
         } else {
-            VmStanding::Live
+            VmStatus::Live
         },
     };
     let group_id = format!("group-{domain}-{group}");
@@ -347,7 +347,7 @@
                 spans_domains,
                 ..
             } => (members, Vec::new(), *spans_domains),
-            PlanStep::Mend { group, members, .. } => {
+            PlanStep::Repair { group, members, .. } => {
                 *touched.entry(group.clone()).or_insert(0) += 1;
                 (members, fleet.groups[group].members.clone(), false)
             }
@@ -406,7 +406,7 @@
         (1, 0, false, 9),
     ];
     let fleet = build_fleet(&machines, 1, false, false, 10);
-    let planner = GroupPlanner::open(Duration::from_secs(60), Duration::from_secs(1));
+    let planner = GroupPlanner::new(Duration::from_secs(60), Duration::from_secs(1));
     let first = planner.plan(&fleet, Duration::from_secs(100));
     assert_eq!(first, planner.plan(&fleet, Duration::from_secs(100)));
     assert_eq!(first.len(), 2);
--- a/crates/core/tests/staging.rs
+++ b/crates/core/tests/staging.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use briarswitch_core::assembly::{DomainKeeper, DomainView, TargetFacts, TargetStanding};
+use briarswitch_core::assembly::{DomainReconciler, DomainView, TargetFacts, TargetStatus};
 use briarswitch_core::engine::{EngineModel, ModelSpec};
 use briarswitch_core::id::*;
 use briarswitch_core::layout::DomainLayout;
@@ -16,7 +16,7 @@
 
 /// One domain whose targets do as they are told at once; only loads take until they are let go on.
 struct DomainWorld {
-    keeper: DomainKeeper,
+    keeper: DomainReconciler,
     engine: EngineModel,
     layout: DomainLayout,
     targets: IndexMap<TargetId, TargetFacts>,
@@ -38,7 +38,7 @@
             (id.to_owned(), spec)
         });
         let mut world = Self {
-            keeper: DomainKeeper::open("n1"),
+            keeper: DomainReconciler::new("n1"),
             engine: EngineModel {
                 models: IndexMap::from(models),
                 ..EngineModel::default()
@@ -51,7 +51,7 @@
         for index in 0..8 {
             let facts = TargetFacts {
                 incarnation: 1,
-                standing: TargetStanding::Live,
+                status: TargetStatus::Live,
                 membership: None,
                 model: None,
                 staged: vec![LARGE.to_owned()],
@@ -76,7 +76,7 @@
             layout: &self.layout,
             loading: &self.loading,
             load_budget: 8,
-            joins_load: false,
+            may_load_on_join: false,
             epoch_floor: 1,
         };
         let orders = self.keeper.plan(view, self.now);
--- a/crates/core/tests/target_book.rs
+++ b/crates/core/tests/target_book.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use briarswitch_core::target::{TargetBook, TargetChange, TargetRecord};
+use briarswitch_core::target::{TargetCache, TargetChange, TargetRecord};
 use googletest::prelude::*;
 
 /// Longer than any entry stays unused that gave way to one which is gone.
@@ -32,15 +32,15 @@
     TargetChange::Removed(id.to_owned())
 }
 
-fn book(changes: impl IntoIterator<Item = TargetChange>) -> TargetBook {
-    let mut book = TargetBook::default();
+fn book(changes: impl IntoIterator<Item = TargetChange>) -> TargetCache {
+    let mut book = TargetCache::default();
     for change in changes {
         book.apply(change, None);
     }
     book
 }
 
-fn used(book: &TargetBook) -> Vec<&str> {
+fn used(book: &TargetCache) -> Vec<&str> {
     book.targets().keys().map(String::as_str).collect()
 }
 
@@ -49,7 +49,7 @@
 fn an_ended_target_gives_way_to_the_one_at_its_address() {
     let book = book([entry("old"), entry("new")]);
     expect_that!(used(&book), elements_are![eq(&"new")]);
-    expect_that!(book.ended(), eq(1));
+    expect_that!(book.unexpected_exits(), eq(1));
 }
 
 /// Guards against an entry that an ended target's last call writes again after its successor has come.
@@ -84,7 +84,7 @@
 /// Guards against a whole list whose order would make an ended target the later one.
 #[gtest]
 fn of_a_whole_list_the_entry_written_last_has_the_address() {
-    let mut book = TargetBook::default();
+    let mut book = TargetCache::default();
     book.replace(vec![entry("old"), entry("new")], None);
     expect_that!(used(&book), elements_are![eq(&"new")]);
 }
--- a/crates/fleet/src/census.rs
+++ b/crates/fleet/src/census.rs
@@ -1,6 +1,6 @@
 //! How many targets of a domain are in which state.
 
-use briarswitch_core::assembly::{TargetFacts, TargetStanding};
+use briarswitch_core::assembly::{TargetFacts, TargetStatus};
 use briarswitch_core::id::{ModelId, TargetId};
 use briarswitch_core::layout::DomainLayout;
 use briarswitch_core::target::MembershipState;
@@ -25,11 +25,11 @@
     pub fn of(targets: &IndexMap<TargetId, TargetFacts>, layout: &DomainLayout) -> Self {
         let mut census = Self::default();
         for facts in targets.values() {
-            match facts.standing {
-                TargetStanding::Live => census.live += 1,
-                TargetStanding::Silent => census.silent += 1,
-                TargetStanding::Draining => census.draining += 1,
-                TargetStanding::Unlisted => census.unlisted += 1,
+            match facts.status {
+                TargetStatus::Live => census.live += 1,
+                TargetStatus::Silent => census.silent += 1,
+                TargetStatus::Draining => census.draining += 1,
+                TargetStatus::Unlisted => census.unlisted += 1,
             }
             let held = facts.membership.as_ref();
             let is_open = held.is_some_and(|held| held.state == MembershipState::Open);
@@ -37,7 +37,7 @@
                 *census.open.entry(model.clone()).or_insert(0) += 1;
             }
             census.grouped += usize::from(held.is_some());
-            let is_free = held.is_none() && facts.standing == TargetStanding::Live;
+            let is_free = held.is_none() && facts.status == TargetStatus::Live;
             let mut staged = facts.staged.iter();
             match staged.rfind(|model| layout.holders.contains_key(*model)) {
                 _ if !is_free => {}
--- a/crates/fleet/src/controller.rs
+++ b/crates/fleet/src/controller.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use briarswitch_core::assembly::{
-    DomainKeeper, DomainView, HeldWeights, TargetFacts, TargetStanding,
+    DomainReconciler, DomainView, HeldWeights, TargetFacts, TargetStatus,
 };
 use briarswitch_core::engine::EngineModel;
 use briarswitch_core::id::*;
@@ -59,7 +59,7 @@
 pub struct GroupController {
     shared: Arc<FleetShared>,
     tracker: TargetTracker,
-    keepers: IndexMap<DomainKey, DomainKeeper>,
+    keepers: IndexMap<DomainKey, DomainReconciler>,
     census: IndexMap<DomainKey, DomainCensus>,
     loads: IndexMap<TargetId, ModelId>,
     layouts: IndexMap<ServiceId, ServiceLayouts>,
@@ -259,7 +259,7 @@
                 staged: &facts.staged,
                 loading,
             };
-            (facts.standing == TargetStanding::Live).then_some(StockItem { weights, ..listed })
+            (facts.status == TargetStatus::Live).then_some(StockItem { weights, ..listed })
         });
         items.collect()
     }
@@ -295,7 +295,8 @@
                     "{}-{incarnation:x}-{hash:x}-{since:x}",
                     self.shared.settings.node
                 );
-                self.keepers.insert(key.clone(), DomainKeeper::open(prefix));
+                self.keepers
+                    .insert(key.clone(), DomainReconciler::new(prefix));
             }
         }
     }
@@ -390,11 +391,11 @@
             layout,
             loading: &self.loads,
             load_budget,
-            joins_load,
+            may_load_on_join: joins_load,
             epoch_floor: self.shared.platform.clock.millis(),
         };
         let orders = keeper.plan(view, now);
-        for target in keeper.take_doubtful() {
+        for target in keeper.take_stale_candidates() {
             self.tracker.hasten(&target, now);
         }
         for order in orders {
@@ -422,7 +423,7 @@
     fn count_loads(&self) {
         let mut loading: IndexMap<ModelId, u32> = IndexMap::new();
         let tracked = self.tracker.targets().values();
-        let live = tracked.filter(|tracked| tracked.facts.standing != TargetStanding::Silent);
+        let live = tracked.filter(|tracked| tracked.facts.status != TargetStatus::Silent);
         for tracked in live {
             let facts = &tracked.facts;
             let held = facts.membership.as_ref();
@@ -545,7 +546,7 @@
         OrderResult::Begun => "begun",
         OrderResult::Held => "held",
         OrderResult::Conflict => "conflict",
-        OrderResult::Gone => "gone",
+        OrderResult::OtherIncarnation => "gone",
         OrderResult::Refused => "refused",
         OrderResult::Lost => "lost",
     }
@@ -593,7 +594,7 @@
                 "group": held.map(|held| &held.group),
                 "rank": held.map(|held| held.rank),
                 "state": held.map(|held| format!("{:?}", held.state)),
-                "standing": format!("{:?}", tracked.facts.standing),
+                "standing": format!("{:?}", tracked.facts.status),
                 "staged": tracked.facts.staged,
                 "sequence": tracked.facts.sequence,
             })
--- a/crates/fleet/src/domains.rs
+++ b/crates/fleet/src/domains.rs
@@ -3,7 +3,7 @@
 use briarswitch_core::assembly::HeldWeights;
 use briarswitch_core::engine::EngineModel;
 use briarswitch_core::id::{DomainId, ModelId, ZoneId};
-use briarswitch_core::layout::DomainStock;
+use briarswitch_core::layout::DomainInventory;
 use briarswitch_core::target::TargetRecord;
 use indexmap::IndexMap;
 
@@ -63,17 +63,17 @@
     domains: &IndexMap<&DomainId, &ZoneId>,
     items: &[StockItem<'_>],
     is_own: impl Fn(&DomainId) -> bool,
-) -> Vec<DomainStock> {
+) -> Vec<DomainInventory> {
     let stock = domains.iter().map(|(domain, zone)| {
-        let stock = DomainStock {
+        let stock = DomainInventory {
             domain: (*domain).clone(),
             zone: (*zone).clone(),
-            shows_loads: is_own(domain),
-            ..DomainStock::default()
+            reports_loads: is_own(domain),
+            ..DomainInventory::default()
         };
         (*domain, stock)
     });
-    let mut stock: IndexMap<&DomainId, DomainStock> = stock.collect();
+    let mut stock: IndexMap<&DomainId, DomainInventory> = stock.collect();
     for item in items {
         let Some(stock) = stock.get_mut(item.domain) else {
             continue;
--- a/crates/fleet/src/fleet_host.rs
+++ b/crates/fleet/src/fleet_host.rs
@@ -67,7 +67,7 @@
     fn end_count(&self) -> EndCount {
         let directory = self.directory.load();
         EndCount {
-            ends: directory.book.ended(),
+            ends: directory.book.unexpected_exits(),
             targets: directory.book.targets().len(),
         }
     }
--- a/crates/fleet/src/keeper.rs
+++ b/crates/fleet/src/keeper.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use briarswitch_core::id::Moment;
-use briarswitch_core::target::LapseWindow;
+use briarswitch_core::target::RecoveryWindow;
 use briarswitch_core::traffic::TrafficBook;
 use briarswitch_kernel::{Service, ServiceLink};
 use serde_json::{json, Value};
@@ -253,7 +253,7 @@
     era: Option<u64>,
     view: DirectoryView,
     health: SourceHealth,
-    window: LapseWindow,
+    window: RecoveryWindow,
     is_expiring: bool,
 }
 
@@ -276,7 +276,7 @@
             era: None,
             view: DirectoryView::default(),
             health: SourceHealth::default(),
-            window: LapseWindow::default(),
+            window: RecoveryWindow::default(),
             is_expiring: false,
         }
     }
@@ -336,7 +336,7 @@
     }
 
     fn publish(&mut self) {
-        self.view.book.forget_ended();
+        self.view.book.prune_unlisted();
         self.shared.directory.publish(self.view.clone());
         self.shared.rebuild_table();
     }
--- a/crates/fleet/src/layouts.rs
+++ b/crates/fleet/src/layouts.rs
@@ -5,7 +5,7 @@
 use briarswitch_core::engine::EngineModel;
 use briarswitch_core::exchange::{plan_exchange, ExchangeTerms};
 use briarswitch_core::id::*;
-use briarswitch_core::layout::{plan_layout, DomainLayout, DomainStock, LayoutPhase};
+use briarswitch_core::layout::{plan_layout, DomainInventory, DomainLayout, LayoutPhase};
 use indexmap::IndexMap;
 
 /// Time between two decisions on what all domains should hold.
@@ -27,7 +27,7 @@
     /// Models.
     pub engine: &'a EngineModel,
     /// What each domain holds.
-    pub stock: &'a [DomainStock],
+    pub stock: &'a [DomainInventory],
     /// Groups that each model's callers fill now.
     pub demand: &'a IndexMap<ModelId, f64>,
     /// The same over a longer time, if weights may be exchanged.
@@ -83,7 +83,7 @@
     /// Before the first caller only the number of targets counts, and the search takes tens of milliseconds at
     /// 12,000 of them, so it is made again only when that changes.
     pub fn renew(self, basis: LayoutBasis<'_>) -> Self {
-        let targets: Vec<usize> = basis.stock.iter().map(DomainStock::targets).collect();
+        let targets: Vec<usize> = basis.stock.iter().map(DomainInventory::targets).collect();
         if basis.is_start && self.start_of.as_ref() == Some(&targets) {
             return Self {
                 planned: basis.now,
--- a/crates/fleet/src/shared.rs
+++ b/crates/fleet/src/shared.rs
@@ -6,7 +6,7 @@
 
 use briarswitch_core::id::*;
 use briarswitch_core::placement::NodeWeight;
-use briarswitch_core::target::TargetBook;
+use briarswitch_core::target::TargetCache;
 use briarswitch_core::traffic::TrafficBook;
 use briarswitch_kernel::{BootClock, Snapshot};
 use briarswitch_membership::{LiveView, Membership, WorkSum};
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct DirectoryView {
     /// Targets.
-    pub book: TargetBook,
+    pub book: TargetCache,
     /// Whether it was ever read.
     pub is_listed: bool,
 }
--- a/crates/fleet/src/table.rs
+++ b/crates/fleet/src/table.rs
@@ -4,7 +4,7 @@
 
 use briarswitch_core::engine::EngineModel;
 use briarswitch_core::id::*;
-use briarswitch_core::target::{Membership, MembershipState, TargetBook, TargetRecord};
+use briarswitch_core::target::{Membership, MembershipState, TargetCache, TargetRecord};
 use briarswitch_core::traffic::TrafficBook;
 use indexmap::{IndexMap, IndexSet};
 use rustc_hash::FxBuildHasher;
@@ -56,7 +56,7 @@
     /// Builds the table that follows the one before.
     pub fn build(
         book: &TrafficBook,
-        targets: &TargetBook,
+        targets: &TargetCache,
         before: &Self,
         gauges: &GaugeBoard,
     ) -> Self {
@@ -125,7 +125,7 @@
 /// Returns the members whose entries are gone, of groups that were whole before.
 ///
 /// A node that has not itself seen every member under the group's name and epoch sends nothing there.
-fn unlisted_members<'a>(targets: &'a TargetBook, before: &TargetTable) -> MemberMap<'a> {
+fn unlisted_members<'a>(targets: &'a TargetCache, before: &TargetTable) -> MemberMap<'a> {
     let unlisted = targets.unlisted();
     if unlisted.is_empty() {
         return MemberMap::default();
--- a/crates/fleet/src/tracker.rs
+++ b/crates/fleet/src/tracker.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use briarswitch_core::assembly::{TargetFacts, TargetStanding};
+use briarswitch_core::assembly::{TargetFacts, TargetStatus};
 use briarswitch_core::engine::EngineModel;
 use briarswitch_core::id::*;
 use briarswitch_core::order::{OrderResult, TargetAction, TargetOrder};
@@ -69,7 +69,7 @@
         Self {
             facts: TargetFacts {
                 incarnation: record.incarnation,
-                standing: TargetStanding::Live,
+                status: TargetStatus::Live,
                 membership: None,
                 model: None,
                 staged: record.staged.clone(),
@@ -98,15 +98,15 @@
         self.next = self.next.min(at);
     }
 
-    fn standing(&self) -> TargetStanding {
+    fn standing(&self) -> TargetStatus {
         if self.is_replaced || self.failures >= SILENT_AFTER {
-            TargetStanding::Silent
+            TargetStatus::Silent
         } else if !self.is_listed {
-            TargetStanding::Unlisted
+            TargetStatus::Unlisted
         } else if self.record.is_draining {
-            TargetStanding::Draining
+            TargetStatus::Draining
         } else {
-            TargetStanding::Live
+            TargetStatus::Live
         }
     }
 }
@@ -158,7 +158,7 @@
                     tracked.hasten(now);
                 }
             }
-            tracked.facts.standing = tracked.standing();
+            tracked.facts.status = tracked.standing();
         }
         self.targets.retain(|id, _| known.contains(id.as_str()));
     }
@@ -222,8 +222,8 @@
                 }
             }
         }
-        tracked.facts.standing = tracked.standing();
-        before != TargetStanding::Silent && tracked.facts.standing == TargetStanding::Silent
+        tracked.facts.status = tracked.standing();
+        before != TargetStatus::Silent && tracked.facts.status == TargetStatus::Silent
     }
 
     /// Takes in what became of an order.
@@ -231,7 +231,8 @@
         let Some(tracked) = self.targets.get_mut(&order.target) else {
             return;
         };
-        if result == OrderResult::Gone && order.incarnation == tracked.facts.incarnation {
+        if result == OrderResult::OtherIncarnation && order.incarnation == tracked.facts.incarnation
+        {
             tracked.replace("order_misdirected");
             return;
         }
@@ -311,7 +312,7 @@
             log::warn!(target_id = self.record.id.as_str(), proof = proof; "target_replaced");
         }
         self.is_replaced = true;
-        self.facts.standing = self.standing();
+        self.facts.status = self.standing();
     }
 
     /// Forgets what was known of a life that has ended.
--- a/crates/fleet/tests/assembly.rs
+++ b/crates/fleet/tests/assembly.rs
@@ -10,13 +10,13 @@
 use std::sync::LazyLock;
 use std::time::Duration;
 
-use briarswitch_core::assembly::{DomainKeeper, DomainView, TargetFacts, TargetStanding};
+use briarswitch_core::assembly::{DomainReconciler, DomainView, TargetFacts, TargetStatus};
 use briarswitch_core::engine::{EngineModel, ModelSpec};
 use briarswitch_core::id::*;
 use briarswitch_core::layout::DomainLayout;
 use briarswitch_core::order::{OrderResult, TargetAction, TargetOrder};
 use briarswitch_core::target::{
-    Membership, MembershipState, TargetBook, TargetChange, TargetRecord,
+    Membership, MembershipState, TargetCache, TargetChange, TargetRecord,
 };
 use briarswitch_fleet::ports::{ReportError, TargetReport};
 use briarswitch_fleet::tracker::TargetTracker;
@@ -113,8 +113,8 @@
 
 struct Controller {
     tracker: TargetTracker,
-    keeper: DomainKeeper,
-    book: TargetBook,
+    keeper: DomainReconciler,
+    book: TargetCache,
     loads: IndexMap<TargetId, ModelId>,
     cut: Vec<TargetId>,
 }
@@ -169,8 +169,8 @@
     fn open(seed: u64, naming: Naming, asking: Asking) -> Self {
         let controllers = ["a", "b"].map(|name| Controller {
             tracker: TargetTracker::default(),
-            keeper: DomainKeeper::open(format!("{name}-{seed}")),
-            book: TargetBook::default(),
+            keeper: DomainReconciler::new(format!("{name}-{seed}")),
+            book: TargetCache::default(),
             loads: IndexMap::new(),
             cut: Vec::new(),
         });
@@ -405,7 +405,7 @@
                 .map(|record| TargetChange::Put(Box::new(record)));
             controller.book.replace(listed.collect(), None);
             controller.book.expire(now);
-            controller.book.forget_ended();
+            controller.book.prune_unlisted();
             let listed = controller.book.targets().values().map(AsRef::as_ref);
             let unlisted = controller.book.unlisted().values().map(AsRef::as_ref);
             controller.tracker.sync(listed, unlisted, now);
@@ -452,11 +452,11 @@
             layout: &layout,
             loading: &controller.loads,
             load_budget: SIZE,
-            joins_load: false,
+            may_load_on_join: false,
             epoch_floor: self.now.as_millis() as Epoch,
         };
         let orders = controller.keeper.plan(view, self.now);
-        for target in controller.keeper.take_doubtful() {
+        for target in controller.keeper.take_stale_candidates() {
             controller.tracker.hasten(&target, self.now);
         }
         orders
@@ -518,7 +518,7 @@
         if !self.targets.contains_key(&order.target) {
             let address = &self.addresses[&order.target];
             return match self.at_address(address) {
-                Some(_) => OrderResult::Gone,
+                Some(_) => OrderResult::OtherIncarnation,
                 None => OrderResult::Lost,
             };
         }
@@ -738,7 +738,7 @@
         Asking::Steady => (TARGETS, 0),
         Asking::Swinging => {
             let live = facts.values();
-            let live = live.filter(|facts| facts.standing == TargetStanding::Live);
+            let live = live.filter(|facts| facts.status == TargetStatus::Live);
             let live = live.count();
             let is_small_asked = (now.as_millis() / SWING.as_millis()) % 2 == 1;
             let small = if is_small_asked { live / 4 * 2 } else { 0 };
--- a/crates/fleet/tests/order_sender.rs
+++ b/crates/fleet/tests/order_sender.rs
@@ -100,7 +100,7 @@
         OrderResult::Begun,
         OrderResult::Held,
         OrderResult::Conflict,
-        OrderResult::Gone,
+        OrderResult::OtherIncarnation,
         OrderResult::Refused,
     ] {
         let target = ScriptedTarget::open([answer]);
--- a/crates/fleet/tests/tracker.rs
+++ b/crates/fleet/tests/tracker.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use briarswitch_core::assembly::TargetStanding;
+use briarswitch_core::assembly::TargetStatus;
 use briarswitch_core::engine::EngineModel;
 use briarswitch_core::id::*;
 use briarswitch_core::order::{OrderResult, TargetAction, TargetOrder};
@@ -100,8 +100,8 @@
         self.tracker.note_order(&order, result, self.now);
     }
 
-    fn standing(&self) -> TargetStanding {
-        self.tracker.targets()[TARGET].facts.standing
+    fn standing(&self) -> TargetStatus {
+        self.tracker.targets()[TARGET].facts.status
     }
 }
 
@@ -112,9 +112,9 @@
     let mut stub = TrackerStub::open();
     expect_true!(stub.is_asked());
     stub.report(0);
-    expect_that!(stub.standing(), eq(TargetStanding::Live));
-    stub.order(OrderResult::Gone);
-    expect_that!(stub.standing(), eq(TargetStanding::Silent));
+    expect_that!(stub.standing(), eq(TargetStatus::Live));
+    stub.order(OrderResult::OtherIncarnation);
+    expect_that!(stub.standing(), eq(TargetStatus::Silent));
     expect_false!(stub.ask_later(Duration::from_secs(10)));
 }
 
@@ -126,7 +126,7 @@
     stub.report(3);
     expect_true!(stub.ask_later(Duration::from_secs(1)));
     stub.report(0);
-    expect_that!(stub.standing(), eq(TargetStanding::Silent));
+    expect_that!(stub.standing(), eq(TargetStatus::Silent));
 }
 
 /// Guards against a live target that is given up for a report that lags behind the one before.
@@ -137,7 +137,7 @@
     stub.report(3);
     expect_true!(stub.ask_later(Duration::from_millis(100)));
     stub.report(2);
-    expect_that!(stub.standing(), eq(TargetStanding::Live));
+    expect_that!(stub.standing(), eq(TargetStatus::Live));
 }
 
 /// Guards against a live target that stays given up although it writes its entry.
@@ -146,11 +146,11 @@
     let mut stub = TrackerStub::open();
     expect_true!(stub.is_asked());
     stub.report(0);
-    stub.order(OrderResult::Gone);
+    stub.order(OrderResult::OtherIncarnation);
     stub.list(&TargetRecord {
         slots: 2,
         ..record()
     });
-    expect_that!(stub.standing(), eq(TargetStanding::Live));
+    expect_that!(stub.standing(), eq(TargetStatus::Live));
     expect_true!(stub.ask_later(Duration::from_secs(1)));
 }
--- a/crates/model/src/lease.rs
+++ b/crates/model/src/lease.rs
@@ -1,12 +1,14 @@
 //! Two nodes contest one lease; the holder orders an engine.
 //!
-//! The nodes run the real [`LeaseKeeper`]. The store applies writes late, loses answers, or both;
+//! The nodes run the real [`LeaseClient`]. The store applies writes late, loses answers, or both;
 //! a pause is a node that takes no step while time passes; orders to engines that check fencing numbers may be held up for ever, those
 //! to engines that ignore them for as long as the transport bound.
 
 use std::time::Duration;
 
-use briarswitch_core::lease::{LeaseAnswer, LeaseKeeper, LeaseRecord, LeaseTiming, LeaseWrite};
+use briarswitch_core::lease::{
+    LeaseClient, LeaseRecord, LeaseTiming, LeaseWrite, LeaseWriteResult,
+};
 
 use crate::search::{Specification, Step};
 
@@ -59,14 +61,14 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 enum Flight {
     Sent(LeaseWrite),
-    Done(LeaseAnswer),
+    Done(LeaseWriteResult),
 }
 
 /// State of the contest.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct LeaseState {
     now: u64,
-    keepers: [LeaseKeeper; 2],
+    keepers: [LeaseClient; 2],
     flights: [Option<Flight>; 2],
     late: Vec<LeaseWrite>,
     /// Epoch and end of the lease as a defective holder counts it.
@@ -161,8 +163,10 @@
         if let Some(Flight::Done(answer)) = &state.flights[node] {
             let mut next = state.clone();
             next.flights[node] = None;
-            next.keepers[node].answer(answer.clone(), ticks(state.now));
-            if let (LeaseAnswer::Written(_), Some(record)) = (answer, next.keepers[node].record()) {
+            next.keepers[node].record_result(answer.clone(), ticks(state.now));
+            if let (LeaseWriteResult::Written(_), Some(record)) =
+                (answer, next.keepers[node].record())
+            {
                 next.beliefs[node] = Some((record.epoch, state.now + DURATION - MARGIN));
             }
             self.note_hold(&mut next, node);
@@ -181,7 +185,7 @@
         let mut next = state.clone();
         next.faults_left -= 1;
         next.flights[node] = None;
-        next.keepers[node].answer(LeaseAnswer::Lost, ticks(state.now));
+        next.keepers[node].record_result(LeaseWriteResult::Lost, ticks(state.now));
         if let Flight::Sent(write) = flight {
             next.late.push(write.clone());
         }
@@ -276,8 +280,8 @@
         LeaseState {
             now: 0,
             keepers: [
-                LeaseKeeper::open("a".to_owned(), 1, timing(first)),
-                LeaseKeeper::open("b".to_owned(), 1, timing(second)),
+                LeaseClient::new("a".to_owned(), 1, timing(first)),
+                LeaseClient::new("b".to_owned(), 1, timing(second)),
             ],
             flights: [None, None],
             late: Vec::new(),
@@ -339,13 +343,13 @@
     }
 }
 
-fn apply(state: &mut LeaseState, write: &LeaseWrite) -> LeaseAnswer {
+fn apply(state: &mut LeaseState, write: &LeaseWrite) -> LeaseWriteResult {
     if state.version != write.expected {
-        return LeaseAnswer::Conflict;
+        return LeaseWriteResult::Conflict;
     }
     state.version += 1;
     state.row = Some(write.record.clone());
-    LeaseAnswer::Written(state.version)
+    LeaseWriteResult::Written(state.version)
 }
 
 fn ticks(count: u64) -> Duration {
--- a/crates/node/src/caller.rs
+++ b/crates/node/src/caller.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use briarswitch_core::mint::MintedKey;
+use briarswitch_core::minted_key::MintedKey;
 use briarswitch_core::prefix::PrefixChain;
 use briarswitch_core::prelude::*;
 use briarswitch_core::print::{PrintParts, RequestPrint};
--- a/crates/node/src/controller.rs
+++ b/crates/node/src/controller.rs
@@ -96,7 +96,7 @@
         let control = settings.control;
         Self {
             lease: LeaseTender::open(settings, shared.incarnation),
-            planner: GroupPlanner::open(control.load_time, control.member_grace),
+            planner: GroupPlanner::new(control.load_time, control.member_grace),
             client: CallerClient::open(Codec::Json, None),
             reign: None,
             counts: ReignCounts::default(),
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
 
 use briarswitch_core::limit::RateShare;
-use briarswitch_core::mint::MintedKey;
+use briarswitch_core::minted_key::MintedKey;
 use briarswitch_core::prelude::*;
 use briarswitch_core::print::RequestPrint;
 use briarswitch_fleet::run::{RunReports, TargetRun};
@@ -59,7 +59,7 @@
     claims: ClaimWriter,
     suspects: Arc<NodeSuspects>,
     reports: RunReports,
-    keys: Arc<Mutex<ClaimBook>>,
+    keys: Arc<Mutex<ClaimCache>>,
     budget: Mutex<RetryBudget>,
     gates: RwLock<HashMap<DeploymentId, Arc<DeploymentGate>>>,
     rates: Mutex<HashMap<OrganisationId, (u32, RateShare)>>,
@@ -92,7 +92,7 @@
             claims,
             suspects,
             reports,
-            keys: Arc::new(Mutex::new(ClaimBook::open(settings.keys, KEY_MEMORY))),
+            keys: Arc::new(Mutex::new(ClaimCache::new(settings.keys, KEY_MEMORY))),
             budget: Mutex::new(RetryBudget::open(
                 settings.retry_permille,
                 settings.retry_burst,
@@ -262,7 +262,7 @@
         }
     }
 
-    fn lock_keys(&self) -> std::sync::MutexGuard<'_, ClaimBook> {
+    fn lock_keys(&self) -> std::sync::MutexGuard<'_, ClaimCache> {
         self.keys.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use briarswitch_core::mint::MintedKey;
+use briarswitch_core::minted_key::MintedKey;
 use briarswitch_core::prelude::*;
 use briarswitch_http::{
     read_body, stream_body, whole_body, Body, Response, SendFailure, TargetAddress, TargetBody,
--- a/crates/node/src/lease.rs
+++ b/crates/node/src/lease.rs
@@ -1,6 +1,6 @@
 //! Keeps the zone's lease row: which call to the table is due, and what its answer means.
 
-use briarswitch_core::lease::{LeaseAnswer, LeaseWrite};
+use briarswitch_core::lease::{LeaseWrite, LeaseWriteResult};
 use briarswitch_core::prelude::*;
 use briarswitch_platform::{StoreError, TransactBuilder};
 use briarswitch_wire::platform::{
@@ -26,7 +26,7 @@
 /// One node's dealings with its zone's lease row, one call at a time.
 #[derive(Clone, Debug)]
 pub struct LeaseTender {
-    keeper: LeaseKeeper,
+    keeper: LeaseClient,
     node: NodeId,
     zone: ZoneId,
     incarnation: Incarnation,
@@ -41,7 +41,7 @@
     /// Opens a tender that holds nothing.
     pub fn open(settings: &NodeSettings, incarnation: Incarnation) -> Self {
         Self {
-            keeper: LeaseKeeper::open(settings.node.clone(), incarnation, settings.lease),
+            keeper: LeaseClient::new(settings.node.clone(), incarnation, settings.lease),
             node: settings.node.clone(),
             zone: settings.zone.clone(),
             incarnation,
@@ -80,7 +80,7 @@
         }
         let pause = self.timing.duration / READS_PER_LEASE;
         let is_due = self.keeper.epoch(now).is_none() && now >= self.last_read + pause;
-        if !is_due && !self.keeper.is_unsettled() {
+        if !is_due && !self.keeper.needs_read() {
             return None;
         }
         self.is_busy = true;
@@ -110,12 +110,12 @@
         self.is_busy = false;
         let answer = match result {
             Ok(TransactReply::Committed { versions }) => {
-                LeaseAnswer::Written(versions.first().copied().unwrap_or_default())
+                LeaseWriteResult::Written(versions.first().copied().unwrap_or_default())
             }
-            Ok(TransactReply::Conflict { .. }) => LeaseAnswer::Conflict,
-            Err(_) => LeaseAnswer::Lost,
+            Ok(TransactReply::Conflict { .. }) => LeaseWriteResult::Conflict,
+            Err(_) => LeaseWriteResult::Lost,
         };
-        self.keeper.answer(answer, now);
+        self.keeper.record_result(answer, now);
     }
 
     /// Gives the lease up for good and returns the write that tells the others, if it was held.
--- a/crates/node/src/reign.rs
+++ b/crates/node/src/reign.rs
@@ -190,7 +190,7 @@
                 claim_members(&group, &group.members, changes);
                 changes.rows.push(RowChange::Group(group));
             }
-            PlanStep::Mend { group, members, .. } => {
+            PlanStep::Repair { group, members, .. } => {
                 if let Some(row) = self.groups.get(group) {
                     let group = row.value.clone();
                     self.mend(&group, members, changes);
--- a/crates/node/src/routes.rs
+++ b/crates/node/src/routes.rs
@@ -148,7 +148,7 @@
             if !is_ready {
                 continue;
             }
-            let is_leaving = vm.standing == VmStanding::Leaving || leaving(&vm.id, vm.incarnation);
+            let is_leaving = vm.status == VmStatus::Leaving || leaving(&vm.id, vm.incarnation);
             let target = Target {
                 id: format!("{}@{}", vm.id, vm.incarnation),
                 label: vm.id.clone(),
--- a/crates/node/src/steps.rs
+++ b/crates/node/src/steps.rs
@@ -6,7 +6,7 @@
 /// Returns the loads of weights that a step may begin.
 pub fn loads_of(step: &PlanStep) -> usize {
     match step {
-        PlanStep::Form { members, .. } | PlanStep::Mend { members, .. } => members.len(),
+        PlanStep::Form { members, .. } | PlanStep::Repair { members, .. } => members.len(),
         PlanStep::Preload { .. } => 1,
         PlanStep::Dissolve { .. } => 0,
     }
@@ -32,7 +32,7 @@
             };
             format!("form {deployment} from {}{spans}: {reason}", names(members))
         }
-        PlanStep::Mend {
+        PlanStep::Repair {
             group,
             members,
             reason,
--- a/crates/node/src/trace.rs
+++ b/crates/node/src/trace.rs
@@ -34,7 +34,7 @@
 
 /// A key claimed for a request that is still going on.
 struct OpenKey {
-    book: Arc<Mutex<ClaimBook>>,
+    book: Arc<Mutex<ClaimCache>>,
     key: String,
 }
 
@@ -57,7 +57,7 @@
     }
 
     /// Notes the key claimed for the request; its outcome goes into the book.
-    pub fn hold_key(&mut self, book: &Arc<Mutex<ClaimBook>>, key: &str) {
+    pub fn hold_key(&mut self, book: &Arc<Mutex<ClaimCache>>, key: &str) {
         self.key = Some(OpenKey {
             book: Arc::clone(book),
             key: key.to_owned(),
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -136,7 +136,7 @@
 
     fn take_list(&mut self, vms: Vec<Vm>) {
         for vm in &vms {
-            if vm.standing == VmStanding::Leaving {
+            if vm.status == VmStatus::Leaving {
                 self.mark_leaving(&vm.id, vm.incarnation);
             }
         }
@@ -320,7 +320,7 @@
         let mut fleet = self.fleet.clone();
         for (vm, _) in leaving {
             if let Some(vm) = fleet.vms.get_mut(vm) {
-                vm.standing = VmStanding::Leaving;
+                vm.status = VmStatus::Leaving;
             }
         }
         self.shared.fleet.publish(fleet);
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -115,10 +115,10 @@
             address: doc.address,
             incarnation: doc.incarnation,
             accelerators: doc.accelerators,
-            standing: if doc.leaving {
-                VmStanding::Leaving
+            status: if doc.leaving {
+                VmStatus::Leaving
             } else {
-                VmStanding::Live
+                VmStatus::Live
             },
         }
     }
@@ -134,7 +134,7 @@
             address: vm.address,
             incarnation: vm.incarnation,
             accelerators: vm.accelerators,
-            leaving: vm.standing == VmStanding::Leaving,
+            leaving: vm.status == VmStatus::Leaving,
         }
     }
 }
