--- a/crates/core/examples/layout.rs
+++ b/crates/core/examples/layout.rs
@@ -1,4 +1,4 @@
-//! Time that one decision on what all domains should hold takes, by the number of targets.
+//! Measures the time to plan the layout of all domains by number of targets.
 //!
 //! Run with `cargo run --release -p briarswitch-core --example layout`.
 
@@ -9,11 +9,11 @@
 use briarswitch_core::layout::{plan_layout, DomainInventory, DomainLayout, LayoutPhase};
 use indexmap::IndexMap;
 
-/// Targets of a domain.
+/// Targets per domain.
 const DOMAIN_TARGETS: usize = 36;
-/// Targets for each zone.
+/// Targets per zone.
 const ZONE_TARGETS: usize = 360;
-/// Decisions that are timed.
+/// Number of timed runs.
 const TRIALS: usize = 5;
 
 fn engine() -> EngineModel {
@@ -45,7 +45,7 @@
     domains.collect()
 }
 
-/// Returns the stock after the layout was carried out and each tenth domain has a new target.
+/// Returns the inventory after the layout was carried out and every tenth domain got a new target.
 fn held(
     stock: &[DomainInventory],
     layouts: &IndexMap<DomainId, DomainLayout>,
--- a/crates/core/src/assembly.rs
+++ b/crates/core/src/assembly.rs
@@ -1,11 +1,11 @@
-//! Keeps the replica groups of one fabric domain whole, by conditional orders to targets.
+//! Maintains the replica groups of one fabric domain by sending conditional orders to its targets.
 //!
-//! Every order names the life of the target and the count of orders it has begun. The target is
-//! therefore the arbiter: of two controllers that saw the same state one is obeyed and the other is
-//! told to look again, and an order that arrives late is void once anything else has begun there.
-//! A target that restarts under its name counts anew, so that a late order may find the count it
-//! expects; orders to join are then barred by their epochs, which rise with the store's clock.
-//! No lease has to be waited out before a successor acts.
+//! Every order names the target's incarnation and the number of orders it has begun. The target
+//! therefore arbitrates: of two controllers that saw the same state, one is obeyed and the other
+//! has to read the state again, and a delayed order is void once anything else has begun there. A
+//! target that restarts under its name counts from zero, so that a delayed order may match its
+//! count; delayed joins are then rejected by their epochs, which increase with the store's clock. A
+//! successor can act without waiting for a lease to expire.
 
 use std::time::Duration;
 
@@ -25,80 +25,81 @@
 
 use observed::{incarnations_suffix, observe_groups, ObservedGroup};
 
-/// Time that members may be missing from a group that is being formed by somebody else.
+/// Time that members may be missing from a group that another controller is forming.
 ///
-/// A predecessor may have died between two orders to join; what it began is finished by nobody.
+/// A predecessor may have died between two join orders, in which case nobody completes its group.
 const FORMING_GRACE: Duration = Duration::from_millis(1_500);
-/// Time to join again for the model of the last group; engines keep its weights in place.
+/// Time to join again for the model of the previous group, whose weights the engine keeps loaded.
 const REJOIN_TIME: Duration = Duration::from_millis(200);
 
-/// Shortest time for which no group is formed after another controller came first.
+/// Minimum time without forming groups after another controller's order came first.
 ///
-/// Two controllers that begin again at the same moment refuse each other's orders for ever. The time
-/// doubles with each conflict in a row and is drawn differently by each.
+/// Two controllers that retry at the same moment would reject each other's orders indefinitely. The
+/// time doubles with each consecutive conflict and is randomised per controller.
 const MIN_CONFLICT_BACKOFF: Duration = Duration::from_millis(100);
-/// Conflicts in a row after which the pause grows no more.
+/// Consecutive conflicts after which the backoff stops growing.
 const MAX_COUNTED_CONFLICTS: u32 = 4;
 
-/// Whether a target can be counted on.
+/// Availability of a target.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum TargetStatus {
-    /// Answers, and asked for nothing else.
+    /// Responds and is not draining.
     Live,
-    /// Answers, and wants to leave.
+    /// Responds but has asked to leave.
     Draining,
-    /// Answers, though the directory lists it no more; it stays in its group and joins no other.
+    /// Responds but is no longer listed in the directory; it stays in its group and joins no other.
     Unlisted,
-    /// Has not answered lately.
+    /// Has not responded lately.
     Silent,
 }
 
-/// One target as its controller sees it.
+/// State of one target as known to its controller.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TargetFacts {
-    /// Life that the other facts are of.
+    /// Incarnation that the other fields describe.
     pub incarnation: Incarnation,
-    /// Whether it can be counted on.
+    /// Availability.
     pub status: TargetStatus,
-    /// Its group.
+    /// Membership in a group, if any.
     pub membership: Option<Membership>,
     /// Model of its group.
     pub model: Option<ModelId>,
-    /// Models on its host.
+    /// Models staged on its host.
     pub staged: Vec<ModelId>,
-    /// Orders it has begun, as of the same report as the membership.
+    /// Number of orders it has begun, from the same report as the membership.
     pub sequence: u64,
-    /// Whether an order is under way there.
+    /// Whether it is carrying out an order.
     pub is_busy: bool,
     /// Highest epoch it is known to have seen.
     pub epoch_seen: Epoch,
-    /// Whether it has reported so lately that nothing can have come of a restart since.
+    /// Whether its last report is so recent that a restart since then cannot have had any effect
+    /// yet.
     pub is_fresh: bool,
 }
 
-/// What the planner is told of the domain and of the rest of the fleet.
+/// Input of a planning round: the domain, and limits given by the rest of the fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct DomainView<'a> {
     /// Targets of the domain.
     pub targets: &'a IndexMap<TargetId, TargetFacts>,
-    /// Speeds and models.
+    /// Performance figures and models.
     pub engine: &'a EngineModel,
-    /// What the domain should hold.
+    /// Planned content of the domain.
     pub layout: &'a DomainLayout,
-    /// Weights that targets are loading, as far as this controller ordered it.
+    /// Weights that targets are loading on orders of this controller.
     pub loading: &'a IndexMap<TargetId, ModelId>,
-    /// Loads from the weight store that may begin now.
+    /// Number of loads from the weight store that may begin now.
     pub load_budget: usize,
-    /// Whether members may load while they join.
+    /// Whether members may load weights while joining.
     ///
-    /// Before the first caller that is the soonest way to serve. Later a target that loads for many
-    /// seconds would bind the others of its group, which could complete another one at once; it
-    /// loads first, and joins when it is needed.
+    /// Before the first request this is the fastest way to serve. Later, a target that loads for
+    /// many seconds would block the other members, which could complete another group immediately;
+    /// it loads first and joins when needed.
     pub may_load_on_join: bool,
-    /// Least epoch of a new group.
+    /// Minimum epoch of a new group.
     ///
-    /// It has to be higher than that of any order sent before, to whichever life and by whichever
-    /// controller, also where nobody is left who has seen that order's epoch.
+    /// Must exceed the epoch of any order sent before, to any incarnation and by any controller,
+    /// even if no target that has seen that epoch is left.
     pub epoch_floor: Epoch,
 }
 
@@ -107,11 +108,11 @@
     epoch: Epoch,
     model: ModelId,
     members: Vec<TargetId>,
-    /// Life of each member and the orders that it had begun when it was chosen.
+    /// Incarnation and order count of each member when it was chosen.
     expected: Vec<(Incarnation, u64)>,
 }
 
-/// The controller's memory of one domain.
+/// A controller's state for one domain.
 #[derive(Clone, Debug)]
 pub struct DomainReconciler {
     name_prefix: String,
@@ -124,14 +125,14 @@
     has_new_conflict: bool,
     backoff_until: Moment,
     dissolving: IndexMap<GroupId, TargetId>,
-    /// Groups that are being closed because their targets hold another model's weights by now.
+    /// Groups being closed because their targets now hold another model's weights.
     reassigning: IndexSet<GroupId>,
     released: IndexSet<GroupId>,
     last_model: IndexMap<TargetId, LastModel>,
     stale_candidates: IndexSet<TargetId>,
 }
 
-/// Model of the last group that a life of a target was in.
+/// Model of the last group of one incarnation of a target.
 #[derive(Clone, Debug)]
 struct LastModel {
     incarnation: Incarnation,
@@ -145,10 +146,10 @@
 }
 
 impl DomainReconciler {
-    /// Opens a keeper whose group names begin with `prefix`.
+    /// Creates a reconciler whose group names begin with `prefix`.
     ///
-    /// The prefix has to differ between controllers and between the lives of one: a name used twice
-    /// with other members would let a late order put a target into a group it was not chosen for.
+    /// The prefix must be unique per controller and incarnation. If a name were reused with other
+    /// members, a delayed order could put a target into a group it was not chosen for.
     pub fn new(prefix: impl Into<String>) -> Self {
         Self {
             name_prefix: prefix.into(),
@@ -168,20 +169,20 @@
         }
     }
 
-    /// Returns the targets that have to report before they can be chosen, each once.
+    /// Takes the targets that must report again before they can be chosen.
     pub fn take_stale_candidates(&mut self) -> IndexSet<TargetId> {
         std::mem::take(&mut self.stale_candidates)
     }
 
-    /// Takes in that a target was asked for its state after its last order.
+    /// Records that a target has reported its state after its last order.
     pub fn note_report(&mut self, target: &str) {
         self.awaiting_report.swap_remove(target);
     }
 
-    /// Takes in what became of an order.
+    /// Processes the result of an order.
     ///
-    /// After anything but a clear acceptance the target has to report before it is ordered again,
-    /// so that the next order's condition rests on what it says and not on a guess.
+    /// Unless it was clearly accepted, the target must report before it gets another order, so that
+    /// the condition of that order is based on its actual state.
     pub fn note_result(&mut self, target: &str, result: OrderResult) {
         let Some(order) = self.in_flight.swap_remove(target) else {
             return;
@@ -191,13 +192,13 @@
             self.awaiting_report.insert(target.to_owned());
         }
         match order.action {
-            // Only when the first member has left can the others be taken as they are.
+            // The other members may only be reused once the leader has left.
             TargetAction::Leave { group, .. }
                 if is_accepted && self.dissolving.get(&group) == Some(&order.target) =>
             {
                 self.released.insert(group);
             }
-            // Without this member the group can not become whole; there is nothing to wait for.
+            // The group cannot be completed without this member, so there is nothing to wait for.
             TargetAction::Join { group, .. } if !is_accepted && result != OrderResult::Lost => {
                 self.incomplete_since.insert(group, Moment::ZERO);
                 self.has_new_conflict = result == OrderResult::Conflict;
@@ -228,8 +229,9 @@
             if let Some(count) = wanted.get_mut(&candidate.model) {
                 *count -= 1;
             }
-            // Chosen by what an ended life last said, a target that restarted under its name could be
-            // taken out of the group that another controller has since put it into.
+            // The last report may be of an earlier incarnation. If a target has restarted under its
+            // name since, an order based on that report could take it out of a group that another
+            // controller has put it into.
             let members = candidate.members.iter();
             let stale = members.filter(|id| !view.targets[*id].is_fresh);
             let stale: Vec<TargetId> = stale.cloned().collect();
@@ -315,7 +317,7 @@
         let head = seen.members.get(&0);
         let is_head_silent = head.is_some_and(|id| view.targets[id].status == TargetStatus::Silent);
         let Some(head) = head.filter(|_| !is_head_silent) else {
-            // A first member that is not there may still be joining.
+            // A missing leader may still be joining.
             if !is_head_silent && self.may_complete(group, now) {
                 return Vec::new();
             }
@@ -336,7 +338,8 @@
         let next = if state == MembershipState::Broken {
             Some(leave("head_broken"))
         } else if view.targets[head].status == TargetStatus::Unlisted {
-            // Were its members taken without its word, an order to open that is held up could still reach it.
+            // If its members were reused before it has left, a delayed order to open could still
+            // reach it.
             Some(leave("head_unlisted"))
         } else if !seen.is_complete(view, is_served) {
             let is_lost = seen
@@ -400,11 +403,12 @@
         }
     }
 
-    /// Repeats orders to join that were not answered and, by the target's report, not carried out.
+    /// Repeats join orders that were not answered and, according to the target's report, not
+    /// executed.
     ///
-    /// The same order on the same condition takes effect at most once, and only if nothing else has
-    /// begun at the target since. On a newer condition it could bring a target back into a group that
-    /// it was ordered out of, whose other members are already taken.
+    /// The same order with the same condition is executed at most once, and only if nothing else
+    /// has begun at the target since. With a newer condition it could return a target to a group it
+    /// was ordered to leave and whose other members have already been reused.
     fn retry_joins(&self, view: &DomainView<'_>, orders: &[TargetOrder]) -> Vec<TargetOrder> {
         let mut again = Vec::new();
         for (group, forming) in &self.forming {
@@ -432,7 +436,7 @@
         again
     }
 
-    /// Returns whether a group that is not whole may still become so.
+    /// Returns whether an incomplete group may still be completed.
     fn may_complete(&mut self, group: &GroupId, now: Moment) -> bool {
         let is_ordered = self
             .in_flight
@@ -442,10 +446,10 @@
         is_ordered || now < since + FORMING_GRACE
     }
 
-    /// Orders every member out of a group whose first member can not be asked.
+    /// Orders all members to leave a group whose leader is unreachable.
     ///
-    /// Were they told to join elsewhere at once, a first member that is only out of reach would
-    /// still count them as its own. Once one of them has left, that first member can do no work.
+    /// If they were told to join another group right away, a leader that is merely cut off would
+    /// still count them as members. Once one of them has left, that leader cannot do any work.
     fn disband(
         &mut self,
         group: &GroupId,
@@ -539,7 +543,7 @@
         models.find_map(|model| self.candidate(model, free, view, budget))
     }
 
-    /// Returns the members of the next group of a model, those first that can serve soonest.
+    /// Chooses the members of the next group of a model, preferring those that can serve soonest.
     fn candidate(
         &self,
         model: &ModelSpec,
@@ -547,7 +551,7 @@
         view: &DomainView<'_>,
         budget: usize,
     ) -> Option<Candidate> {
-        // One that is loading would keep the others of its group waiting.
+        // A target that is loading would make the rest of its group wait.
         let idle = free.iter().filter(|id| !view.targets[*id].is_busy);
         let mut ranked: Vec<(Duration, &TargetId)> = idle
             .map(|id| (self.join_time(id, model, view), id))
@@ -555,7 +559,8 @@
         if ranked.len() < model.size || model.size == 0 {
             return None;
         }
-        // One that has another model's weights would be missing there, though it could join soonest.
+        // Targets with another model's weights come last: that model needs them, even if they could
+        // join sooner.
         ranked.sort_by_key(|(time, id)| (view.next_model(id) != Some(&model.id), *time));
         ranked.truncate(model.size);
         let loading = ranked.iter().filter(|(time, _)| *time >= model.load_time);
--- a/crates/core/src/assembly/observed.rs
+++ b/crates/core/src/assembly/observed.rs
@@ -1,4 +1,4 @@
-//! The groups of a domain, as its targets tell of them.
+//! Groups of a domain as reported by its targets.
 
 use indexmap::IndexMap;
 use xxhash_rust::xxh3::xxh3_64;
@@ -7,23 +7,24 @@
 use crate::id::{Epoch, GroupId, Incarnation, ModelId, TargetId};
 use crate::target::Membership;
 
-/// Most sets of members that are looked at where targets claim the same places.
+/// Limit on the member combinations tried when several targets claim the same ranks.
 const MAX_MEMBER_SETS: usize = 64;
 
-/// One group.
+/// One group as reported by its members.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ObservedGroup {
     pub(super) epoch: Epoch,
     pub(super) model: Option<ModelId>,
-    /// Members by rank, in its order.
+    /// Members by rank, sorted.
     pub(super) members: IndexMap<usize, TargetId>,
 }
 
 impl ObservedGroup {
-    /// Returns whether every rank is taken by a target that answers, at one epoch.
+    /// Returns whether every rank is held by a responding target, all at the same epoch.
     ///
-    /// Only a group that serves already keeps a member that the directory does not list. Its moves to other groups
-    /// are not heard of, so a group that is opened on what it said last may open without it.
+    /// A member that the directory does not list only counts in a group that already serves. The
+    /// controller does not learn when it moves to another group, so a group opened on the basis of
+    /// its last report might open without it.
     pub(super) fn is_complete(&self, view: &DomainView<'_>, is_served: bool) -> bool {
         let model = self.model.as_ref();
         let Some(model) = model.and_then(|id| view.engine.models.get(id)) else {
@@ -43,16 +44,16 @@
         })
     }
 
-    /// Returns whether the members are of the lives that were chosen.
+    /// Returns whether the members are the incarnations that were chosen.
     pub(super) fn has_chosen_incarnations(&self, group: &str, view: &DomainView<'_>) -> bool {
         name_matches(group, self.members.values(), view)
     }
 }
 
-/// Targets that say they have one place of a group, by rank.
+/// Targets that claim each rank of a group.
 type RankClaims = IndexMap<usize, Vec<TargetId>>;
 
-/// Returns the groups in which the targets of a domain say they are, in the order of their names.
+/// Returns the groups that the targets of a domain report to be in, sorted by name.
 pub(super) fn observe_groups(view: &DomainView<'_>) -> IndexMap<GroupId, ObservedGroup> {
     let mut members: IndexMap<&GroupId, Vec<(&TargetId, &Membership)>> = IndexMap::new();
     for (id, facts) in view.targets {
@@ -87,9 +88,10 @@
 
 /// Returns the member of each rank.
 ///
-/// A target that has ended passes for live while another one answers at its address, and says what that one
-/// is. Of two that claim one place the group's name tells which was chosen; taken for a member, the ended one
-/// would make a group look other than it was formed, and it would be ended.
+/// A terminated target counts as live while another one answers at its address, and appears with
+/// that one's state. If two targets claim the same rank, the hash in the group's name tells which
+/// was chosen. If the terminated one were taken for the member, the group would seem to differ from
+/// the one formed and would be dissolved.
 fn members_of(
     group: &str,
     mut claims: RankClaims,
@@ -113,12 +115,13 @@
     ranks.zip(members.into_iter().cloned()).collect()
 }
 
-/// Returns the end of a group's name, which tells the lives of its members.
+/// Returns the suffix of a group's name, a hash of its members' incarnations.
 ///
-/// An order to join that was held up can bring a target into a group for which an earlier life of it was
-/// chosen. The order that is sent next on what is believed of that earlier life may then find the count
-/// it expects, and take the target out of a group that serves. Every controller, also one that took over,
-/// sees by the name that such a group is not the one that was formed, and ends it instead of opening it.
+/// A delayed join order can bring a target into a group for which an earlier incarnation was
+/// chosen. The next order, based on what is known of that earlier incarnation, might then match the
+/// expected count and remove the target from a group that serves. From the name, every controller,
+/// including a successor, can tell that this is not the group that was formed, and dissolves it
+/// instead of opening it.
 pub(super) fn incarnations_suffix<'a>(
     lives: impl Iterator<Item = (&'a TargetId, Incarnation)>,
 ) -> String {
@@ -126,7 +129,7 @@
     format!("{:08x}", xxh3_64(list.join(" ").as_bytes()) as u32)
 }
 
-/// Returns whether a group's name tells the lives of these members, in order of rank.
+/// Returns whether a group's name was made for these incarnations, in order of rank.
 fn name_matches<'a>(
     group: &str,
     members: impl Iterator<Item = &'a TargetId>,
--- a/crates/core/src/assembly/staging.rs
+++ b/crates/core/src/assembly/staging.rs
@@ -1,4 +1,5 @@
-//! Which targets of a domain load which weights, and which groups are given up for another model's.
+//! Decides which targets of a domain load which weights, and which groups are reassigned to another
+//! model.
 
 use indexmap::IndexMap;
 
@@ -8,24 +9,25 @@
 use crate::order::{TargetAction, TargetOrder};
 use crate::target::{Membership, MembershipState};
 
-/// What is known of the weights at one target.
+/// Weights held or being loaded by one target.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HeldWeights<'a> {
-    /// Its group.
+    /// Membership in a group, if any.
     pub membership: Option<&'a Membership>,
     /// Model of its group.
     pub model: Option<&'a ModelId>,
-    /// Models on its host.
+    /// Models staged on its host.
     pub staged: &'a [ModelId],
     /// Model that it is loading.
     pub loading: Option<&'a ModelId>,
 }
 
 impl<'a> HeldWeights<'a> {
-    /// Returns the model that the target can serve next: the one it loads or has on its host, or else its group's.
+    /// Returns the model that the target can serve next: the one it is loading or has staged, or
+    /// else that of its group.
     ///
-    /// A member that has another model's weights on its host is on its way to that model. One that is still
-    /// joining brings its group's weights to its host by that.
+    /// A member with another model staged is about to move to that model. A member that is still
+    /// joining stages the weights of its group by doing so.
     ///
     /// ```
     /// use briarswitch_core::assembly::HeldWeights;
@@ -60,7 +62,7 @@
         held.next_model()
     }
 
-    /// Returns whether a target holds a model's weights, or will when it has loaded.
+    /// Returns whether a target holds a model's weights or will hold them after its current load.
     fn will_hold(&self, id: &TargetId, model: &ModelId) -> bool {
         match self.loading.get(id) {
             Some(loading) if self.targets[id].is_busy => loading == model,
@@ -68,18 +70,18 @@
         }
     }
 
-    /// Returns whether a target can join a group of a model without a load.
+    /// Returns whether a target can join a group of a model without loading weights.
     fn is_ready_for(&self, id: &TargetId, model: &ModelId) -> bool {
         let facts = &self.targets[id];
         !facts.is_busy && facts.staged.contains(model)
     }
 
-    /// Returns whether a target loads weights that somebody else ordered.
+    /// Returns whether a target is loading weights on another controller's order.
     fn has_foreign_load(&self, id: &TargetId) -> bool {
         self.targets[id].is_busy && !self.loading.contains_key(id)
     }
 
-    /// Returns whether a target's weights are of use in the domain as it should be.
+    /// Returns whether the domain's layout needs the weights that a target holds.
     fn has_useful_weights(&self, id: &TargetId) -> bool {
         let mut models = self.layout.holders.keys();
         models.any(|model| self.will_hold(id, model))
@@ -91,9 +93,10 @@
 }
 
 impl DomainReconciler {
-    /// Has targets load the weights that the domain lacks: free ones, then members of groups beyond need.
+    /// Orders targets to load the weights that the domain lacks: free targets first, then members
+    /// of surplus groups.
     ///
-    /// A member loads beside its work, and its group goes on serving.
+    /// A member loads in the background, and its group continues to serve.
     pub(super) fn stage(
         &self,
         free: &[TargetId],
@@ -112,7 +115,7 @@
                 let is_given = facts.membership.as_ref().is_some_and(|held| {
                     given.contains_key(&held.group) || self.reassigning.contains(&held.group)
                 });
-                // The weights on a member's host are of no use while its group stays.
+                // Weights staged on a member's host cannot be used while its group remains.
                 let held = if is_given {
                     view.next_model(id)
                 } else {
@@ -150,9 +153,9 @@
         self.order(id, action, reason, view)
     }
 
-    /// Returns the groups beyond those that the domain should hold, with their members.
+    /// Returns the groups beyond the number that the domain should have, with their members.
     ///
-    /// Those go first of which most members have other weights already.
+    /// Groups with the most members that already hold other weights come first.
     fn surplus_groups<'a>(
         &self,
         groups: &'a IndexMap<GroupId, ObservedGroup>,
@@ -160,7 +163,7 @@
     ) -> IndexMap<&'a GroupId, Vec<&'a TargetId>> {
         let mut givers = IndexMap::new();
         if view.may_load_on_join {
-            // Nobody is served yet, and what the domain should hold changes with each target that registers.
+            // Nobody is served yet, and the layout changes with each target that registers.
             return givers;
         }
         for model in view.engine.models.keys() {
@@ -186,10 +189,11 @@
         givers
     }
 
-    /// Gives up groups whose members, with the free targets, can serve a model that lacks groups.
+    /// Reassigns groups whose members, together with free targets, can serve a model that lacks
+    /// groups.
     ///
-    /// No group is given up while a member is still loading, for less than a whole group of the other model, or for
-    /// the few of its members that happen to have other weights.
+    /// A group is not reassigned while a member is still loading, if no complete group of the other
+    /// model would result, or if only a minority of its members holds the other weights.
     pub(super) fn reassign_surplus(
         &mut self,
         groups: &IndexMap<GroupId, ObservedGroup>,
@@ -226,7 +230,7 @@
     }
 }
 
-/// Returns whether a group is open and all its members can be counted on.
+/// Returns whether a group is open and all its members are live.
 fn is_serving(seen: &ObservedGroup, view: &DomainView<'_>) -> bool {
     let head = seen.members.get(&0).map(|id| &view.targets[id]);
     let held = head.and_then(|facts| facts.membership.as_ref());
@@ -237,7 +241,8 @@
             .all(|id| view.targets[id].status == TargetStatus::Live)
 }
 
-/// Takes up to `count` targets that hold a model's weights or load them out of a list; returns how many lack.
+/// Removes up to `count` targets that hold or are loading a model's weights from a list, and
+/// returns how many are still lacking.
 fn take_holders(
     idle: &mut Vec<&TargetId>,
     model: &ModelId,
@@ -254,7 +259,8 @@
     lacking
 }
 
-/// Takes up to `count` targets out of a list to load other weights, those first whose own are of no use.
+/// Removes up to `count` targets that can load other weights from a list, preferring those whose
+/// weights are not needed.
 fn take_movable<'a>(
     idle: &mut Vec<&'a TargetId>,
     count: usize,
@@ -268,7 +274,7 @@
     movable
 }
 
-/// Takes up to `count` members of groups beyond need out of a list to load a model's weights.
+/// Removes up to `count` members of surplus groups that can load a model's weights from a list.
 fn take_members<'a>(
     givers: &mut Vec<&'a TargetId>,
     model: &ModelId,
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -1,4 +1,4 @@
-//! Callers' idempotency keys, and what is known of the work done under each.
+//! Idempotency keys and the known state of the work under each.
 
 use std::time::Duration;
 
@@ -7,21 +7,21 @@
 use crate::id::Moment;
 use crate::outcome::Outcome;
 
-/// What this node knows of one key.
+/// What this node knows about one key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ClaimState {
-    /// The key was minted here and nothing was begun under it.
+    /// The key was issued by this node and no work has begun under it.
     Minted,
-    /// A request with this key is being worked on here.
+    /// This node is processing a request with this key.
     Open,
-    /// The work ended.
+    /// The work has ended.
     Settled(Outcome),
 }
 
-/// The keys this node has seen lately.
+/// Idempotency keys recently seen by this node.
 ///
-/// The book only spares table reads: a key that is not in it is still claimed in the table before
-/// any byte goes out, so forgetting an entry costs a read and never a second run.
+/// The cache only saves table reads. A key that is not cached is still claimed in the table before
+/// any byte is sent, so evicting an entry costs a read and never a second run.
 #[derive(Clone, Debug)]
 pub struct ClaimCache {
     capacity: usize,
@@ -30,7 +30,10 @@
 }
 
 impl ClaimCache {
-    /// Opens a book of at most `capacity` keys, each kept for `keep` after it settled.
+    /// Creates a cache for `capacity` keys.
+    ///
+    /// When it is full, keys that have not changed for `retention` are evicted, except those in
+    /// use.
     pub fn new(capacity: usize, keep: Duration) -> Self {
         Self {
             capacity,
@@ -39,7 +42,7 @@
         }
     }
 
-    /// Opens a key, or returns what is already known of it.
+    /// Begins work under a key, or returns the known state of the key.
     ///
     /// ```
     /// use briarswitch_core::prelude::*;
@@ -58,7 +61,7 @@
         None
     }
 
-    /// Adds a key minted here; false when there is no room.
+    /// Adds a key issued by this node; returns false if the cache is full.
     pub fn mint(&mut self, key: &str, now: Moment) -> bool {
         self.trim(now);
         let has_room = self.entries.len() < self.capacity;
@@ -69,8 +72,8 @@
         has_room
     }
 
-    /// Opens a key that was minted here, or returns what is known of it; a minted key that is not
-    /// in the book any more may have run.
+    /// Begins work under a key issued by this node, or returns the known state of the key. Work may
+    /// already have run under an issued key that is no longer cached.
     pub fn begin_minted(&mut self, key: &str, now: Moment) -> Option<ClaimState> {
         match self.entries.get_mut(key) {
             Some(entry) if entry.0 == ClaimState::Minted => {
@@ -82,31 +85,31 @@
         }
     }
 
-    /// Makes a minted key usable again, nothing having run under it.
+    /// Makes an issued key usable again after nothing has run under it.
     pub fn restore(&mut self, key: &str, now: Moment) {
         if let Some(entry) = self.entries.get_mut(key) {
             *entry = (ClaimState::Minted, now);
         }
     }
 
-    /// Records how the work under a key ended.
+    /// Records the outcome of the work under a key.
     pub fn settle(&mut self, key: &str, outcome: Outcome, now: Moment) {
         if let Some(entry) = self.entries.get_mut(key) {
             *entry = (ClaimState::Settled(outcome), now);
         }
     }
 
-    /// Forgets a key, so that it may be claimed anew.
+    /// Removes a key, so that it can be claimed again.
     pub fn forget(&mut self, key: &str) {
         self.entries.swap_remove(key);
     }
 
-    /// Returns the number of keys held.
+    /// Returns the number of cached keys.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Returns whether no key is held.
+    /// Returns whether no key is cached.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/core/src/coverage.rs
+++ b/crates/core/src/coverage.rs
@@ -1,39 +1,45 @@
-//! What a number of groups is worth to the callers of their model.
+//! Utility of a number of groups with respect to the demand for their model.
+//!
+//! The coverage of a model is the number of its groups relative to the number that its callers
+//! fill.
 
 use indexmap::IndexMap;
 
 use crate::engine::ModelSpec;
 use crate::id::ModelId;
 
-/// Cover that stands for none at all, in groups for each that the demand fills.
+/// Added to the coverage, so that the utility of no groups at all stays finite.
 const COVERAGE_OFFSET: f64 = 0.05;
 
-/// Returns what a model's cover weighs against another's: between its callers and the targets they fill.
+/// Returns the weight of a model's coverage relative to that of other models.
 ///
-/// A group of many targets takes the place of several small ones. Weighed by callers alone, a model whose groups
-/// take many targets is covered worst; weighed by targets, the callers who need least are. The geometric mean
-/// stands between both.
+/// A group of many targets takes the place of several small ones. Weighted by callers alone, a
+/// model with large groups would get the worst coverage; weighted by targets, the callers that need
+/// the fewest targets would. The geometric mean is a compromise.
 pub(crate) fn model_weight(demand: f64, size: usize) -> f64 {
     demand * (size as f64).sqrt()
 }
 
-/// Returns the worth of a number of groups, which are worth less the more of a model's demand is covered.
+/// Returns the utility of a number of groups; it grows more slowly the better the demand is
+/// covered.
 ///
-/// With the square, what a model lacks weighs more than what another has over: a model whose groups are
-/// just filled loses callers with each loss, one that has twice its need loses none.
+/// Because coverage is squared, a shortage of one model weighs more than a surplus of another: a
+/// model with just enough groups loses callers with each lost group, one with twice as many loses
+/// none.
 pub(crate) fn coverage_utility(groups: f64, demand: f64) -> f64 {
     let cover = groups / demand.max(f64::MIN_POSITIVE);
     -1.0 / (cover + COVERAGE_OFFSET).powi(2)
 }
 
-/// Returns how many groups each model's requests fill, by what was seen or, before that, declared.
+/// Returns the number of groups that each model's requests fill: as observed, or as declared while
+/// nothing has been observed.
 pub(crate) fn demand_by_model(models: &[&ModelSpec], demand: &IndexMap<ModelId, f64>) -> Vec<f64> {
     let seen = models.iter().map(|model| demand.get(&model.id).copied());
     let seen: Vec<f64> = seen.map(Option::unwrap_or_default).collect();
     if seen.iter().any(|rate| *rate > 0.0) {
         return seen;
     }
-    // The declared share is of the targets' work, so a model of large groups fills fewer of them.
+    // The declared share is that of the targets' work, so a model with large groups fills fewer.
     let declared = models.iter().map(|model| model.share / model.size as f64);
     declared.collect()
 }
--- a/crates/core/src/deployment.rs
+++ b/crates/core/src/deployment.rs
@@ -4,20 +4,20 @@
 use crate::fleet::PlanWeights;
 use crate::id::{DeploymentId, PoolId};
 
-/// What runs behind a deployment.
+/// Type of workload of a deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DeploymentKind {
     /// A model whose replicas span several machines of one fabric domain.
     Model {
         /// Machines in one replica.
         vms_per_replica: u32,
-        /// Replicas wanted in each availability zone.
+        /// Replicas required in each availability zone.
         replicas_per_zone: u32,
-        /// Whether the engines refuse orders with an old fencing number.
+        /// Whether the engines reject orders with an old fencing number.
         checks_fencing: bool,
         /// Whether a replica may span fabric domains.
         spans_domains: bool,
-        /// What the operator weighs.
+        /// Relative weights of downtime and of stranded accelerators.
         weights: PlanWeights,
     },
     /// A plain service; every live machine of the pool is a target.
@@ -27,20 +27,20 @@
 /// One deployment, as operators edit it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Deployment {
-    /// Name callers ask for.
+    /// Name used by callers.
     pub id: DeploymentId,
     /// Pool whose machines serve it.
     pub pool: PoolId,
-    /// What runs behind it.
+    /// Type of workload.
     pub kind: DeploymentKind,
-    /// Requests in flight that one target takes from one node.
+    /// Maximum requests in flight from one node to one target.
     pub target_in_flight: u32,
-    /// Rank when machines or places in the queue are short; a higher one goes first.
+    /// Precedence when machines or queue slots are scarce; higher values go first.
     pub priority: u8,
 }
 
 impl Deployment {
-    /// Checks the deployment and reports every fault under `place`.
+    /// Validates the deployment and reports every error under the path `place`.
     pub fn check(&self, place: &str) -> Vec<Finding> {
         let mut findings = Vec::new();
         if self.pool.is_empty() {
--- a/crates/core/src/draft.rs
+++ b/crates/core/src/draft.rs
@@ -1,4 +1,4 @@
-//! One round of the planner.
+//! One planning round.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -17,15 +17,15 @@
 struct BrokenGroup<'a> {
     group: &'a GroupRecord,
     priority: u8,
-    /// Members that stay.
+    /// Members that remain.
     kept: Vec<GroupMember>,
-    /// Whether every lost member has been gone for longer than patience allows.
+    /// Whether every lost member has been gone for longer than the replacement delay.
     is_overdue: bool,
     domain: DomainId,
     pool: PoolId,
 }
 
-/// One round of planning: what is still free, what was changed, and the steps so far.
+/// State of a planning round: machines that are still free, changed groups, and steps so far.
 pub(crate) struct PlanDraft<'a> {
     fleet: &'a FleetState,
     now: Moment,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Dissolves groups of deleted or changed deployments and those above the wanted number.
+    /// Dissolves groups of deleted or changed deployments and groups beyond the configured number.
     pub(crate) fn dissolve_surplus(&mut self) {
         let fleet = self.fleet;
         let mut counts: IndexMap<&DeploymentId, u32> = IndexMap::new();
@@ -84,13 +84,13 @@
         }
     }
 
-    /// Replaces lost members from free machines, and breaks groups up where none are free.
+    /// Replaces lost members by free machines, and breaks up groups where there are not enough.
     pub(crate) fn repair_broken(&mut self) {
         let mut broken: Vec<_> = active_groups(self.fleet)
             .filter(|group| !self.dissolved.contains(&group.id))
             .filter_map(|group| self.examine(group))
             .collect();
-        // The group that lacks least is whole again soonest for the loads it takes.
+        // Groups with the fewest missing members first: they are completed with the fewest loads.
         broken.sort_by_key(|group| {
             let lacking = group.group.members.len() - group.kept.len();
             (Reverse(group.priority), lacking)
@@ -130,7 +130,7 @@
         })
     }
 
-    /// Returns `None` for a member that stays, else whether it should be replaced by now.
+    /// Returns `None` for a member that remains, else whether it should be replaced by now.
     fn member_loss(&self, member: &GroupMember, facts: Option<&VmFacts>) -> Option<bool> {
         let Some(facts) = facts else {
             return Some(true);
@@ -149,7 +149,7 @@
         let lacking = broken.group.members.len() - broken.kept.len();
         let key = (broken.pool.clone(), broken.domain.clone());
         let warm = self.free.count_preloaded(&key, &broken.group.deployment);
-        // A spare that holds the weights already is worth more than any return awaited.
+        // Using a spare that already holds the weights is better than waiting for a lost machine.
         if !broken.is_overdue && warm < lacking {
             return false;
         }
@@ -172,8 +172,9 @@
         true
     }
 
-    /// Gives up a group that can not be mended where it stands when another fabric domain can hold a
-    /// whole new one, as when its own domain went dark; the new one is formed in the same round.
+    /// Dissolves a group that cannot be repaired in its fabric domain, for example after an outage
+    /// of the whole domain, if another domain has room for a complete new one. The new group is
+    /// formed in the same round.
     fn relocate(&mut self, broken: &BrokenGroup<'a>) -> bool {
         let size = broken.group.members.len();
         let is_elsewhere = self.free.best_fit(&broken.pool, size).is_some();
@@ -187,7 +188,8 @@
         true
     }
 
-    /// Loads weights on free machines, for the deployment of the pool that weighs downtime most.
+    /// Loads weights on free machines, for the deployment of the pool with the highest downtime
+    /// weight.
     pub(crate) fn preload_spares(&mut self) {
         let mut steps = Vec::new();
         for ((pool, _), vms) in self.free.by_domain() {
@@ -246,8 +248,8 @@
         None
     }
 
-    /// Dissolves the weakest broken group of a domain where that completes stronger ones, or a
-    /// group that nobody asked for.
+    /// In each domain, dissolves an expendable group, or else the weakest broken groups, so that
+    /// their machines can complete the strongest broken group.
     fn break_up(&mut self, waiting: Vec<BrokenGroup<'a>>) {
         let mut places: IndexMap<PoolDomain, Vec<BrokenGroup<'a>>> = IndexMap::new();
         for group in waiting.into_iter().filter(|group| group.is_overdue) {
@@ -282,7 +284,7 @@
         }
     }
 
-    /// Returns whether machines of the place are on their way to being free.
+    /// Returns whether machines of the pool in the domain are about to become free.
     fn is_releasing(&self, (pool, domain): &PoolDomain) -> bool {
         self.fleet
             .groups
@@ -295,8 +297,8 @@
             })
     }
 
-    /// Finds a whole group in the place that matters less than the broken one: one beyond its
-    /// deployment's wanted number, or one of a lower priority.
+    /// Finds a complete group in the domain that is less important than the broken one: it exceeds
+    /// the configured number of its deployment or has a lower priority.
     fn expendable_group(
         &self,
         (pool, domain): &PoolDomain,
@@ -322,7 +324,7 @@
             .map(|(_, group)| group.id.clone())
     }
 
-    /// Returns whether a step of this plan changes a group already.
+    /// Returns whether a step of this plan already changes the group.
     fn is_changed(&self, group: &GroupRecord) -> bool {
         self.dissolved.contains(&group.id) || self.repaired.contains(&group.id)
     }
@@ -335,7 +337,7 @@
             .is_some_and(|facts| facts.vm.pool == pool && facts.vm.domain == domain)
     }
 
-    /// Forms groups until each deployment has the number it wants.
+    /// Forms groups until each deployment has its configured number.
     pub(crate) fn form_wanted(&mut self) {
         for deployment in self.by_priority.clone() {
             let Some((size, wanted, _)) = replica_params(self.fleet, &deployment.id) else {
@@ -352,7 +354,8 @@
         }
     }
 
-    /// Forms groups beyond the wanted number where the operator weighs stranded accelerators more.
+    /// Forms groups beyond the configured number where stranded accelerators weigh more than
+    /// downtime.
     pub(crate) fn form_extra(&mut self) {
         for deployment in self.by_priority.clone() {
             let Some((size, wanted, weights)) = replica_params(self.fleet, &deployment.id) else {
@@ -406,7 +409,7 @@
         true
     }
 
-    /// Dissolves one group of a lower priority where its machines let a wanted group form.
+    /// Dissolves one group of lower priority if its machines allow a required group to form.
     fn preempt_for(&mut self, deployment: &Deployment, size: usize) {
         if size > self.load_budget {
             return;
@@ -475,7 +478,7 @@
     )
 }
 
-/// Returns whether free machines are better used than kept as spares.
+/// Returns whether free machines are better used in extra groups than kept as spares.
 fn prefers_extra(weights: PlanWeights) -> bool {
     weights.stranded > weights.downtime
 }
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What the planner looks at and what it asks for.
+//! Input and output of the group planner.
 
 use indexmap::IndexMap;
 
@@ -8,12 +8,12 @@
 use crate::id::{DeploymentId, GroupId, Moment, VmId};
 use crate::vm::{Vm, VmStatus};
 
-/// What an operator weighs for a deployment.
+/// Relative weights that an operator assigns to the outages of a deployment.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PlanWeights {
-    /// Weight of a second in which a wanted group cannot serve.
+    /// Weight of one second in which a required group cannot serve.
     pub downtime: u32,
-    /// Weight of a second in which an accelerator belongs to no working group.
+    /// Weight of one second in which an accelerator belongs to no working group.
     pub stranded: u32,
 }
 
@@ -29,19 +29,19 @@
 /// One machine as the controller sees it.
 #[derive(Clone, Debug)]
 pub struct VmFacts {
-    /// Machine as the platform lists it.
+    /// Machine as listed by the platform.
     pub vm: Vm,
-    /// Group that the table says it belongs to.
+    /// Group that has claimed it, according to the table.
     pub claimed: Option<GroupId>,
-    /// Newest report that is still good.
+    /// Latest report that has not expired.
     pub report: Option<MemberReport>,
-    /// When it was last known to be lost; `None` while it is seen.
+    /// When it was first found to be lost; `None` while it is reachable.
     pub lost_since: Option<Moment>,
 }
 
 impl VmFacts {
-    /// Returns whether the machine may be claimed: listed as live, in no group by the table, and
-    /// idle by its own report in its present life.
+    /// Returns whether the machine may be claimed: it is listed as live, belongs to no group in the
+    /// table, and its current incarnation reports itself as idle.
     pub fn is_free(&self) -> bool {
         let is_idle = self.report.as_ref().is_some_and(|report| {
             report.state == MemberState::Idle && report.incarnation == self.vm.incarnation
@@ -50,7 +50,7 @@
     }
 }
 
-/// What the planner looks at.
+/// State of one zone's fleet on which planning is based.
 #[derive(Clone, Debug, Default)]
 pub struct FleetState {
     /// Machines by name.
@@ -59,47 +59,47 @@
     pub groups: IndexMap<GroupId, GroupRecord>,
     /// Deployments by name.
     pub deployments: IndexMap<DeploymentId, Deployment>,
-    /// Loads of weights that may be begun now.
+    /// Number of weight loads that may begin now.
     pub load_budget: usize,
 }
 
-/// One thing for the controller to do.
+/// One step for the controller to carry out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum PlanStep {
-    /// Claims free machines for a new group.
+    /// Claim free machines for a new group.
     Form {
-        /// Deployment served.
+        /// Deployment to serve.
         deployment: DeploymentId,
         /// Members by rank.
         members: Vec<GroupMember>,
-        /// Whether they stand in several fabric domains.
+        /// Whether the members are in several fabric domains.
         spans_domains: bool,
-        /// Why.
+        /// Reason, for the logs.
         reason: String,
     },
-    /// Replaces members of a group and raises its generation.
+    /// Replace members of a group and increment its generation.
     Repair {
-        /// Group mended.
+        /// Group to repair.
         group: GroupId,
         /// Members by rank after the change.
         members: Vec<GroupMember>,
-        /// Why.
+        /// Reason, for the logs.
         reason: String,
     },
-    /// Loads weights on a free machine, so that it can stand in for a lost one at once.
+    /// Load weights on a free machine, so that it can replace a lost one immediately.
     Preload {
         /// Machine.
         vm: VmId,
-        /// Deployment whose weights it loads.
+        /// Deployment whose weights to load.
         deployment: DeploymentId,
-        /// Why.
+        /// Reason, for the logs.
         reason: String,
     },
-    /// Lets a group's machines go.
+    /// Release the machines of a group.
     Dissolve {
-        /// Group dissolved.
+        /// Group to dissolve.
         group: GroupId,
-        /// Why.
+        /// Reason, for the logs.
         reason: String,
     },
 }
--- a/crates/core/src/free_pool.rs
+++ b/crates/core/src/free_pool.rs
@@ -1,4 +1,4 @@
-//! The machines that one round of the planner may still use.
+//! Free machines that are still available in one planning round.
 
 use indexmap::IndexMap;
 
@@ -7,7 +7,7 @@
 use crate::id::{DomainId, PoolId};
 use crate::vm::Vm;
 
-/// Free machines of one pool in one fabric domain.
+/// A pool and a fabric domain.
 pub(crate) type PoolDomain = (PoolId, DomainId);
 
 /// Free machines by pool and fabric domain.
@@ -17,7 +17,7 @@
 }
 
 impl<'a> FreePool<'a> {
-    /// Opens the pool of every machine that may be claimed.
+    /// Collects all machines that may be claimed.
     pub(crate) fn new(fleet: &'a FleetState) -> Self {
         let mut places: IndexMap<PoolDomain, Vec<&Vm>> = IndexMap::new();
         for facts in fleet.vms.values().filter(|facts| facts.is_free()) {
@@ -30,19 +30,19 @@
         }
     }
 
-    /// Returns the free machines by place.
+    /// Returns the free machines by pool and domain.
     pub(crate) fn by_domain(&self) -> impl Iterator<Item = (&PoolDomain, &[&'a Vm])> {
         self.by_domain
             .iter()
             .map(|(key, vms)| (key, vms.as_slice()))
     }
 
-    /// Counts the free machines of a place.
+    /// Counts the free machines of a pool in a domain.
     pub(crate) fn count(&self, key: &PoolDomain) -> usize {
         self.by_domain.get(key).map_or(0, Vec::len)
     }
 
-    /// Counts the free machines of a place that hold a deployment's weights.
+    /// Counts the free machines of a pool in a domain that already hold a deployment's weights.
     pub(crate) fn count_preloaded(&self, key: &PoolDomain, deployment: &str) -> usize {
         let vms = self.by_domain.get(key).map_or(&[][..], Vec::as_slice);
         vms.iter()
@@ -50,8 +50,8 @@
             .count()
     }
 
-    /// Returns the domain with the fewest free machines that still fit, which keeps large runs of
-    /// free machines whole for large replicas.
+    /// Returns the domain with the fewest free machines that still fit (best fit), which leaves
+    /// domains with many free machines for large replicas.
     pub(crate) fn best_fit(&self, pool: &str, size: usize) -> Option<PoolDomain> {
         self.by_domain
             .iter()
@@ -60,7 +60,7 @@
             .map(|(key, _)| key.clone())
     }
 
-    /// Takes free machines, those that hold the deployment's weights first.
+    /// Takes free machines, preferring those that hold the deployment's weights.
     pub(crate) fn take(
         &mut self,
         key: &PoolDomain,
@@ -77,7 +77,7 @@
         Some(taken?.into_iter().map(member_of).collect())
     }
 
-    /// Takes free machines of a pool wherever they stand.
+    /// Takes free machines of a pool from any domains.
     pub(crate) fn take_across_domains(
         &mut self,
         pool: &str,
--- a/crates/core/src/group.rs
+++ b/crates/core/src/group.rs
@@ -1,15 +1,15 @@
-//! Replica groups as the table records them.
+//! Replica groups as recorded in the table.
 
 use crate::id::{DeploymentId, Epoch, Generation, GroupId, Incarnation, VmId};
 
-/// Stage of a group's life.
+/// Lifecycle state of a group.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum GroupState {
-    /// Its machines are claimed and being loaded.
+    /// Its machines are claimed and load weights.
     Forming,
-    /// Every member has reported the group and generation.
+    /// Every member has reported the current group and generation.
     Serving,
-    /// Its machines are being let go.
+    /// Its machines are being released.
     Dissolving,
 }
 
@@ -18,7 +18,7 @@
 pub struct GroupMember {
     /// Machine.
     pub vm: VmId,
-    /// Life of the machine that was claimed.
+    /// Incarnation of the machine when it was claimed.
     pub incarnation: Incarnation,
     /// Address as `ip:port`.
     pub address: String,
@@ -31,18 +31,18 @@
     pub id: GroupId,
     /// Deployment it serves.
     pub deployment: DeploymentId,
-    /// Rises by one whenever the members change.
+    /// Incremented whenever the members change.
     pub generation: Generation,
-    /// Members by rank; the first one takes requests.
+    /// Members by rank; the first one is the leader.
     pub members: Vec<GroupMember>,
-    /// Stage of its life.
+    /// Lifecycle state.
     pub state: GroupState,
     /// Epoch of the controller that wrote the record.
     pub epoch: Epoch,
 }
 
 impl GroupRecord {
-    /// Makes the record of a group whose machines were just chosen.
+    /// Creates the record of a group whose machines have just been chosen.
     pub fn forming(
         id: GroupId,
         deployment: DeploymentId,
@@ -59,12 +59,12 @@
         }
     }
 
-    /// Returns the member that runs on a machine.
+    /// Returns the member on a machine.
     pub fn member(&self, vm: &str) -> Option<&GroupMember> {
         self.members.iter().find(|member| member.vm == vm)
     }
 
-    /// Returns the member that takes requests.
+    /// Returns the member that takes the group's requests.
     pub fn leader(&self) -> Option<&GroupMember> {
         self.members.first()
     }
--- a/crates/core/src/layout.rs
+++ b/crates/core/src/layout.rs
@@ -1,14 +1,16 @@
-//! How many targets of each fabric domain should hold which model's weights.
+//! Plans how many targets of each fabric domain should hold the weights of which model.
 //!
-//! Targets that hold a model's weights form as many whole groups of it as their number allows, at once,
-//! and the rest stand by as spares. What counts is therefore not how many groups a domain holds now, but
-//! how many it still holds after it has lost some of its targets: eight targets that make two groups of
-//! four make one after the first loss, and no other model can use the three that are over until they
-//! have loaded its weights. Loads are what is short once callers come: at sixteen seconds each and six at
-//! a time the store ends about as many as targets are lost. Before the first caller they are cheap.
+//! The targets that hold a model's weights form as many complete groups as their number allows, and
+//! the rest are spares. What matters is not how many groups a domain has now but how many it still
+//! has after losing some of its targets. Eight targets in two groups of four form only one group
+//! after the first loss, and no other model can use the three left over until they have loaded its
+//! weights. Loads are the bottleneck once requests arrive: at sixteen seconds each and six at a
+//! time, the store completes about as many loads as targets are lost. Before the first request they
+//! are cheap.
 //!
-//! So weights are shared out by the groups that are expected to be left, each group being worth more the
-//! less of its model's demand is covered. Every controller computes the same from the same list.
+//! Weights are therefore allocated by the expected number of surviving groups, each of which counts
+//! more the less of its model's demand is covered. All controllers compute the same layout from the
+//! same list.
 
 use std::cmp::Reverse;
 
@@ -19,30 +21,30 @@
 use crate::id::{DomainId, ModelId, ZoneId};
 use crate::losses::{GroupTable, LossCase};
 
-/// Part of the worth of weights that counts within each zone for itself.
+/// Share of the utility that is evaluated for each zone separately.
 ///
-/// A zone that is cut off has to serve its callers alone.
+/// A zone that is cut off from the others has to serve its callers alone.
 const ZONE_UTILITY_SHARE: f64 = 0.1;
-/// Sweeps over all domains before the first caller; the second and third change little.
+/// Passes over all domains before the first request; the second and third change little.
 const IMPROVEMENT_SWEEPS: usize = 4;
 
-/// What is known of one domain.
+/// Targets and weights of one domain.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct DomainInventory {
     /// Domain.
     pub domain: DomainId,
     /// Zone of most of its targets.
     pub zone: ZoneId,
-    /// Targets that live and hold each model's weights, or are loading them.
+    /// Live targets by the model whose weights they hold or are loading.
     pub holders: IndexMap<ModelId, usize>,
-    /// Targets that live and hold none.
+    /// Live targets without weights.
     pub empty: usize,
-    /// Whether targets that are loading weights count among the holders; else they count as empty.
+    /// Whether targets that are loading count among the holders; otherwise they count as empty.
     pub reports_loads: bool,
 }
 
 impl DomainInventory {
-    /// Returns the targets that live.
+    /// Returns the number of live targets.
     ///
     /// ```
     /// use briarswitch_core::layout::DomainInventory;
@@ -57,23 +59,24 @@
     }
 }
 
-/// What one domain should hold.
+/// Planned content of one domain.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct DomainLayout {
-    /// Targets that should hold each model's weights, the model that is covered least first.
+    /// Number of targets that should hold each model's weights, the model with the least coverage
+    /// first.
     pub holders: IndexMap<ModelId, usize>,
 }
 
-/// When weights are shared out.
+/// Operating phase for which weights are allocated.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LayoutPhase {
-    /// Before the first caller: every target may load what it is best to hold.
+    /// Before the first request: every target may load the weights that suit it best.
     Start,
-    /// While callers come: only targets that hold nothing load.
+    /// While requests arrive: only targets without weights load any.
     Serving,
 }
 
-/// Shares weights out over all domains.
+/// Allocates weights over all domains.
 ///
 /// ```
 /// use briarswitch_core::engine::{EngineModel, ModelSpec};
@@ -109,36 +112,37 @@
 /// Targets of one domain by the model whose weights they hold, in the order of the engine's models.
 pub(crate) type HolderCounts = Vec<usize>;
 
-/// What all domains should hold, while it is worked out.
+/// Layout of all domains under construction.
 pub(crate) struct LayoutDraft<'a> {
-    /// Models; all lists by model are in their order.
+    /// Models; all vectors by model use this order.
     pub(crate) models: Vec<&'a ModelSpec>,
-    /// Groups that each model's callers fill.
+    /// Number of groups that each model's callers fill.
     pub(crate) demand: Vec<f64>,
-    /// What each model's cover weighs.
+    /// Weight of each model's coverage.
     pub(crate) weights: Vec<f64>,
     /// Domains.
     pub(crate) domains: Vec<DomainDraft<'a>>,
-    /// Groups of each model whose targets load their weights unseen.
+    /// Groups of each model, as fractions, whose targets are loading their weights without that
+    /// showing in the domains' holders.
     pub(crate) unreported_loads: Vec<f64>,
-    /// Groups expected to be left of each model, by zone.
+    /// Expected surviving groups by zone and model.
     surviving: Vec<Vec<f64>>,
     table: GroupTable,
     phase: LayoutPhase,
 }
 
-/// What one domain should hold, while it is worked out.
+/// Layout of one domain under construction.
 pub(crate) struct DomainDraft<'a> {
     inventory: &'a DomainInventory,
     zone: usize,
     targets: usize,
-    /// Targets by the model whose weights they should hold.
+    /// Number of targets that should hold each model's weights.
     pub(crate) holders: HolderCounts,
     empty: usize,
 }
 
 impl<'a> LayoutDraft<'a> {
-    /// Opens a draft of what domains hold now, or of nothing before the first caller.
+    /// Creates a draft from the weights currently held, or an empty one before the first request.
     pub(crate) fn new(
         engine: &'a EngineModel,
         demand: &IndexMap<ModelId, f64>,
@@ -174,7 +178,7 @@
         draft
     }
 
-    /// Adds or takes away the groups that a domain is expected to have left.
+    /// Adds or subtracts the expected surviving groups of a domain.
     fn add_expected_groups(&mut self, index: usize, sign: f64) {
         let domain = &self.domains[index];
         for (model, spec) in self.models.iter().enumerate() {
@@ -187,9 +191,10 @@
         }
     }
 
-    /// Gives each target that holds nothing the weights that are worth most there.
+    /// Assigns to each target without weights those with the highest utility.
     ///
-    /// Returns how many got each model's in domains whose loads under way can not be seen.
+    /// Returns, by model, how many were assigned in domains that do not report their loads under
+    /// way.
     pub(crate) fn assign_empty(&mut self) -> HolderCounts {
         let mut unseen = vec![0; self.models.len()];
         loop {
@@ -208,10 +213,11 @@
         }
     }
 
-    /// Gives one empty target of a domain a model's weights, and returns the model.
+    /// Assigns a model's weights to one empty target of a domain and returns the model.
     fn assign_one(&mut self, index: usize) -> usize {
         let holders = &self.domains[index].holders;
-        // Of what is worth the same, what the domain holds most of brings its next group nearer.
+        // With equal gains, the model with the most holders in the domain is closest to completing
+        // its next group.
         let mut models: Vec<usize> = (0..self.models.len()).collect();
         models.sort_by_key(|model| Reverse(holders[*model]));
         let before = self.utility();
@@ -228,11 +234,12 @@
         model
     }
 
-    /// Returns the most that one more target brings a model in a domain, on the way to the end of a begun group.
+    /// Returns the largest gain per target on the way to completing a model's current incomplete
+    /// group.
     ///
-    /// Targets come one at a time while callers come. Judged by what it completes itself, none would go to a
-    /// group that lacks two: domains held 13 to 15 targets of a model whose groups take sixteen for 20 s,
-    /// and what came loaded the other model.
+    /// During service empty targets arrive one at a time. Judged only by what it completes itself,
+    /// none would be assigned to a group that lacks two: domains kept 13 to 15 targets of a model
+    /// with groups of sixteen for 20 s, while new targets loaded the other model.
     fn best_gain(&mut self, index: usize, model: usize, before: f64) -> f64 {
         let size = self.models[model].size;
         let begun = self.domains[index].holders[model] % size;
@@ -247,7 +254,8 @@
         gains.fold(f64::NEG_INFINITY, f64::max)
     }
 
-    /// Returns the worth if the one empty target and others that may follow it held a model's weights.
+    /// Returns the utility if the empty target and `count - 1` that may follow it held a model's
+    /// weights.
     fn utility_with(&mut self, index: usize, model: usize, count: usize) -> f64 {
         self.update_domain(index, |domain| {
             domain.holders[model] += count;
@@ -261,7 +269,7 @@
         worth
     }
 
-    /// Changes what a domain holds, and counts its groups anew.
+    /// Modifies a domain and updates its expected surviving groups.
     pub(crate) fn update_domain(
         &mut self,
         index: usize,
@@ -272,7 +280,7 @@
         self.add_expected_groups(index, 1.0);
     }
 
-    /// Moves targets of one domain at a time from one model to another, as long as that gains.
+    /// Moves targets between models, one domain at a time, as long as that increases the utility.
     fn improve(&mut self) {
         for _ in 0..IMPROVEMENT_SWEEPS {
             for index in 0..self.domains.len() {
@@ -282,10 +290,11 @@
         }
     }
 
-    /// Orders what equal domains of a zone hold, the first models in the first domains.
+    /// Sorts the layouts of domains with equal size in the same zone, the most holders of the first
+    /// models first.
     ///
-    /// Which of them holds what is worth the same. Were it left to the way the search went, a domain
-    /// that registers a little later would change what the others were told to load.
+    /// Any permutation of them has the same utility. If the order depended on the search, a domain
+    /// that registers slightly later would change what the others have been told to load.
     fn sort_equal_domains(&mut self) {
         let mut alike: IndexMap<(usize, usize), Vec<usize>> = IndexMap::new();
         for (index, domain) in self.domains.iter().enumerate() {
@@ -323,12 +332,12 @@
         self.add_expected_groups(index, 1.0);
     }
 
-    /// Returns the groups that a model is expected to have left in all domains.
+    /// Returns the expected number of surviving groups of a model over all domains.
     pub(crate) fn surviving_groups(&self, model: usize) -> f64 {
         self.surviving.iter().map(|left| left[model]).sum::<f64>() + self.unreported_loads[model]
     }
 
-    /// Returns what the groups left are worth: each more, the less of its model's demand is covered.
+    /// Returns the utility of the expected surviving groups over all models.
     pub(crate) fn utility(&self) -> f64 {
         let zones = self.surviving.len() as f64;
         let of_model = self.demand.iter().enumerate().map(|(model, demand)| {
@@ -343,7 +352,7 @@
         of_model.sum()
     }
 
-    /// Returns what each domain should hold.
+    /// Returns the planned content of each domain.
     pub(crate) fn finish(self) -> IndexMap<DomainId, DomainLayout> {
         let mut order: Vec<usize> = (0..self.models.len()).collect();
         let cover = |model: &usize| {
@@ -387,7 +396,7 @@
         }
     }
 
-    /// Returns the counts after any number of targets went from one model to another.
+    /// Returns the holder counts reachable by moving any number of targets between two models.
     fn neighbours(&self) -> Vec<HolderCounts> {
         let mut options = vec![self.holders.clone()];
         for from in 0..self.holders.len() {
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -1,63 +1,64 @@
-//! The zone controller's lease: one row in the table service, kept by conditional writes.
+//! Lease of a zone's controller: one row in the table service, maintained by conditional writes.
 //!
-//! No two clocks are compared. The holder counts its lease from before it sent the renewing write;
-//! a challenger counts from when it saw the row last change. Both use the boot-time clock, which
-//! goes on counting while a machine is suspended (Gray and Cheriton, "Leases", 1989).
+//! Clocks of different machines are never compared. The holder measures its lease from before it
+//! sent the renewing write; a challenger measures from when it saw the row change last. Both use
+//! the boot-time clock, which keeps counting while a machine is suspended (Gray and Cheriton,
+//! "Leases", 1989).
 
 use std::time::Duration;
 
 use crate::id::{Epoch, Incarnation, Moment, NodeId, RowVersion, WriteId};
 
-/// Durations of the lease.
+/// Durations that govern the lease.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct LeaseTiming {
-    /// Time a renewal is good for.
+    /// Validity of a renewal.
     pub duration: Duration,
-    /// Time the holder gives up early and a challenger waits longer.
+    /// Safety margin: the holder stops this much earlier, a challenger waits this much longer.
     pub margin: Duration,
-    /// Time after which the holder renews.
+    /// Interval after which the holder renews.
     pub renew: Duration,
 }
 
-/// What the lease row says.
+/// Content of the lease row.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct LeaseRecord {
     /// Node that holds the lease.
     pub holder: NodeId,
-    /// Life of that node that holds it.
+    /// Incarnation of that node.
     pub incarnation: Incarnation,
-    /// Rises by one with each change of holder.
+    /// Incremented with each change of holder.
     pub epoch: Epoch,
-    /// Write that put the row there.
+    /// Write that stored this row.
     pub write: WriteId,
 }
 
 impl LeaseRecord {
-    /// Returns whether the last holder gave the lease up, so that nobody has to be waited out.
+    /// Returns whether the last holder has released the lease, so that a challenger need not wait.
     pub fn is_released(&self) -> bool {
         self.holder.is_empty()
     }
 }
 
-/// A write the keeper asks for.
+/// Conditional write that the client wants to send.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct LeaseWrite {
     /// Row to write.
     pub record: LeaseRecord,
     /// Version that the row must still have.
     pub expected: RowVersion,
-    /// Whether the holder changes, so that the epoch row has to change too.
+    /// Whether the holder changes, in which case the epoch row must change too.
     pub takes_over: bool,
 }
 
-/// What the table service said to a write.
+/// Result of a write to the table service.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum LeaseWriteResult {
-    /// The write is in force at this version.
+    /// The write was applied with this version.
     Written(RowVersion),
     /// Another write came first.
     Conflict,
-    /// No answer came, so the write may or may not be in force.
+    /// No response arrived; the write may or may not have been applied.
     Lost,
 }
 
@@ -75,7 +76,7 @@
     since: Moment,
 }
 
-/// One node's part in the contest for its zone's lease.
+/// One node's state in the contest for its zone's lease.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct LeaseClient {
     node: NodeId,
@@ -88,7 +89,7 @@
 }
 
 impl LeaseClient {
-    /// Opens a keeper that holds nothing.
+    /// Creates a client that does not hold the lease.
     pub fn new(node: NodeId, incarnation: Incarnation, timing: LeaseTiming) -> Self {
         Self {
             node,
@@ -103,15 +104,15 @@
 
     /// Returns the epoch held at `now`, or `None`.
     ///
-    /// Every order calls this right before it is sent: a process that was paused finds its lease
-    /// over here, whatever it believed before the pause.
+    /// Must be checked immediately before each order is sent, so that a process that was paused
+    /// notices that its lease has expired meanwhile.
     pub fn epoch(&self, now: Moment) -> Option<Epoch> {
         self.held
             .filter(|(_, until)| now < *until)
             .map(|(epoch, _)| epoch)
     }
 
-    /// Returns how long the lease is still held at `now`.
+    /// Returns the remaining validity of the lease at `now`.
     pub fn remaining(&self, now: Moment) -> Duration {
         self.held
             .map(|(_, until)| until.saturating_sub(now))
@@ -123,17 +124,17 @@
         self.seen.as_ref().and_then(|seen| seen.record.as_ref())
     }
 
-    /// Returns whether a write's fate is open and the row has to be read.
+    /// Returns whether the result of a write is unknown, so that the row must be read.
     pub fn needs_read(&self) -> bool {
         self.pending
             .as_ref()
             .is_some_and(|write| write.is_uncertain)
     }
 
-    /// Takes in what was read of the row.
+    /// Processes a read of the row.
     ///
-    /// A read settles a write whose answer was lost: if the row carries its write id it took
-    /// effect, and the lease counts from when that write was sent.
+    /// A read resolves a write whose response was lost: if the row carries its write id, the write
+    /// was applied, and the lease counts from when it was sent.
     pub fn observe(&mut self, record: Option<LeaseRecord>, version: RowVersion, now: Moment) {
         self.resolve_pending(record.as_ref());
         let is_changed = self
@@ -186,7 +187,7 @@
         Some(proposal)
     }
 
-    /// Takes in what became of the write that was sent last.
+    /// Processes the result of the last write.
     pub fn record_result(&mut self, answer: LeaseWriteResult, now: Moment) {
         match answer {
             LeaseWriteResult::Written(version) => {
@@ -201,8 +202,9 @@
                 });
             }
             LeaseWriteResult::Conflict => {
-                // A conflict may be this node's own earlier write, applied without an answer, so
-                // the row is read again before anything is concluded from it.
+                // The conflict may be with this node's own earlier write, which was applied
+                // although its response was lost. The row is therefore read again before drawing
+                // conclusions.
                 if let Some(write) = self.pending.as_mut() {
                     write.is_uncertain = true;
                 }
@@ -215,7 +217,7 @@
         }
     }
 
-    /// Gives the lease up and returns the write that tells the others, if it was held.
+    /// Stops holding the lease and, if it was held, returns the write that releases it for others.
     pub fn release(&mut self, write: WriteId, now: Moment) -> Option<LeaseWrite> {
         let epoch = self.epoch(now)?;
         self.held = None;
--- a/crates/core/src/minted_key.rs
+++ b/crates/core/src/minted_key.rs
@@ -1,29 +1,29 @@
-//! Idempotency keys that a node hands out and that only it, in the same life, may act on.
+//! Idempotency keys issued by a node, which only the same incarnation of that node may use.
 
 use std::fmt;
 
 use crate::id::{Incarnation, NodeId};
 
-/// Begins every minted key, to tell them from callers' own.
+/// Prefix that distinguishes issued keys from keys chosen by callers.
 const PREFIX: &str = "bk.";
 
-/// A key bound to one life of one node.
+/// A key bound to one incarnation of one node.
 ///
-/// Work under such a key needs no claim in the table, since nobody else may begin it; that keeps
-/// calls that may not be repeated going while the platform is away. When the node's life ends
-/// nobody can tell any more what ran, and the key is refused as unknown.
+/// Work under such a key needs no claim in the table, because no other node may begin it. This
+/// keeps non-repeatable calls working while the platform is unavailable. Once the incarnation has
+/// ended, it is no longer known what ran, and the key is rejected as unknown.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct MintedKey {
-    /// Node that minted it.
+    /// Node that issued it.
     pub node: NodeId,
-    /// Life of that node.
+    /// Incarnation of that node.
     pub incarnation: Incarnation,
-    /// Tells the keys of one life apart.
+    /// Distinguishes the keys of one incarnation.
     pub nonce: u64,
 }
 
 impl MintedKey {
-    /// Reads a key, or returns `None` for a caller's own.
+    /// Parses an issued key; returns `None` for a key chosen by a caller.
     ///
     /// ```
     /// use briarswitch_core::minted_key::MintedKey;
--- a/crates/core/src/order.rs
+++ b/crates/core/src/order.rs
@@ -1,41 +1,41 @@
-//! Conditional orders to targets, and what targets say to them.
+//! Conditional orders to targets and their results.
 
 use crate::id::{Epoch, GroupId, Incarnation, ModelId, TargetId};
 use crate::target::{Membership, MembershipState};
 
-/// What a target is told to do.
+/// Action that a target is ordered to perform.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum TargetAction {
     /// Become a member of a group.
     Join {
-        /// Group, named anew for every attempt.
+        /// Group; each attempt uses a new name.
         group: GroupId,
-        /// Higher than any epoch the members have seen.
+        /// Epoch, higher than any that the members have seen.
         epoch: Epoch,
         /// Model to serve.
         model: ModelId,
-        /// Members in order of rank.
+        /// Members by rank.
         members: Vec<TargetId>,
     },
-    /// Begin to serve; for the first member only.
+    /// Begin to serve; sent to the leader only.
     Open {
         /// Group.
         group: GroupId,
-        /// Its epoch.
+        /// Epoch of the group.
         epoch: Epoch,
     },
-    /// Finish what was accepted and take nothing new; for the first member only.
+    /// Finish accepted requests and take no new ones; sent to the leader only.
     Close {
         /// Group.
         group: GroupId,
-        /// Its epoch.
+        /// Epoch of the group.
         epoch: Epoch,
     },
-    /// Leave the group at once.
+    /// Leave the group immediately.
     Leave {
         /// Group.
         group: GroupId,
-        /// Its epoch.
+        /// Epoch of the group.
         epoch: Epoch,
     },
     /// Load a model's weights onto the host.
@@ -50,35 +50,35 @@
 pub struct TargetOrder {
     /// Target.
     pub target: TargetId,
-    /// Life that was looked at when the order was decided.
+    /// Incarnation that the decision was based on.
     pub incarnation: Incarnation,
-    /// Orders that the target must have begun so far.
+    /// Number of orders the target must have begun before this one.
     pub expected: u64,
-    /// What to do.
+    /// Action to perform.
     pub action: TargetAction,
-    /// Why, for the logs.
+    /// Reason, for the logs.
     pub reason: &'static str,
 }
 
-/// What a target said to an order.
+/// Result of an order.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum OrderResult {
-    /// It has begun.
+    /// The target has begun to carry it out.
     Begun,
-    /// The state was there already.
+    /// The requested state is already in effect.
     Held,
-    /// Another order came first, or the order does not fit the state.
+    /// Another order came first, or the order does not fit the target's state.
     Conflict,
-    /// Another life answers at the address.
+    /// Another incarnation answers at the address.
     OtherIncarnation,
-    /// The target does not know the order or refuses it for good.
+    /// The target does not know the order or rejects it permanently.
     Refused,
-    /// No answer came; the order may still be carried out.
+    /// No response arrived; the order may still be carried out.
     Lost,
 }
 
 impl TargetAction {
-    /// Returns the group the action is about.
+    /// Returns the group that the action concerns.
     pub fn group(&self) -> Option<&GroupId> {
         match self {
             Self::Join { group, .. }
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Returns the membership that a target has right after it began the action.
+    /// Returns the membership of a target right after it has begun the action.
     pub fn effect(&self, target: &str, held: Option<&Membership>) -> Option<Membership> {
         let with_state = |state| {
             held.map(|held| Membership {
--- a/crates/core/src/planner.rs
+++ b/crates/core/src/planner.rs
@@ -1,9 +1,9 @@
-//! Which groups to form, mend and dissolve, decided from the state of one zone's fleet.
+//! Decides which groups to form, repair and dissolve from the state of one zone's fleet.
 //!
-//! The planner is pure: the controller carries its steps out, and a replay of fault sequences
-//! measures it. It never touches a machine that is claimed, unseen, leaving or in an unknown state,
-//! and it dissolves a group only to complete another one, because survivors that help nobody are
-//! stranded whether their group is dissolved or not.
+//! The planner is pure: the controller carries out its steps, and recorded fault sequences can be
+//! replayed against it. It never uses a machine that is claimed, unreachable, leaving or in an
+//! unknown state. It dissolves a broken group only if that completes another one, because survivors
+//! that cannot be used are stranded whether or not their group is dissolved.
 
 use std::time::Duration;
 
@@ -12,19 +12,19 @@
 use crate::id::Moment;
 use crate::returns::ReturnHistory;
 
-/// Plans one zone's groups.
+/// Plans the groups of one zone.
 #[derive(Clone, Debug)]
 pub struct GroupPlanner {
-    /// How long lost machines took to come back.
+    /// Past absences of lost machines.
     pub history: ReturnHistory,
-    /// Time a machine takes to load weights it does not hold.
+    /// Time to load weights that a machine does not hold.
     pub load_time: Duration,
-    /// Shortest time a machine must be unseen before its group is changed.
+    /// Minimum time that a machine must be unreachable before its group is changed.
     pub grace: Duration,
 }
 
 impl GroupPlanner {
-    /// Opens a planner that has seen nothing yet.
+    /// Creates a planner with an empty history.
     pub fn new(load_time: Duration, grace: Duration) -> Self {
         Self {
             history: ReturnHistory::default(),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Returns the steps to take now, the most urgent first.
+    /// Returns the steps to carry out now, the most urgent first.
     ///
     /// ```
     /// use briarswitch_core::prelude::*;
--- a/crates/core/src/target.rs
+++ b/crates/core/src/target.rs
@@ -1,4 +1,4 @@
-//! Targets as the platform's directory lists them, and the groups they say they are in.
+//! Targets as listed in the platform's directory, and their own reports of group membership.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,40 +9,40 @@
     DomainId, Epoch, GroupId, Incarnation, ModelId, Moment, ServiceId, TargetId, ZoneId,
 };
 
-/// How far a member of a group has come.
+/// Progress of a group member.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum MembershipState {
-    /// Weights or peers are not there yet.
+    /// Weights are still loading or peers are still missing.
     Joining,
-    /// Whole as far as this member knows, and not serving.
+    /// Complete as far as this member knows, but not serving yet.
     Ready,
-    /// The first member serves requests.
+    /// The leader serves requests.
     Open,
-    /// The first member finishes what it has and takes nothing new.
+    /// The leader finishes the requests it has and accepts no new ones.
     Closing,
-    /// A member was lost and the group serves no more.
+    /// A member was lost and the group no longer serves.
     Broken,
 }
 
-/// What a target says of its own place in a group.
+/// Group membership as reported by the target itself.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Membership {
     /// Group.
     pub group: GroupId,
-    /// Attempt at forming it.
+    /// Epoch of the attempt to form the group.
     pub epoch: Epoch,
-    /// Place in the list of members; zero takes the requests.
+    /// Position in the member list; rank 0 is the leader, which takes the requests.
     pub rank: usize,
-    /// How far the member has come.
+    /// Progress of this member.
     pub state: MembershipState,
 }
 
-/// One target as the directory lists it.
+/// Directory entry of one target.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TargetRecord {
     /// Name.
     pub id: TargetId,
-    /// Life under that name; zero where the target does not say.
+    /// Incarnation under that name; zero if the target does not report one.
     pub incarnation: Incarnation,
     /// Service it belongs to.
     pub service: ServiceId,
@@ -50,17 +50,17 @@
     pub address: String,
     /// Zone.
     pub zone: ZoneId,
-    /// Whether it asked for no new work.
+    /// Whether the target has asked for no new work.
     pub is_draining: bool,
-    /// Requests it works on at once.
+    /// Number of requests it processes concurrently.
     pub slots: u32,
-    /// Fabric domain; empty where it has none.
+    /// Fabric domain; empty if it has none.
     pub domain: DomainId,
-    /// Models whose weights are on its host.
+    /// Models whose weights are staged on its host.
     pub staged: Vec<ModelId>,
     /// Models it serves.
     pub models: Vec<ModelId>,
-    /// Its group.
+    /// Membership in a group, if any.
     pub membership: Option<Membership>,
 }
 
@@ -69,14 +69,14 @@
 pub enum TargetChange {
     /// The entry is new or has changed.
     Put(Box<TargetRecord>),
-    /// The entry is gone.
+    /// The entry was deleted.
     Removed(TargetId),
-    /// The entry can not be understood, so it names no target to use.
+    /// The entry cannot be parsed, so its target must not be used.
     Unreadable(TargetId),
 }
 
 impl TargetChange {
-    /// Returns the target that the change is about.
+    /// Returns the id of the changed target.
     pub fn target(&self) -> &TargetId {
         match self {
             Self::Put(record) => &record.id,
@@ -85,15 +85,16 @@
     }
 }
 
-/// Time after the directory's return within which entries that lapsed meanwhile are put back.
+/// Time after the directory recovers during which expired entries may be written again.
 ///
-/// Targets write their entries again within about two seconds.
+/// Targets rewrite their entries within about two seconds.
 const REREGISTRATION_GRACE: Duration = Duration::from_millis(2_300);
 
-/// Tells lapses during an absence of the directory from departures.
+/// Distinguishes entries that expired during a directory outage from targets that left.
 ///
-/// What is missing when the directory returns may only have lapsed. What is removed later has left: kept
-/// as a lapse, it would get requests for seconds after everybody else has stopped.
+/// Entries missing when the directory recovers may merely have expired. An entry that is removed
+/// later belongs to a target that has left; if it were kept, the target would get requests for
+/// seconds after all other nodes have stopped sending them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RecoveryWindow {
     is_unreachable: bool,
@@ -101,19 +102,20 @@
 }
 
 impl RecoveryWindow {
-    /// Notes that the directory did not answer.
+    /// Records that the directory did not answer.
     pub fn note_failure(&mut self) {
         self.is_unreachable = true;
     }
 
-    /// Notes that the directory answered.
+    /// Records that the directory answered.
     pub fn note_answer(&mut self, now: Moment) {
         if std::mem::take(&mut self.is_unreachable) {
             self.until = now + REREGISTRATION_GRACE;
         }
     }
 
-    /// Returns until when an entry is kept that is found removed at `now`; `None` if it has left.
+    /// Returns the time until which an entry found missing at `now` is kept; `None` if its target
+    /// has left.
     ///
     /// ```
     /// use std::time::Duration;
@@ -132,33 +134,36 @@
     }
 }
 
-/// Targets by id; records are shared, since every change makes a new list that others read.
+/// Targets by id. Records are shared because each change produces a new list for concurrent
+/// readers.
 pub type TargetList = IndexMap<TargetId, Arc<TargetRecord>>;
 
-/// Time for which an entry stays unused after the one that took its address is gone.
+/// Time for which a replaced entry stays unused after the entry that took its address is gone.
 ///
-/// The entry of a target that has ended is gone by then.
+/// By then the directory has dropped the entry of a target that has terminated.
 const RESTORE_DELAY: Duration = Duration::from_secs(6);
-/// Most targets that are remembered of one address.
+/// Number of target ids remembered per address.
 const MAX_TARGETS_PER_ADDRESS: usize = 4;
-/// Most addresses without a listed target that are remembered.
+/// Number of addresses remembered beyond the number of listed targets.
 const MAX_UNLISTED_ADDRESSES: usize = 1_024;
 
-/// What the directory lists, with departures held back while the directory itself was away.
+/// Local copy of the directory that tolerates directory outages and reused addresses.
 ///
-/// An address is used again only after its target has ended, whose entry may stay for seconds, or be written
-/// once more by a call that was held up. What answers at the address would pass for both, and members that are
-/// gone would count as live. So of the entries with one address only that of the target seen last is used.
+/// An address is reused only after its target has terminated, but the old entry may stay for
+/// seconds or be rewritten by a delayed call. The new target would then answer for both, and
+/// terminated members would count as live. Of several entries with the same address, only that of
+/// the target seen last is therefore used.
 #[derive(Clone, Debug, Default)]
 pub struct TargetCache {
     targets: TargetList,
-    /// Targets seen at each address, the first one first; shared, since it changes only as targets come.
+    /// Target ids seen at each address, oldest first. Shared between clones, since it changes only
+    /// when a target appears.
     seen: Arc<IndexMap<String, Vec<TargetId>>>,
     removal_due: IndexMap<TargetId, Moment>,
     unlisted: TargetList,
-    /// Listed targets whose address another one has since.
+    /// Listed targets whose address has since been taken by another target.
     replaced: TargetList,
-    /// Those of them whose address nobody has any more, and since when.
+    /// For each entry of `replaced` whose address is no longer in use: when that was first noticed.
     address_free_since: IndexMap<TargetId, Moment>,
     unexpected_exits: u64,
 }
@@ -169,11 +174,12 @@
         &self.targets
     }
 
-    /// Returns the members of groups whose entries are gone.
+    /// Returns group members whose directory entries are gone.
     ///
-    /// A target that is cut off from the directory loses its entry and works on. Where another member heads
-    /// its group it takes no requests, and the group serves as before. Ended for each lapsed entry, 25 of 222
-    /// targets that were cut off for 5 s cost all groups of sixteen and a third of those of four.
+    /// A target that is cut off from the directory loses its entry but keeps working. If it is not
+    /// the leader of its group, it takes no requests and the group can go on serving. When groups
+    /// were dissolved for every expired entry, 25 of 222 targets cut off for 5 s cost all groups of
+    /// sixteen and a third of the groups of four.
     ///
     /// ```
     /// use briarswitch_core::target::TargetCache;
@@ -184,7 +190,9 @@
         &self.unlisted
     }
 
-    /// Returns how many targets have ended so far without asking for no new work before, lapses among them.
+    /// Returns how many targets have disappeared or restarted so far without draining first.
+    ///
+    /// Entries that merely expired are included.
     ///
     /// ```
     /// use briarswitch_core::target::TargetCache;
@@ -195,9 +203,9 @@
         self.unexpected_exits
     }
 
-    /// Forgets the unlisted members of groups that no listed target is in any more.
+    /// Removes unlisted members whose group has no listed member any more.
     ///
-    /// To be called once the changes of an answer are taken in.
+    /// Must be called after all changes of one directory response have been applied.
     ///
     /// ```
     /// use briarswitch_core::target::TargetCache;
@@ -220,11 +228,11 @@
         });
     }
 
-    /// Takes in one change.
+    /// Applies one change.
     ///
-    /// Entries lapse while the directory is away though their targets live. Dropping them at once
-    /// would empty the routing table just when the directory returns. With `keep_until` set, a
-    /// removed entry is kept until then, and stays if it is put back.
+    /// Entries expire during a directory outage although their targets are alive. Dropping them at
+    /// once would empty the routing table just when the directory recovers. With `keep_until` set,
+    /// a removed entry is kept until then, and for good if it is written again.
     pub fn apply(&mut self, change: TargetChange, keep_until: Option<Moment>) {
         match change {
             TargetChange::Put(record) => self.put(Arc::from(record)),
@@ -234,8 +242,8 @@
                 }
                 _ => self.remove_departed(&id),
             },
-            // Somebody wrote it, so it has not lapsed; kept as it was before, it would get requests
-            // for as long as nobody writes it again.
+            // The entry was rewritten, so it did not expire. The previous version must not be kept:
+            // it would get requests until the entry is written again.
             TargetChange::Unreadable(id) => self.drop_entry(&id),
         }
     }
@@ -256,7 +264,8 @@
         self.unexpected_exits += u64::from(before.is_some_and(|before| before.incarnation != born));
     }
 
-    /// Returns whether a target that is not in use has its address now; the one that had it gives way.
+    /// Returns whether `record` is the newest target at its address; if so, the previous one is
+    /// replaced.
     fn claim_address(&mut self, record: &TargetRecord) -> bool {
         let address = &record.address;
         self.unlisted
@@ -275,7 +284,7 @@
         true
     }
 
-    /// Returns the entry that is used of a target, if the target is at an address.
+    /// Returns the entry in use for `id` if it has this address.
     fn at_address(&self, id: &TargetId, address: &str) -> Option<&Arc<TargetRecord>> {
         self.targets
             .get(id)
@@ -300,7 +309,7 @@
         }
     }
 
-    /// Drops an entry that nobody renewed; the target may live on as a member of its group.
+    /// Drops an entry that was not renewed; the target may keep working as a member of its group.
     fn remove_departed(&mut self, id: &TargetId) {
         let record = self.targets.get(id).cloned();
         let is_sudden = record.as_ref().is_some_and(|record| !record.is_draining);
@@ -312,9 +321,10 @@
         }
     }
 
-    /// Uses entries again that gave way to ones which are gone, and returns whether there were any.
+    /// Restores entries whose replacement is gone, and returns whether there were any.
     ///
-    /// A node that has just started may take a target's successor for its predecessor.
+    /// A node that has just started sees entries in no reliable order and may mistake a target's
+    /// successor for its predecessor.
     fn restore_replaced(&mut self, now: Moment) -> bool {
         let is_listed = |address: &str| {
             let mut seen = self.seen.get(address).into_iter().flatten();
@@ -347,7 +357,8 @@
         self.replaced.swap_remove(id);
     }
 
-    /// Takes in a whole list, in the order in which its entries were written; what it does not hold is removed.
+    /// Applies a complete list in the order in which its entries were written, and removes entries
+    /// that are not in it.
     pub fn replace(&mut self, listed: Vec<TargetChange>, keep_until: Option<Moment>) {
         let names: IndexSet<&TargetId> = listed.iter().map(TargetChange::target).collect();
         let known = self.targets.keys().chain(self.replaced.keys());
@@ -360,7 +371,7 @@
         }
     }
 
-    /// Returns whether anything changes by time alone.
+    /// Returns whether the passage of time alone will change anything.
     ///
     /// ```
     /// use briarswitch_core::target::TargetCache;
@@ -371,7 +382,8 @@
         !self.removal_due.is_empty() || !self.replaced.is_empty()
     }
 
-    /// Drops entries that were not put back in time, and returns whether anything has changed.
+    /// Drops entries whose time is up, restores replaced ones that are due, and returns whether
+    /// anything has changed.
     pub fn expire(&mut self, now: Moment) -> bool {
         let due: Vec<TargetId> = self
             .removal_due
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -1,25 +1,26 @@
-//! One zone's groups as its controller last wrote them.
+//! Groups of one zone as last written by its controller.
 
 use indexmap::IndexMap;
 
 use crate::group::GroupRecord;
 use crate::id::{Epoch, GroupId, ZoneId};
 
-/// The groups of a zone, ordered by the controller's epoch and its count of changes.
+/// Groups of a zone, versioned by the controller's epoch and its number of changes.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ZoneView {
-    /// Zone that the groups stand in.
+    /// Zone of the groups.
     pub zone: ZoneId,
-    /// Epoch of the controller that made the view.
+    /// Epoch of the controller that published the view.
     pub epoch: Epoch,
-    /// Changes made in that epoch.
+    /// Number of changes made in that epoch.
     pub sequence: u64,
     /// Groups by name.
     pub groups: IndexMap<GroupId, GroupRecord>,
 }
 
 impl ZoneView {
-    /// Takes over `other` if it is newer; a view of an earlier epoch never replaces a later one.
+    /// Replaces this view by `other` if that is newer, and returns whether it was; a view of an
+    /// earlier epoch never replaces a later one.
     pub fn adopt(&mut self, other: Self) -> bool {
         let is_newer = (other.epoch, other.sequence) > (self.epoch, self.sequence);
         if is_newer {
--- a/crates/core/src/vm.rs
+++ b/crates/core/src/vm.rs
@@ -1,13 +1,13 @@
-//! Machines as the platform lists them.
+//! Machines and zones as listed by the platform.
 
 use crate::id::{DomainId, Incarnation, PoolId, VmId, ZoneId};
 
-/// What the platform says of a machine's future.
+/// Whether the platform is about to take a machine away.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum VmStatus {
-    /// The machine is there to be used.
+    /// The machine can be used.
     Live,
-    /// The machine is going away and takes no new work.
+    /// The machine is about to be removed and takes no new work.
     Leaving,
 }
 
@@ -16,19 +16,19 @@
 pub struct Vm {
     /// Name of the machine.
     pub id: VmId,
-    /// Zone that holds the machine.
+    /// Zone the machine is in.
     pub zone: ZoneId,
-    /// Fabric domain that holds the machine.
+    /// Fabric domain the machine is in.
     pub domain: DomainId,
-    /// Pool that the machine belongs to.
+    /// Pool the machine belongs to.
     pub pool: PoolId,
     /// Address as `ip:port`.
     pub address: String,
     /// Changes whenever the machine is replaced under the same name.
     pub incarnation: Incarnation,
-    /// Accelerators the machine carries.
+    /// Number of accelerators.
     pub accelerators: u32,
-    /// What the platform says of its future.
+    /// Whether the machine is about to be removed.
     pub status: VmStatus,
 }
 
@@ -37,6 +37,6 @@
 pub struct AvailabilityZone {
     /// Name of the zone.
     pub id: ZoneId,
-    /// Nodes of the zone, this one included.
+    /// Nodes of the zone, including this one.
     pub nodes: Vec<crate::id::NodeId>,
 }
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The pure parts that serve a fleet: placement, events, the directory.
+//! Placement of requests, splitting of event streams, and the local copy of the directory.
 
 use std::time::Duration;
 
@@ -42,9 +42,9 @@
     }
 }
 
-/// Symptom: a group that has just opened is sent several times what it can take.
-/// Events: six nodes see it empty at the same moment, and each has callers waiting.
-/// Cause guarded against: counting on every place that looks free.
+/// Six nodes see a newly opened group as empty at the same moment, and each has requests waiting.
+/// If each counted on every slot that looks free, the group would get several times what it can
+/// take.
 #[gtest]
 fn six_nodes_that_can_not_see_each_other_do_not_overfill_a_group() {
     expect_that!(fill_unseen(6, 0), all!(ge(20), le(30)));
@@ -58,9 +58,8 @@
     }
 }
 
-/// Symptom: one of 71 nodes refuses while places of others stay empty.
-/// Events: the balancer gives it 10 requests a second and others 1.5.
-/// Cause: shares counted nodes and not what their callers ask.
+/// A load balancer may send one of 71 nodes 10 requests a second and others 1.5. With equal shares
+/// per node, that node refuses requests while slots of the others stay unused.
 #[gtest]
 fn shares_follow_what_callers_ask_and_add_up() {
     let weights: Vec<f64> = (0..71).map(|node| f64::from(node % 10) + 1.3).collect();
@@ -81,7 +80,8 @@
     expect_that!(of(9), gt(of(0)));
 }
 
-/// Returns what `nodes` nodes that see nothing of each other send to a group with `writers` at work.
+/// Returns the number of requests sent to a group with `writers` active requests by `nodes` nodes
+/// that cannot see each other's requests.
 fn fill_unseen(nodes: u32, writers: u32) -> u32 {
     let engine = engine();
     let mut sent = 0;
@@ -102,10 +102,8 @@
     sent
 }
 
-/// Symptom: while fewer groups are left than are needed, requests wait longer inside the groups than
-/// before them, and all are late.
-/// Events: 71 nodes have callers waiting and hear of a few free places.
-/// Cause: each node's share of 26 places was one, 71 in all.
+/// With 71 nodes and 26 slots, a minimum share of one slot per node would allow 71 requests. They
+/// would wait inside the groups longer than in front of them, and all of them would be late.
 #[gtest]
 fn more_nodes_than_places_do_not_overfill_a_group() {
     expect_that!(fill_unseen(71, 20), le(26));
@@ -156,10 +154,9 @@
     }
 }
 
-/// Symptom: of six equal groups, none of them full, one gets 24 requests in one second and 1 in the next.
-/// Events: 71 nodes hear at the same time that one group has the least work; until they hear of each
-/// other's choices 20 requests come.
-/// Cause: all of them took the group that looked best.
+/// 71 nodes learn at the same time which group has the least load, and choose for 20 requests
+/// before they learn of each other's choices. If all took the best-looking group, one of six equal
+/// groups would get 24 requests in one second and 1 in the next.
 #[gtest]
 fn requests_that_nodes_can_not_see_are_spread() {
     let engine = engine();
@@ -179,8 +176,8 @@
     expect_that!(sent.iter().min(), some(ge(&2)));
 }
 
-/// Symptom: a piece of a stream is lost or comes twice after it went on elsewhere.
-/// Cause guarded against: an event's border that falls between two pieces.
+/// An event boundary may fall between two chunks. If it is missed, part of the stream is lost or
+/// repeated when the stream is resumed elsewhere.
 #[gtest]
 fn events_are_whole_however_the_bytes_are_cut() {
     let stream: String = (1..=40)
@@ -241,11 +238,9 @@
     expect_that!(left, unordered_elements_are![eq(&"c"), eq(&"d")]);
 }
 
-/// Symptom: a target gets requests 2.1 s after its entry was removed, where 2 s are allowed (a day of the
-/// second site, trouble-1 with seed 25187004735).
-/// Events: the directory turns a node away until 23.6 s; at 25.7 s a target's entry is removed; the node
-/// sends to it until 28 s.
-/// Cause: every removal within three seconds of a failure was taken for a lapse and kept for 2.3 s more.
+/// A removal after the directory has recovered must not be treated as an expired entry. Otherwise a
+/// target whose entry is removed 2.1 s after the recovery still gets requests 2.3 s later, where 2
+/// s are allowed.
 #[gtest]
 fn a_removal_after_the_return_is_a_departure() {
     let at = Duration::from_millis;
@@ -253,11 +248,11 @@
     expect_that!(window.keep_until(at(1_000)), none());
     window.note_failure();
     window.note_answer(at(23_600));
-    // What is missing at the return may have lapsed, and is awaited for one time only.
+    // An entry missing at the recovery may have expired; the wait for it is not extended.
     expect_that!(window.keep_until(at(23_600)), some(eq(at(25_900))));
     expect_that!(window.keep_until(at(25_700)), some(eq(at(25_900))));
     expect_that!(window.keep_until(at(25_900)), none());
-    // Answers that follow each other prolong nothing.
+    // Consecutive responses do not extend the window.
     window.note_answer(at(25_800));
     expect_that!(window.keep_until(at(26_000)), none());
 }
@@ -274,8 +269,8 @@
     }
 }
 
-/// Symptom: a group that works is ended because the entry of one of its members lapsed.
-/// Cause: what the directory listed no more was forgotten, whether it answered or not.
+/// A group must not be dissolved only because the entry of a member has expired: the member must
+/// stay known while its group exists.
 #[gtest]
 fn a_member_whose_entry_is_gone_is_known_as_long_as_its_group() {
     let mut book = TargetCache::default();
--- a/crates/core/tests/layout.rs
+++ b/crates/core/tests/layout.rs
@@ -1,4 +1,4 @@
-//! What each domain should hold.
+//! Planned content of the domains.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 const LARGE: &str = "large";
 const SMALL: &str = "small";
-/// Zones, of two domains each.
+/// Zones, with two domains each.
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
 fn engine(sizes: [usize; 2]) -> EngineModel {
@@ -51,9 +51,8 @@
     layout.holders.get(model).copied().unwrap_or(0)
 }
 
-/// Symptom: callers of one model get nothing while their zone is cut off.
-/// Events: before the first caller all weights are loaded; a zone is cut off.
-/// Cause guarded against: all groups of a model in other zones.
+/// A zone that is cut off must be able to serve every model, so no model may have all of its groups
+/// in other zones.
 #[gtest]
 fn every_zone_can_serve_each_model_alone() {
     for sizes in [[4, 2], [4, 3], [3, 2], [5, 1], [2, 2]] {
@@ -71,8 +70,8 @@
     }
 }
 
-/// Symptom: weights are loaded again for minutes though nothing was lost.
-/// Cause guarded against: a layout that follows every change of demand.
+/// A layout that follows every change of demand would have targets reload weights for minutes
+/// although nothing was lost.
 #[gtest]
 fn targets_that_hold_weights_keep_them_while_callers_come() {
     let mut stock = domains(0);
@@ -96,9 +95,8 @@
     }
 }
 
-/// Symptom: a target that replaced a lost one never joins a group.
-/// Events: a domain of one model loses members; what comes for them is worth the same with any weights.
-/// Cause: the first model was taken then, which no other target of the domain held.
+/// A replacement must load a model that other targets of its domain hold, even if all models have
+/// the same utility. Otherwise it can never join a group.
 #[gtest]
 fn a_new_target_loads_what_its_domain_holds_most_of() {
     let mut stock = domains(0);
@@ -119,9 +117,8 @@
     }
 }
 
-/// Symptom: targets load one model's weights after the other before the first caller comes.
-/// Events: domains register one after the other.
-/// Cause guarded against: an order of equal domains that changes with each that comes.
+/// Domains register one after the other. If each registration changed the order of equal domains,
+/// their targets would load the weights of one model after another before the first request.
 #[gtest]
 fn equal_domains_of_a_zone_hold_the_first_models_first() {
     let layouts = start([4, 3], &domains(9));
@@ -131,11 +128,9 @@
     }
 }
 
-/// Symptom: a domain holds fourteen to fifteen targets of a model whose groups take sixteen, for as long as
-/// targets come and go; none of them serves anybody while the model's callers are refused.
-/// Events: a group lost members; the empty targets that come one at a time load the other model.
-/// Cause: each target was given to what it completes by itself. The fifteenth of sixteen completes nothing, and
-/// a spare of the other model is worth a little.
+/// Empty targets arrive one at a time. If each were judged only by the group that it completes
+/// itself, the fifteenth of sixteen targets would be worth less than a spare of the other model:
+/// domains would keep 14 or 15 targets that serve nobody while callers of the model are refused.
 #[gtest]
 fn a_group_that_lacks_two_targets_gets_them() {
     let mut stock = domains(0);
--- a/crates/core/tests/losses.rs
+++ b/crates/core/tests/losses.rs
@@ -1,4 +1,4 @@
-//! What callers of each model get while targets are lost and replaced by empty ones.
+//! Share of each model's callers that are served while targets are lost and replaced by empty ones.
 
 use std::time::Duration;
 
@@ -12,39 +12,39 @@
 
 const LARGE: &str = "large";
 const SMALL: &str = "small";
-/// Zones, of two domains each.
+/// Zones, with two domains each.
 const ZONES: [&str; 3] = ["a", "b", "c"];
-/// Seconds of a play.
+/// Duration of a simulation in seconds.
 const PLAY_TIME: u64 = 60;
 /// Seconds between two losses.
 const LOSS_INTERVAL: u64 = 3;
-/// Seconds that a load takes.
+/// Seconds per load.
 const LOAD_TIME: u64 = 16;
-/// Seconds of a play in which a domain is dark, where one is.
+/// Seconds of a simulation in which one domain is unreachable, if any.
 const DARK_TIME: std::ops::Range<u64> = 11..18;
-/// Plays of which a mean is taken.
+/// Simulations per mean.
 const PLAYS: u64 = 40;
-/// Part by which callers of one model may be served less often than those of another of the same service.
+/// Allowed difference between the shares of callers served of two models of the same service.
 const FAIR_GAP: f64 = 0.05;
 
-/// A fleet and what its callers ask for.
+/// A fleet and its demand.
 #[derive(Clone, Copy, Debug)]
 struct FleetCase {
-    /// Targets in one group of each model.
+    /// Targets per group of each model.
     sizes: [usize; 2],
-    /// Part of the work that was declared for each model.
+    /// Declared share of the work of each model.
     shares: [f64; 2],
-    /// Targets of a domain.
+    /// Targets per domain.
     targets: usize,
     /// Groups that the callers of each model fill.
     demand: [f64; 2],
     /// Targets lost at a time.
     lost: usize,
-    /// Seconds until an empty target comes for a lost one.
+    /// Seconds until an empty target replaces a lost one.
     replaced_after: u64,
-    /// Loads that may be under way.
+    /// Maximum number of concurrent loads.
     loads: usize,
-    /// Whether a domain goes dark for some seconds.
+    /// Whether a domain is unreachable for some seconds.
     has_dark: bool,
 }
 
@@ -59,7 +59,8 @@
     has_dark: false,
 };
 
-/// Six domains of 37: the callers fill 4.3 groups of sixteen and 17 groups of four, 137 of 222 targets.
+/// Six domains of 37 targets. The callers fill 4.3 groups of sixteen and 17 groups of four: 137 of
+/// 222 targets.
 const LARGE_DOMAINS: FleetCase = FleetCase {
     sizes: [16, 4],
     shares: [0.5, 0.5],
@@ -102,7 +103,7 @@
         stock.collect()
     }
 
-    /// Returns what the domains should hold before the first caller.
+    /// Returns the layout before the first request.
     fn start(&self) -> IndexMap<DomainId, DomainLayout> {
         let stock = self.stock();
         plan_layout(&self.engine(), &IndexMap::new(), &stock, LayoutPhase::Start)
@@ -114,7 +115,7 @@
     }
 }
 
-/// What a play of losses starts with, and what new targets load.
+/// Initial layout, and choice of weights for new targets.
 #[derive(Clone, Copy, Debug)]
 enum StartPolicy {
     /// Each domain serves one model.
@@ -123,23 +124,23 @@
     Layout,
 }
 
-/// A load under way.
+/// A load in progress.
 #[derive(Clone, Debug)]
 struct LoadRun {
     domain: usize,
     model: ModelId,
-    /// Second at which it ends.
+    /// Second in which it ends.
     end: u64,
 }
 
-/// An empty target that is to come.
+/// An empty target that will arrive.
 #[derive(Clone, Copy, Debug)]
 struct ComingTarget {
     domain: usize,
     second: u64,
 }
 
-/// A fleet that loses targets every three seconds and gets empty ones for them.
+/// Simulation of a fleet that loses targets every three seconds and gets empty replacements.
 struct LossPlay {
     rng: StdRng,
     case: FleetCase,
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Loses targets that hold weights; empty ones come for them.
+    /// Removes targets that hold weights and schedules their replacements.
     fn lose(&mut self, second: u64) {
         for _ in 0..self.case.lost {
             let index = self.rng.random_range(0..self.stock.len());
@@ -208,7 +209,7 @@
         }
     }
 
-    /// Begins and ends loads.
+    /// Completes and starts loads.
     fn load(&mut self, second: u64) {
         let (done, rest) = std::mem::take(&mut self.loads)
             .into_iter()
@@ -235,7 +236,7 @@
         }
     }
 
-    /// Returns what the domains should hold, loads under way counted as held.
+    /// Returns the layout, with loads in progress counted as held.
     fn layouts(&self) -> IndexMap<DomainId, DomainLayout> {
         let mut held = self.stock.clone();
         for load in &self.loads {
@@ -271,7 +272,7 @@
         }
     }
 
-    /// Takes a domain away, or gives it back with the weights it held.
+    /// Makes a domain unreachable, or restores it with the weights it held.
     fn darken(&mut self, second: u64) {
         if !self.case.has_dark {
             return;
@@ -295,7 +296,7 @@
         }
     }
 
-    /// Returns the part of each model's callers that find a place.
+    /// Returns the share of each model's callers that find a group.
     fn served(&self) -> [f64; 2] {
         let mut parts = [0.0; 2];
         for (index, model) in [LARGE, SMALL].into_iter().enumerate() {
@@ -309,7 +310,7 @@
     }
 }
 
-/// Returns the mean part of the callers of each model that find a place in a minute of losses.
+/// Returns the mean share of each model's callers that find a group during a minute of losses.
 fn play(case: FleetCase, policy: StartPolicy) -> [f64; 2] {
     let mut sums = [0.0; 2];
     for seed in 0..PLAYS {
@@ -329,14 +330,14 @@
     sums.map(|sum| sum / (PLAYS * PLAY_TIME) as f64)
 }
 
-/// Symptom: half of a model's callers are late or refused while the other model has twice the groups it
+/// If each domain serves a single model, three of seven targets are unusable after the first loss,
+/// and half of a model's callers are late or refused while the other model has twice the groups it
 /// needs.
-/// Events: a target is lost every three seconds and replaced by an empty one; a load takes 16 s.
-/// Cause: each domain served one model, so three of seven targets stood idle after the first loss.
 ///
-/// Callers that find a place, in the mean of forty plays of a minute in which each model's callers fill six
-/// groups: of the large model 0.72 before and 0.90 after, of the small one 1.00 before and 0.98
-/// after.
+/// A target is lost every three seconds and replaced by an empty one; a load takes 16 s. Mean
+/// shares of callers served in forty simulations of a minute, with callers filling six groups of
+/// each model: 0.72 for the large model with one model per domain and 0.90 with the layout; 1.00
+/// and 0.98 for the small one.
 #[gtest]
 fn losses_leave_more_callers_with_a_place() {
     let before = play(SMALL_DOMAINS, StartPolicy::OneModel);
@@ -346,12 +347,11 @@
     expect_that!(after.iter().sum::<f64>(), gt(1.86));
 }
 
-/// Symptom: in domains of 37 targets the callers of the model of large groups are late from the start, and
-/// half of them are refused once targets are lost; the other model's groups are half empty.
-/// Events: before the first caller weights are loaded for 4 groups of sixteen where 4.3 are filled, and for
-/// 32 groups of four where 17 are.
-/// Cause: the worth of a group counted by the callers that it serves. The model whose groups take four times
-/// the targets was then best covered for 0.63 of the other, and spares took more. Now 6 and 27.
+/// The weight of a group must not be only the number of callers that it serves. A model whose
+/// groups take four times the targets then gets the best utility at 0.63 of the other's coverage.
+/// In domains of 37 targets it starts with 4 groups of sixteen where 4.3 are filled, while the
+/// other has 32 groups of four where 17 are filled: its callers are late from the start, and half
+/// of them are refused once targets are lost. The layout should have 6 and 27 groups.
 #[gtest]
 fn each_model_starts_with_more_groups_than_its_callers_fill() {
     let case = LARGE_DOMAINS;
@@ -361,14 +361,15 @@
             .values()
             .map(|layout| layout.holders.get(model).copied().unwrap_or(0));
         let groups: usize = held.map(|held| held / case.sizes[index]).sum();
-        // One may be lost and being mended at any time.
+        // One group may be lost and under repair at any time.
         expect_that!(groups as f64, ge(case.demand[index] + 1.0), "{model}");
     }
 }
 
-/// Symptom, events and cause as above, with the losses: three targets every three seconds.
+/// As above, while three targets are lost every three seconds: both models must be affected alike.
 ///
-/// Callers of the larger model that find a place, in the mean of forty plays: 0.92 before, 0.99 after.
+/// Mean shares of the large model's callers served in forty simulations: 0.92 when groups were
+/// weighted by callers only, 0.99 with the geometric mean.
 #[gtest]
 fn losses_in_large_domains_cost_both_models_alike() {
     for has_dark in [false, true] {
--- a/crates/core/tests/properties.rs
+++ b/crates/core/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties of the decisions over random sequences of events.
+//! Properties of the decision logic over random sequences of events.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,7 +13,7 @@
 const POOL: &str = "pool";
 const SIZE: usize = 2;
 
-/// One thing that happens to two nodes that contest a lease.
+/// One event in a contest of two nodes for a lease.
 #[derive(Clone, Copy, Debug)]
 enum LeaseEvent {
     Read(usize),
@@ -57,7 +57,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, ..Default::default() })]
 
-    /// However reads, writes, answers and time fall, two nodes never hold the lease at once.
+    /// Two nodes never hold the lease at once, in any order of reads, writes, responses and delays.
     #[test]
     fn lease_has_one_holder(events in prop::collection::vec(lease_event(), 1..120)) {
         let timing = LeaseTiming {
@@ -112,7 +112,8 @@
         }
     }
 
-    /// Whatever order entries arrive in, the version only rises and no entry is skipped.
+    /// Whatever the order in which entries arrive, the version only increases and no entry is
+    /// skipped.
     #[test]
     fn configuration_never_goes_back(versions in prop::collection::vec(1..12_u64, 1..60)) {
         let mut book = ConfigBook::default();
@@ -125,7 +126,7 @@
         }
     }
 
-    /// However a stream is cut into pieces, the same bytes and events come through.
+    /// However a stream is cut into chunks, the same bytes and events are passed on.
     #[test]
     fn scanner_passes_whole_events(cuts in prop::collection::vec(1..20_usize, 1..40), count in 0..12_usize) {
         let mut text: String = (0..count).map(|index| format!("data: token {index}\n\n")).collect();
@@ -148,7 +149,7 @@
         prop_assert_eq!(passed, text.as_bytes());
     }
 
-    /// Retries never pass the share of successes plus what was saved up.
+    /// Retries never exceed the configured share of successes plus the initial balance.
     #[test]
     fn retries_stay_within_their_share(outcomes in prop::collection::vec(any::<bool>(), 1..500)) {
         let mut budget = RetryBudget::open(100, 5);
@@ -164,7 +165,8 @@
         }
     }
 
-    /// While all wait, service goes to organisations in proportion to their weights.
+    /// While all organisations have waiting requests, they are served in proportion to their
+    /// weights.
     #[test]
     fn queue_is_fair(weights in prop::collection::vec(1..6_u32, 2..5)) {
         let mut queue = FairQueue::default();
@@ -186,7 +188,7 @@
         }
     }
 
-    /// When a node goes, only the machines it watched change hands.
+    /// When a node is removed, only the machines it watched are reassigned.
     #[test]
     fn watchers_move_little(count in 3..20_usize, vm in "[a-z]{1,8}") {
         let nodes: Vec<NodeId> = (0..count).map(|index| format!("n{index}")).collect();
@@ -196,7 +198,7 @@
         prop_assert!(after.contains(&&before[1]));
     }
 
-    /// Every plan is safe whatever the fleet looks like.
+    /// Every plan is safe for any state of the fleet.
     #[test]
     fn plans_are_safe(fleet in fleets(), millis in 0..10_000_u64) {
         let planner = GroupPlanner::new(Duration::from_secs(60), Duration::from_secs(1));
@@ -270,7 +272,8 @@
     fleet
 }
 
-/// Adds a machine: its condition says whether it is seen, and a group below four claims it.
+/// Adds a machine. `condition` 2 is a member of another incarnation, 3 an unreachable machine; a
+/// `group` below four claims it.
 fn add_machine(
     fleet: &mut FleetState,
     index: usize,
@@ -396,7 +399,8 @@
     Ok(())
 }
 
-/// Fleets as a map keep the planner's choice the same for the same input.
+/// The planner makes the same choices for the same input, because machines are kept in insertion
+/// order.
 #[test]
 fn plans_are_repeatable() {
     let machines = [
--- a/crates/core/tests/staging.rs
+++ b/crates/core/tests/staging.rs
@@ -1,4 +1,4 @@
-//! Groups that are given up for another model's: what is ordered, and in which order.
+//! Reassignment of groups to another model: which orders are sent, and in which sequence.
 
 use std::time::Duration;
 
@@ -14,7 +14,8 @@
 const LARGE: &str = "large";
 const SMALL: &str = "small";
 
-/// One domain whose targets do as they are told at once; only loads take until they are let go on.
+/// One domain whose targets carry out every order immediately, except for loads, which the test
+/// completes.
 struct DomainWorld {
     keeper: DomainReconciler,
     engine: EngineModel,
@@ -25,7 +26,7 @@
 }
 
 impl DomainWorld {
-    /// Opens a domain of eight targets with two open groups of four.
+    /// Creates a domain of eight targets with two open groups of four.
     fn open() -> Self {
         let models = [(LARGE, 4), (SMALL, 2)].map(|(id, size)| {
             let spec = ModelSpec {
@@ -67,7 +68,7 @@
         world
     }
 
-    /// Lets the keeper plan once and carries its orders out; returns them.
+    /// Runs one planning round, carries out its orders and returns them.
     fn round(&mut self) -> Vec<TargetOrder> {
         self.now += Duration::from_millis(50);
         let view = DomainView {
@@ -97,7 +98,7 @@
         let effect = order
             .action
             .effect(&order.target, facts.membership.as_ref());
-        // Joins and closes are done at once here.
+        // Joins and closes complete immediately.
         facts.membership = effect.map(|held| Membership {
             state: match held.state {
                 MembershipState::Joining | MembershipState::Closing => MembershipState::Ready,
@@ -145,7 +146,7 @@
     orders.iter().map(|order| order.action.name()).collect()
 }
 
-/// Guards against a group that is given up before other weights are there to serve with.
+/// A group must not be closed before its members hold the other model's weights.
 #[gtest]
 fn a_group_serves_until_its_members_have_the_other_weights() {
     let mut world = DomainWorld::open();
@@ -171,7 +172,7 @@
     expect_that!(world.open_groups(SMALL), eq(2));
 }
 
-/// Guards against a group that is given up for less than a whole one of the other model.
+/// A group must not be reassigned for less than a complete group of the other model.
 #[gtest]
 fn no_group_is_given_up_for_a_part_of_another() {
     let mut world = DomainWorld::open();
@@ -182,7 +183,7 @@
     expect_that!(world.open_groups(LARGE), eq(2));
 }
 
-/// Guards against members that load other weights though no group is beyond need.
+/// Members must not load other weights if no group is surplus.
 #[gtest]
 fn members_of_groups_that_are_needed_load_nothing() {
     let mut world = DomainWorld::open();
@@ -190,7 +191,8 @@
     expect_that!(world.rounds(5).len(), eq(0));
 }
 
-/// Guards against a group that is closed for good when its members' other weights are lost on the way.
+/// A group must keep serving if the demand for the other model ends before its members have all
+/// loaded.
 #[gtest]
 fn a_group_goes_on_when_the_need_has_passed() {
     let mut world = DomainWorld::open();
--- a/crates/core/tests/target_book.rs
+++ b/crates/core/tests/target_book.rs
@@ -1,11 +1,11 @@
-//! What the directory's entries tell of targets whose addresses are used again.
+//! Which directory entry is used when an address is reused.
 
 use std::time::Duration;
 
 use briarswitch_core::target::{TargetCache, TargetChange, TargetRecord};
 use googletest::prelude::*;
 
-/// Longer than any entry stays unused that gave way to one which is gone.
+/// Longer than a replaced entry stays unused after its replacement is gone.
 const LONG: Duration = Duration::from_secs(7);
 
 fn entry(id: &str) -> TargetChange {
@@ -44,7 +44,7 @@
     book.targets().keys().map(String::as_str).collect()
 }
 
-/// Guards against an ended target that counts as live as long as its entry stays.
+/// A terminated target must not count as live for as long as its entry remains.
 #[gtest]
 fn an_ended_target_gives_way_to_the_one_at_its_address() {
     let book = book([entry("old"), entry("new")]);
@@ -52,14 +52,14 @@
     expect_that!(book.unexpected_exits(), eq(1));
 }
 
-/// Guards against an entry that an ended target's last call writes again after its successor has come.
+/// The last call of a terminated target may rewrite its entry after its successor has appeared.
 #[gtest]
 fn an_entry_written_late_does_not_drive_out_the_one_at_its_address() {
     let book = book([entry("old"), removal("old"), entry("new"), entry("old")]);
     expect_that!(used(&book), elements_are![eq(&"new")]);
 }
 
-/// Guards against a list from some seconds before that makes the later target look like the earlier one.
+/// A list that is some seconds old must not make the newer target look like the older one.
 #[gtest]
 fn a_list_from_before_does_not_turn_the_order_of_targets_round() {
     let mut book = book([entry("old"), entry("new")]);
@@ -69,7 +69,7 @@
     expect_that!(used(&book), elements_are![eq(&"new")]);
 }
 
-/// Guards against a live target that is never used again because an ended one's entry was seen after its own.
+/// A live target must be used again if a terminated target's entry was seen after its own.
 #[gtest]
 fn an_entry_is_used_again_once_the_one_that_took_its_address_is_long_gone() {
     let mut book = book([entry("live"), entry("ended"), removal("ended")]);
@@ -81,7 +81,7 @@
     expect_false!(book.is_pending());
 }
 
-/// Guards against a whole list whose order would make an ended target the later one.
+/// The order within a complete list must not make a terminated target look like the newer one.
 #[gtest]
 fn of_a_whole_list_the_entry_written_last_has_the_address() {
     let mut book = TargetCache::default();
@@ -89,7 +89,7 @@
     expect_that!(used(&book), elements_are![eq(&"new")]);
 }
 
-/// Guards against a target that is dropped for another one at an address which it has left itself.
+/// A target must not be dropped for another one at an address that it has left.
 #[gtest]
 fn a_target_that_has_moved_stays_when_its_old_address_is_used_again() {
     let book = book([
