--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -34,10 +34,10 @@
     ///
     /// When it is full, keys that have not changed for `retention` are evicted, except those in
     /// use.
-    pub fn new(capacity: usize, keep: Duration) -> Self {
+    pub fn new(capacity: usize, retention: Duration) -> Self {
         Self {
             capacity,
-            retention: keep,
+            retention,
             entries: IndexMap::new(),
         }
     }
@@ -48,9 +48,9 @@
     /// use briarswitch_core::prelude::*;
     /// use std::time::Duration;
     ///
-    /// let mut book = ClaimCache::open(8, Duration::from_secs(60));
-    /// assert_eq!(book.begin("order-1", Duration::ZERO), None);
-    /// assert_eq!(book.begin("order-1", Duration::ZERO), Some(ClaimState::Open));
+    /// let mut cache = ClaimCache::new(8, Duration::from_secs(60));
+    /// assert_eq!(cache.begin("order-1", Duration::ZERO), None);
+    /// assert_eq!(cache.begin("order-1", Duration::ZERO), Some(ClaimState::Open));
     /// ```
     pub fn begin(&mut self, key: &str, now: Moment) -> Option<ClaimState> {
         if let Some((state, _)) = self.entries.get(key) {
@@ -118,8 +118,8 @@
         if self.entries.len() < self.capacity {
             return;
         }
-        let keep = self.retention;
+        let retention = self.retention;
         self.entries
-            .retain(|_, (state, at)| *state == ClaimState::Open || now < *at + keep);
+            .retain(|_, (state, at)| *state == ClaimState::Open || now < *at + retention);
     }
 }
--- a/crates/core/src/coverage.rs
+++ b/crates/core/src/coverage.rs
@@ -23,21 +23,20 @@
 /// Returns the utility of a number of groups; it grows more slowly the better the demand is
 /// covered.
 ///
-/// Because coverage is squared, a shortage of one model weighs more than a surplus of another: a
-/// model with just enough groups loses callers with each lost group, one with twice as many loses
-/// none.
+/// With the inverse square, a shortage of one model weighs more than a surplus of another: a model
+/// with just enough groups loses callers with each lost group, one with twice as many loses none.
 pub(crate) fn coverage_utility(groups: f64, demand: f64) -> f64 {
-    let cover = groups / demand.max(f64::MIN_POSITIVE);
-    -1.0 / (cover + COVERAGE_OFFSET).powi(2)
+    let coverage = groups / demand.max(f64::MIN_POSITIVE);
+    -1.0 / (coverage + COVERAGE_OFFSET).powi(2)
 }
 
 /// Returns the number of groups that each model's requests fill: as observed, or as declared while
 /// nothing has been observed.
 pub(crate) fn demand_by_model(models: &[&ModelSpec], demand: &IndexMap<ModelId, f64>) -> Vec<f64> {
-    let seen = models.iter().map(|model| demand.get(&model.id).copied());
-    let seen: Vec<f64> = seen.map(Option::unwrap_or_default).collect();
-    if seen.iter().any(|rate| *rate > 0.0) {
-        return seen;
+    let observed = models.iter().map(|model| demand.get(&model.id).copied());
+    let observed: Vec<f64> = observed.map(Option::unwrap_or_default).collect();
+    if observed.iter().any(|rate| *rate > 0.0) {
+        return observed;
     }
     // The declared share is that of the targets' work, so a model with large groups fills fewer.
     let declared = models.iter().map(|model| model.share / model.size as f64);
--- a/crates/core/src/layout.rs
+++ b/crates/core/src/layout.rs
@@ -19,7 +19,7 @@
 use crate::coverage::{coverage_utility, demand_by_model, model_weight};
 use crate::engine::{EngineModel, ModelSpec};
 use crate::id::{DomainId, ModelId, ZoneId};
-use crate::losses::{GroupTable, LossCase};
+use crate::losses::{LossParams, SurvivalTable};
 
 /// Share of the utility that is evaluated for each zone separately.
 ///
@@ -51,8 +51,8 @@
     /// use indexmap::IndexMap;
     ///
     /// let holders = IndexMap::from([("large".to_owned(), 5)]);
-    /// let stock = DomainInventory { holders, empty: 1, ..DomainInventory::default() };
-    /// assert_eq!(stock.targets(), 6);
+    /// let inventory = DomainInventory { holders, empty: 1, ..DomainInventory::default() };
+    /// assert_eq!(inventory.targets(), 6);
     /// ```
     pub fn targets(&self) -> usize {
         self.empty + self.holders.values().sum::<usize>()
@@ -127,7 +127,7 @@
     pub(crate) unreported_loads: Vec<f64>,
     /// Expected surviving groups by zone and model.
     surviving: Vec<Vec<f64>>,
-    table: GroupTable,
+    survival: SurvivalTable,
     phase: LayoutPhase,
 }
 
@@ -151,12 +151,12 @@
     ) -> Self {
         let sized = engine.models.values().filter(|model| model.size > 0);
         let models: Vec<&ModelSpec> = sized.collect();
-        let mut zones: Vec<&ZoneId> = domains.iter().map(|stock| &stock.zone).collect();
+        let mut zones: Vec<&ZoneId> = domains.iter().map(|inventory| &inventory.zone).collect();
         zones.sort_unstable();
         zones.dedup();
-        let drafts = domains.iter().map(|stock| {
-            let zone = zones.iter().position(|zone| **zone == stock.zone);
-            DomainDraft::new(stock, zone.unwrap_or_default(), &models, phase)
+        let drafts = domains.iter().map(|inventory| {
+            let zone = zones.iter().position(|zone| **zone == inventory.zone);
+            DomainDraft::new(inventory, zone.unwrap_or_default(), &models, phase)
         });
         let demand = demand_by_model(&models, demand);
         let weights = demand.iter().zip(&models);
@@ -169,7 +169,7 @@
             surviving: vec![vec![0.0; models.len()]; zones.len()],
             unreported_loads: vec![0.0; models.len()],
             models,
-            table: GroupTable::default(),
+            survival: SurvivalTable::default(),
             phase,
         };
         for index in 0..draft.domains.len() {
@@ -182,12 +182,12 @@
     fn add_expected_groups(&mut self, index: usize, sign: f64) {
         let domain = &self.domains[index];
         for (model, spec) in self.models.iter().enumerate() {
-            let left = self.table.left(LossCase {
+            let expected = self.survival.expected_groups(LossParams {
                 targets: domain.targets,
                 holders: domain.holders[model],
                 size: spec.size,
             });
-            self.surviving[domain.zone][model] += sign * left;
+            self.surviving[domain.zone][model] += sign * expected;
         }
     }
 
@@ -196,19 +196,19 @@
     /// Returns, by model, how many were assigned in domains that do not report their loads under
     /// way.
     pub(crate) fn assign_empty(&mut self) -> HolderCounts {
-        let mut unseen = vec![0; self.models.len()];
+        let mut unreported = vec![0; self.models.len()];
         loop {
             let mut is_done = true;
             for index in 0..self.domains.len() {
                 if self.domains[index].empty > 0 && !self.models.is_empty() {
                     let model = self.assign_one(index);
-                    let is_unseen = !self.domains[index].inventory.reports_loads;
-                    unseen[model] += usize::from(is_unseen);
+                    let is_unreported = !self.domains[index].inventory.reports_loads;
+                    unreported[model] += usize::from(is_unreported);
                     is_done = false;
                 }
             }
             if is_done {
-                return unseen;
+                return unreported;
             }
         }
     }
@@ -224,7 +224,7 @@
         let mut best: Option<(f64, usize)> = None;
         for model in models {
             let gain = self.best_gain(index, model, before);
-            if best.is_none_or(|(most, _)| gain > most) {
+            if best.is_none_or(|(highest, _)| gain > highest) {
                 best = Some((gain, model));
             }
         }
@@ -242,14 +242,14 @@
     /// with groups of sixteen for 20 s, while new targets loaded the other model.
     fn best_gain(&mut self, index: usize, model: usize, before: f64) -> f64 {
         let size = self.models[model].size;
-        let begun = self.domains[index].holders[model] % size;
-        let most = match self.phase {
-            LayoutPhase::Serving if begun > 0 => size - begun,
+        let filled = self.domains[index].holders[model] % size;
+        let max = match self.phase {
+            LayoutPhase::Serving if filled > 0 => size - filled,
             _ => 1,
         };
-        let gains = (1..=most).map(|count| {
-            let worth = self.utility_with(index, model, count);
-            (worth - before) / count as f64
+        let gains = (1..=max).map(|count| {
+            let utility = self.utility_with(index, model, count);
+            (utility - before) / count as f64
         });
         gains.fold(f64::NEG_INFINITY, f64::max)
     }
@@ -261,12 +261,12 @@
             domain.holders[model] += count;
             domain.targets += count - 1;
         });
-        let worth = self.utility();
+        let utility = self.utility();
         self.update_domain(index, |domain| {
             domain.holders[model] -= count;
             domain.targets -= count - 1;
         });
-        worth
+        utility
     }
 
     /// Modifies a domain and updates its expected surviving groups.
@@ -296,18 +296,18 @@
     /// Any permutation of them has the same utility. If the order depended on the search, a domain
     /// that registers slightly later would change what the others have been told to load.
     fn sort_equal_domains(&mut self) {
-        let mut alike: IndexMap<(usize, usize), Vec<usize>> = IndexMap::new();
+        let mut equal: IndexMap<(usize, usize), Vec<usize>> = IndexMap::new();
         for (index, domain) in self.domains.iter().enumerate() {
             let key = (domain.zone, domain.targets);
-            alike.entry(key).or_default().push(index);
+            equal.entry(key).or_default().push(index);
         }
-        for indices in alike.into_values() {
-            let held = indices
+        for indices in equal.into_values() {
+            let counts = indices
                 .iter()
                 .map(|index| self.domains[*index].holders.clone());
-            let mut held: Vec<HolderCounts> = held.collect();
-            held.sort_unstable_by(|left, right| right.cmp(left));
-            for (index, holders) in indices.into_iter().zip(held) {
+            let mut counts: Vec<HolderCounts> = counts.collect();
+            counts.sort_unstable_by(|left, right| right.cmp(left));
+            for (index, holders) in indices.into_iter().zip(counts) {
                 self.domains[index].holders = holders;
             }
         }
@@ -319,11 +319,11 @@
         for holders in options {
             self.domains[index].holders = holders;
             self.add_expected_groups(index, 1.0);
-            let worth = self.utility();
+            let utility = self.utility();
             self.add_expected_groups(index, -1.0);
             let holders = std::mem::take(&mut self.domains[index].holders);
-            if best.as_ref().is_none_or(|(most, _)| worth > *most) {
-                best = Some((worth, holders));
+            if best.as_ref().is_none_or(|(highest, _)| utility > *highest) {
+                best = Some((utility, holders));
             }
         }
         if let Some((_, holders)) = best {
@@ -334,7 +334,11 @@
 
     /// Returns the expected number of surviving groups of a model over all domains.
     pub(crate) fn surviving_groups(&self, model: usize) -> f64 {
-        self.surviving.iter().map(|left| left[model]).sum::<f64>() + self.unreported_loads[model]
+        self.surviving
+            .iter()
+            .map(|groups| groups[model])
+            .sum::<f64>()
+            + self.unreported_loads[model]
     }
 
     /// Returns the utility of the expected surviving groups over all models.
@@ -343,11 +347,11 @@
         let of_model = self.demand.iter().enumerate().map(|(model, demand)| {
             let all = self.surviving_groups(model);
             let of_zones = self.surviving.iter();
-            let of_zones = of_zones.map(|left| coverage_utility(left[model] * zones, *demand));
+            let of_zones = of_zones.map(|groups| coverage_utility(groups[model] * zones, *demand));
             let mean = of_zones.sum::<f64>() / zones.max(1.0);
-            let worth = (1.0 - ZONE_UTILITY_SHARE) * coverage_utility(all, *demand)
+            let utility = (1.0 - ZONE_UTILITY_SHARE) * coverage_utility(all, *demand)
                 + ZONE_UTILITY_SHARE * mean;
-            worth * self.weights[model]
+            utility * self.weights[model]
         });
         of_model.sum()
     }
@@ -355,12 +359,12 @@
     /// Returns the planned content of each domain.
     pub(crate) fn finish(self) -> IndexMap<DomainId, DomainLayout> {
         let mut order: Vec<usize> = (0..self.models.len()).collect();
-        let cover = |model: &usize| {
+        let coverage = |model: &usize| {
             let groups = self.domains.iter();
             let groups = groups.map(|domain| domain.holders[*model] / self.models[*model].size);
             groups.sum::<usize>() as f64 / self.demand[*model].max(f64::MIN_POSITIVE)
         };
-        order.sort_by(|left, right| cover(left).total_cmp(&cover(right)));
+        order.sort_by(|left, right| coverage(left).total_cmp(&coverage(right)));
         let layouts = self.domains.iter().map(|domain| {
             let holders = order.iter().map(|model| {
                 let id = self.models[*model].id.clone();
@@ -375,20 +379,20 @@
 
 impl<'a> DomainDraft<'a> {
     fn new(
-        stock: &'a DomainInventory,
+        inventory: &'a DomainInventory,
         zone: usize,
         models: &[&ModelSpec],
         phase: LayoutPhase,
     ) -> Self {
-        let held = models.iter().map(|model| stock.holders.get(&model.id));
+        let held = models.iter().map(|model| inventory.holders.get(&model.id));
         let held: HolderCounts = held.map(|count| count.copied().unwrap_or(0)).collect();
         let holders = match phase {
             LayoutPhase::Start => vec![0; models.len()],
             LayoutPhase::Serving => held,
         };
-        let targets = stock.targets();
+        let targets = inventory.targets();
         Self {
-            inventory: stock,
+            inventory,
             zone,
             targets,
             empty: targets - holders.iter().sum::<usize>(),
--- a/crates/core/src/losses.rs
+++ b/crates/core/src/losses.rs
@@ -10,11 +10,11 @@
 /// domain of nine three short on average; of 222 targets, a domain of 37 as many. A fixed fraction
 /// would be too little for the small domain, where a model would get a group next to another
 /// without a spare, and too much for the large one.
-const LOSS_ROOT: f64 = 1.25;
+const MAX_LOSSES_PER_SQRT_TARGETS: f64 = 1.25;
 
 /// Parameters of the expected number of surviving groups.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub(crate) struct LossCase {
+pub(crate) struct LossParams {
     /// Targets in the domain.
     pub(crate) targets: usize,
     /// Targets that hold the model's weights.
@@ -25,45 +25,45 @@
 
 /// Memoised expected numbers of surviving groups.
 #[derive(Default)]
-pub(crate) struct GroupTable {
-    left: IndexMap<LossCase, f64>,
+pub(crate) struct SurvivalTable {
+    expected: IndexMap<LossParams, f64>,
 }
 
-impl GroupTable {
+impl SurvivalTable {
     /// Returns the expected number of surviving groups.
-    pub(crate) fn left(&mut self, case: LossCase) -> f64 {
-        let left = self.left.entry(case);
-        *left.or_insert_with(|| expected_left(case))
+    pub(crate) fn expected_groups(&mut self, params: LossParams) -> f64 {
+        let expected = self.expected.entry(params);
+        *expected.or_insert_with(|| mean_surviving_groups(params))
     }
 }
 
 /// Returns the mean number of surviving groups over all loss counts up to the assumed maximum.
-fn expected_left(case: LossCase) -> f64 {
-    let most = ((case.targets as f64).sqrt() * LOSS_ROOT).round() as usize;
-    let cases = (0..=most).map(|losses| left_after(losses, case));
-    cases.sum::<f64>() / (most + 1) as f64
+fn mean_surviving_groups(params: LossParams) -> f64 {
+    let max = ((params.targets as f64).sqrt() * MAX_LOSSES_PER_SQRT_TARGETS).round() as usize;
+    let means = (0..=max).map(|losses| surviving_groups_after(losses, params));
+    means.sum::<f64>() / (max + 1) as f64
 }
 
 /// Returns the mean number of surviving groups after a given number of losses.
 ///
 /// Losses are drawn without replacement, so the number of lost holders follows a hypergeometric
 /// distribution.
-fn left_after(losses: usize, case: LossCase) -> f64 {
-    let LossCase {
+fn surviving_groups_after(losses: usize, params: LossParams) -> f64 {
+    let LossParams {
         targets,
         holders,
         size,
-    } = case;
-    let most = losses.min(holders);
-    let cases = (0..=most).map(|lost| {
-        let ways = choose(holders, lost) * choose(targets - holders, losses - lost);
+    } = params;
+    let max = losses.min(holders);
+    let weighted = (0..=max).map(|lost| {
+        let ways = binomial(holders, lost) * binomial(targets - holders, losses - lost);
         ways * ((holders - lost) / size) as f64
     });
-    cases.sum::<f64>() / choose(targets, losses).max(f64::MIN_POSITIVE)
+    weighted.sum::<f64>() / binomial(targets, losses).max(f64::MIN_POSITIVE)
 }
 
 /// Returns the binomial coefficient of `from` over `count`.
-fn choose(from: usize, count: usize) -> f64 {
+fn binomial(from: usize, count: usize) -> f64 {
     if count > from {
         return 0.0;
     }
--- a/crates/core/src/planner.rs
+++ b/crates/core/src/planner.rs
@@ -39,7 +39,7 @@
     /// use briarswitch_core::prelude::*;
     /// use std::time::Duration;
     ///
-    /// let planner = GroupPlanner::open(Duration::from_secs(60), Duration::from_secs(1));
+    /// let planner = GroupPlanner::new(Duration::from_secs(60), Duration::from_secs(1));
     /// assert!(planner.plan(&FleetState::default(), Duration::ZERO).is_empty());
     /// ```
     pub fn plan(&self, fleet: &FleetState, now: Moment) -> Vec<PlanStep> {
--- a/crates/core/src/target.rs
+++ b/crates/core/src/target.rs
@@ -158,8 +158,10 @@
     targets: TargetList,
     /// Target ids seen at each address, oldest first. Shared between clones, since it changes only
     /// when a target appears.
-    seen: Arc<IndexMap<String, Vec<TargetId>>>,
+    ids_by_address: Arc<IndexMap<String, Vec<TargetId>>>,
+    /// Targets missing after an outage, and when to remove them unless they are listed again.
     removal_due: IndexMap<TargetId, Moment>,
+    /// Group members without a directory entry.
     unlisted: TargetList,
     /// Listed targets whose address has since been taken by another target.
     replaced: TargetList,
@@ -190,14 +192,14 @@
         &self.unlisted
     }
 
-    /// Returns how many targets have disappeared or restarted so far without draining first.
+    /// Returns how many targets have restarted, or disappeared without draining first, so far.
     ///
     /// Entries that merely expired are included.
     ///
     /// ```
     /// use briarswitch_core::target::TargetCache;
     ///
-    /// assert_eq!(TargetCache::default().ended(), 0);
+    /// assert_eq!(TargetCache::default().unexpected_exits(), 0);
     /// ```
     pub fn unexpected_exits(&self) -> u64 {
         self.unexpected_exits
@@ -210,21 +212,23 @@
     /// ```
     /// use briarswitch_core::target::TargetCache;
     ///
-    /// let mut book = TargetCache::default();
-    /// book.forget_ended();
-    /// assert!(book.unlisted().is_empty());
+    /// let mut cache = TargetCache::default();
+    /// cache.prune_unlisted();
+    /// assert!(cache.unlisted().is_empty());
     /// ```
     pub fn prune_unlisted(&mut self) {
         if self.unlisted.is_empty() {
             return;
         }
-        let held = self.targets.values();
-        let held = held.filter_map(|record| record.membership.as_ref());
-        let known: IndexSet<(&GroupId, Epoch)> =
-            held.map(|held| (&held.group, held.epoch)).collect();
+        let memberships = self.targets.values();
+        let memberships = memberships.filter_map(|record| record.membership.as_ref());
+        let listed: IndexSet<(&GroupId, Epoch)> = memberships
+            .map(|membership| (&membership.group, membership.epoch))
+            .collect();
         self.unlisted.retain(|_, record| {
-            let held = record.membership.as_ref();
-            held.is_some_and(|held| known.contains(&(&held.group, held.epoch)))
+            let membership = record.membership.as_ref();
+            membership
+                .is_some_and(|membership| listed.contains(&(&membership.group, membership.epoch)))
         });
     }
 
@@ -249,8 +253,8 @@
     }
 
     fn put(&mut self, record: Arc<TargetRecord>) {
-        let held = self.targets.get(&record.id);
-        let is_known = held.is_some_and(|held| held.address == record.address);
+        let current = self.targets.get(&record.id);
+        let is_known = current.is_some_and(|current| current.address == record.address);
         if !is_known && !self.claim_address(&record) {
             self.drop_entry(&record.id);
             self.replaced.insert(record.id.clone(), record);
@@ -259,9 +263,10 @@
         self.removal_due.swap_remove(&record.id);
         self.unlisted.swap_remove(&record.id);
         self.replaced.swap_remove(&record.id);
-        let born = record.incarnation;
-        let before = self.targets.insert(record.id.clone(), record);
-        self.unexpected_exits += u64::from(before.is_some_and(|before| before.incarnation != born));
+        let incarnation = record.incarnation;
+        let previous = self.targets.insert(record.id.clone(), record);
+        let has_restarted = previous.is_some_and(|previous| previous.incarnation != incarnation);
+        self.unexpected_exits += u64::from(has_restarted);
     }
 
     /// Returns whether `record` is the newest target at its address; if so, the previous one is
@@ -271,15 +276,15 @@
         self.unlisted
             .retain(|id, other| *id == record.id || other.address != *address);
         self.note_seen(record);
-        let seen = &self.seen[address];
-        if seen.last() != Some(&record.id) {
+        let ids = &self.ids_by_address[address];
+        if ids.last() != Some(&record.id) {
             return false;
         }
-        let mut holders = seen.iter().filter(|id| **id != record.id);
-        if let Some(holder) = holders.find_map(|id| self.at_address(id, address)).cloned() {
-            self.unexpected_exits += u64::from(!holder.is_draining);
-            self.drop_entry(&holder.id);
-            self.replaced.insert(holder.id.clone(), holder);
+        let mut others = ids.iter().filter(|id| **id != record.id);
+        if let Some(previous) = others.find_map(|id| self.at_address(id, address)).cloned() {
+            self.unexpected_exits += u64::from(!previous.is_draining);
+            self.drop_entry(&previous.id);
+            self.replaced.insert(previous.id.clone(), previous);
         }
         true
     }
@@ -292,28 +297,28 @@
     }
 
     fn note_seen(&mut self, record: &TargetRecord) {
-        let seen = self.seen.get(&record.address);
-        if seen.is_some_and(|ids| ids.contains(&record.id)) {
+        let ids = self.ids_by_address.get(&record.address);
+        if ids.is_some_and(|ids| ids.contains(&record.id)) {
             return;
         }
-        let seen = Arc::make_mut(&mut self.seen);
-        let ids = seen.entry(record.address.clone()).or_default();
+        let ids_by_address = Arc::make_mut(&mut self.ids_by_address);
+        let ids = ids_by_address.entry(record.address.clone()).or_default();
         ids.push(record.id.clone());
         if ids.len() > MAX_TARGETS_PER_ADDRESS {
             ids.remove(0);
         }
-        if seen.len() > self.targets.len() + MAX_UNLISTED_ADDRESSES {
+        if ids_by_address.len() > self.targets.len() + MAX_UNLISTED_ADDRESSES {
             let targets = &self.targets;
             let is_listed = |ids: &[TargetId]| ids.iter().any(|id| targets.contains_key(id));
-            seen.retain(|address, ids| *address == record.address || is_listed(ids));
+            ids_by_address.retain(|address, ids| *address == record.address || is_listed(ids));
         }
     }
 
     /// Drops an entry that was not renewed; the target may keep working as a member of its group.
     fn remove_departed(&mut self, id: &TargetId) {
         let record = self.targets.get(id).cloned();
-        let is_sudden = record.as_ref().is_some_and(|record| !record.is_draining);
-        self.unexpected_exits += u64::from(is_sudden);
+        let is_unexpected = record.as_ref().is_some_and(|record| !record.is_draining);
+        self.unexpected_exits += u64::from(is_unexpected);
         self.drop_entry(id);
         let member = record.filter(|record| !record.is_draining && record.membership.is_some());
         if let Some(member) = member {
@@ -327,16 +332,17 @@
     /// successor for its predecessor.
     fn restore_replaced(&mut self, now: Moment) -> bool {
         let is_listed = |address: &str| {
-            let mut seen = self.seen.get(address).into_iter().flatten();
-            seen.any(|id| self.at_address(id, address).is_some())
+            let mut ids = self.ids_by_address.get(address).into_iter().flatten();
+            ids.any(|id| self.at_address(id, address).is_some())
         };
-        let vacant = self.replaced.values();
-        let vacant: IndexSet<TargetId> = vacant
+        let replaced = self.replaced.values();
+        let restorable: IndexSet<TargetId> = replaced
             .filter(|record| !is_listed(&record.address))
             .map(|record| record.id.clone())
             .collect();
-        self.address_free_since.retain(|id, _| vacant.contains(id));
-        for id in vacant {
+        self.address_free_since
+            .retain(|id, _| restorable.contains(id));
+        for id in restorable {
             self.address_free_since.entry(id).or_insert(now);
         }
         let due = self.address_free_since.iter();
@@ -394,7 +400,7 @@
         for id in &due {
             self.apply(TargetChange::Removed(id.clone()), None);
         }
-        let is_given_back = self.restore_replaced(now);
-        !due.is_empty() || is_given_back
+        let has_restored = self.restore_replaced(now);
+        !due.is_empty() || has_restored
     }
 }
