--- a/crates/core/src/assembly.rs
+++ b/crates/core/src/assembly.rs
@@ -116,19 +116,25 @@
 #[derive(Clone, Debug)]
 pub struct DomainReconciler {
     name_prefix: String,
-    count: u64,
+    formed_count: u64,
+    /// Orders without a result yet.
     in_flight: IndexMap<TargetId, TargetOrder>,
+    /// Targets that must report before they get another order.
     awaiting_report: IndexSet<TargetId>,
     forming: IndexMap<GroupId, FormingGroup>,
+    /// When each group was first found incomplete; zero if it can no longer be completed.
     incomplete_since: IndexMap<GroupId, Moment>,
     conflicts: u32,
     has_new_conflict: bool,
     backoff_until: Moment,
+    /// Groups being dissolved, with their leaders.
     dissolving: IndexMap<GroupId, TargetId>,
     /// Groups being closed because their targets now hold another model's weights.
     reassigning: IndexSet<GroupId>,
+    /// Groups whose leader has left, so that the other members can be reused.
     released: IndexSet<GroupId>,
     last_model: IndexMap<TargetId, LastModel>,
+    /// Targets that must report again before they can be chosen.
     stale_candidates: IndexSet<TargetId>,
 }
 
@@ -153,7 +159,7 @@
     pub fn new(prefix: impl Into<String>) -> Self {
         Self {
             name_prefix: prefix.into(),
-            count: 0,
+            formed_count: 0,
             in_flight: IndexMap::new(),
             awaiting_report: IndexSet::new(),
             forming: IndexMap::new(),
@@ -213,20 +219,20 @@
         self.prune(&view);
         let groups = self.groups(&view);
         let mut orders = Vec::new();
-        for (group, seen) in &groups {
-            orders.extend(self.reconcile_group(group, seen, &view, now));
+        for (group, observed) in &groups {
+            orders.extend(self.reconcile_group(group, observed, &view, now));
         }
         orders.extend(self.retry_joins(&view, &orders));
-        let mut free = self.free(&view, &orders);
+        let mut free = self.free_targets(&view, &orders);
         let mut budget = view.load_budget;
         self.back_off(now);
         if now < self.backoff_until {
             free.clear();
         }
-        let mut wanted = self.missing_groups(&groups, &view);
-        while let Some(candidate) = self.next_candidate(&wanted, &free, &view, budget) {
+        let mut missing = self.missing_groups(&groups, &view);
+        while let Some(candidate) = self.next_candidate(&missing, &free, &view, budget) {
             free.retain(|id| !candidate.members.contains(id));
-            if let Some(count) = wanted.get_mut(&candidate.model) {
+            if let Some(count) = missing.get_mut(&candidate.model) {
                 *count -= 1;
             }
             // The last report may be of an earlier incarnation. If a target has restarted under its
@@ -241,7 +247,7 @@
             }
             self.stale_candidates.extend(stale);
         }
-        self.reassign_surplus(&groups, &free, &wanted, &view);
+        self.reassign_surplus(&groups, &free, &missing, &view);
         let staged = self.stage(&free, &groups, &view, &orders, budget);
         orders.extend(staged);
         for order in &orders {
@@ -255,17 +261,17 @@
             return;
         }
         self.conflicts = (self.conflicts + 1).min(MAX_COUNTED_CONFLICTS);
-        let draw = xxh3_64(format!("{}-{}", self.name_prefix, self.count).as_bytes());
-        let share = 0.5 + (draw % 1_000) as f64 / 1_000.0;
-        let pause = MIN_CONFLICT_BACKOFF * 2_u32.pow(self.conflicts - 1);
-        self.backoff_until = now + pause.mul_f64(share);
+        let random = xxh3_64(format!("{}-{}", self.name_prefix, self.formed_count).as_bytes());
+        let factor = 0.5 + (random % 1_000) as f64 / 1_000.0;
+        let backoff = MIN_CONFLICT_BACKOFF * 2_u32.pow(self.conflicts - 1);
+        self.backoff_until = now + backoff.mul_f64(factor);
     }
 
     fn prune(&mut self, view: &DomainView<'_>) {
-        let is_there = |id: &TargetId| view.targets.contains_key(id);
-        self.in_flight.retain(|id, _| is_there(id));
-        self.awaiting_report.retain(is_there);
-        self.last_model.retain(|id, _| is_there(id));
+        let is_known = |id: &TargetId| view.targets.contains_key(id);
+        self.in_flight.retain(|id, _| is_known(id));
+        self.awaiting_report.retain(is_known);
+        self.last_model.retain(|id, _| is_known(id));
         for (id, facts) in view.targets {
             if let (Some(_), Some(model)) = (&facts.membership, &facts.model) {
                 let last = LastModel {
@@ -275,30 +281,35 @@
                 self.last_model.insert(id.clone(), last);
             }
         }
-        let named: IndexSet<&GroupId> = view
+        let reported: IndexSet<&GroupId> = view
             .targets
             .values()
-            .filter_map(|facts| facts.membership.as_ref().map(|held| &held.group))
+            .filter_map(|facts| {
+                facts
+                    .membership
+                    .as_ref()
+                    .map(|membership| &membership.group)
+            })
             .collect();
         self.incomplete_since
-            .retain(|group, _| named.contains(group));
+            .retain(|group, _| reported.contains(group));
         let ordered: IndexSet<GroupId> = self
             .in_flight
             .values()
             .filter_map(|order| order.action.group().cloned())
             .collect();
-        self.dissolving.retain(|group, _| named.contains(group));
-        self.reassigning.retain(|group| named.contains(group));
-        self.released.retain(|group| named.contains(group));
+        self.dissolving.retain(|group, _| reported.contains(group));
+        self.reassigning.retain(|group| reported.contains(group));
+        self.released.retain(|group| reported.contains(group));
         self.forming
-            .retain(|group, _| named.contains(group) || ordered.contains(group));
+            .retain(|group, _| reported.contains(group) || ordered.contains(group));
     }
 
     fn groups(&self, view: &DomainView<'_>) -> IndexMap<GroupId, ObservedGroup> {
         let mut groups = observe_groups(view);
-        for (group, seen) in &mut groups {
+        for (group, observed) in &mut groups {
             if let Some(forming) = self.forming.get(group) {
-                seen.model = Some(forming.model.clone());
+                observed.model = Some(forming.model.clone());
             }
         }
         groups
@@ -307,26 +318,27 @@
     fn reconcile_group(
         &mut self,
         group: &GroupId,
-        seen: &ObservedGroup,
+        observed: &ObservedGroup,
         view: &DomainView<'_>,
         now: Moment,
     ) -> Vec<TargetOrder> {
         if self.released.contains(group) {
             return Vec::new();
         }
-        let head = seen.members.get(&0);
-        let is_head_silent = head.is_some_and(|id| view.targets[id].status == TargetStatus::Silent);
-        let Some(head) = head.filter(|_| !is_head_silent) else {
+        let leader = observed.members.get(&0);
+        let is_leader_silent =
+            leader.is_some_and(|id| view.targets[id].status == TargetStatus::Silent);
+        let Some(leader) = leader.filter(|_| !is_leader_silent) else {
             // A missing leader may still be joining.
-            if !is_head_silent && self.may_complete(group, now) {
+            if !is_leader_silent && self.may_complete(group, now) {
                 return Vec::new();
             }
-            return self.disband(group, seen, view);
+            return self.disband(group, observed, view);
         };
-        let Some(held) = &view.targets[head].membership else {
+        let Some(membership) = &view.targets[leader].membership else {
             return Vec::new();
         };
-        let (epoch, state) = (held.epoch, held.state);
+        let (epoch, state) = (membership.epoch, membership.state);
         let is_served = matches!(state, MembershipState::Open | MembershipState::Closing);
         let leave = |reason| {
             let action = TargetAction::Leave {
@@ -337,12 +349,12 @@
         };
         let next = if state == MembershipState::Broken {
             Some(leave("head_broken"))
-        } else if view.targets[head].status == TargetStatus::Unlisted {
+        } else if view.targets[leader].status == TargetStatus::Unlisted {
             // If its members were reused before it has left, a delayed order to open could still
             // reach it.
             Some(leave("head_unlisted"))
-        } else if !seen.is_complete(view, is_served) {
-            let is_lost = seen
+        } else if !observed.is_complete(view, is_served) {
+            let is_lost = observed
                 .members
                 .values()
                 .any(|id| view.targets[id].status == TargetStatus::Silent);
@@ -351,16 +363,16 @@
             } else {
                 Some(leave("member_lost"))
             }
-        } else if !seen.has_chosen_incarnations(group, view) {
+        } else if !observed.has_chosen_incarnations(group, view) {
             Some(leave("member_restarted"))
         } else {
             self.incomplete_since.swap_remove(group);
-            self.next_action(group, seen, view, state, epoch)
+            self.next_action(group, observed, view, state, epoch)
         };
         if let Some((TargetAction::Leave { .. }, _)) = &next {
-            self.dissolving.insert(group.clone(), head.clone());
+            self.dissolving.insert(group.clone(), leader.clone());
         }
-        next.and_then(|(action, reason)| self.order(head, action, reason, view))
+        next.and_then(|(action, reason)| self.order(leader, action, reason, view))
             .into_iter()
             .collect()
     }
@@ -368,20 +380,21 @@
     fn next_action(
         &self,
         group: &GroupId,
-        seen: &ObservedGroup,
+        observed: &ObservedGroup,
         view: &DomainView<'_>,
         state: MembershipState,
         epoch: Epoch,
     ) -> Option<(TargetAction, &'static str)> {
-        let is_given = self.reassigning.contains(group);
+        let is_reassigned = self.reassigning.contains(group);
         let group = group.clone();
-        let is_draining = seen
+        let is_draining = observed
             .members
             .values()
             .any(|id| view.targets[id].status == TargetStatus::Draining);
-        let are_ready = seen.members.iter().all(|(rank, id)| {
-            let held = view.targets[id].membership.as_ref();
-            *rank == 0 || held.is_some_and(|held| held.state == MembershipState::Ready)
+        let are_ready = observed.members.iter().all(|(rank, id)| {
+            let membership = view.targets[id].membership.as_ref();
+            *rank == 0
+                || membership.is_some_and(|membership| membership.state == MembershipState::Ready)
         });
         match (state, is_draining) {
             (MembershipState::Open, true) => {
@@ -390,10 +403,10 @@
             (MembershipState::Ready | MembershipState::Joining, true) => {
                 Some((TargetAction::Leave { group, epoch }, "member_draining"))
             }
-            (MembershipState::Open, false) if is_given => {
+            (MembershipState::Open, false) if is_reassigned => {
                 Some((TargetAction::Close { group, epoch }, "exchanged"))
             }
-            (MembershipState::Ready, false) if is_given => {
+            (MembershipState::Ready, false) if is_reassigned => {
                 Some((TargetAction::Leave { group, epoch }, "exchanged"))
             }
             (MembershipState::Ready, false) if are_ready => {
@@ -410,30 +423,30 @@
     /// has begun at the target since. With a newer condition it could return a target to a group it
     /// was ordered to leave and whose other members have already been reused.
     fn retry_joins(&self, view: &DomainView<'_>, orders: &[TargetOrder]) -> Vec<TargetOrder> {
-        let mut again = Vec::new();
+        let mut retries = Vec::new();
         for (group, forming) in &self.forming {
-            let is_given_up = self.incomplete_since.get(group) == Some(&Moment::ZERO);
+            let cannot_complete = self.incomplete_since.get(group) == Some(&Moment::ZERO);
             let is_ending = self.released.contains(group) || self.dissolving.contains_key(group);
-            if is_given_up || is_ending {
+            if cannot_complete || is_ending {
                 continue;
             }
             let due = forming.orders(group, "join_again").filter(|order| {
                 let facts = view.targets.get(&order.target);
-                let is_unmoved = facts.is_some_and(|facts| {
-                    let held = facts.membership.as_ref();
+                let is_unchanged = facts.is_some_and(|facts| {
+                    let membership = facts.membership.as_ref();
                     facts.status == TargetStatus::Live
                         && facts.incarnation == order.incarnation
                         && facts.sequence == order.expected
-                        && held.is_none_or(|held| held.group != *group)
+                        && membership.is_none_or(|membership| membership.group != *group)
                 });
-                is_unmoved
+                is_unchanged
                     && !self.in_flight.contains_key(&order.target)
                     && !self.awaiting_report.contains(&order.target)
                     && !orders.iter().any(|other| other.target == order.target)
             });
-            again.extend(due);
+            retries.extend(due);
         }
-        again
+        retries
     }
 
     /// Returns whether an incomplete group may still be completed.
@@ -453,13 +466,13 @@
     fn disband(
         &mut self,
         group: &GroupId,
-        seen: &ObservedGroup,
+        observed: &ObservedGroup,
         view: &DomainView<'_>,
     ) -> Vec<TargetOrder> {
         let mut orders = Vec::new();
-        for id in seen.members.values() {
+        for id in observed.members.values() {
             let facts = &view.targets[id];
-            let Some(held) = facts.membership.as_ref() else {
+            let Some(membership) = facts.membership.as_ref() else {
                 continue;
             };
             if facts.status == TargetStatus::Silent {
@@ -467,7 +480,7 @@
             }
             let action = TargetAction::Leave {
                 group: group.clone(),
-                epoch: held.epoch,
+                epoch: membership.epoch,
             };
             orders.extend(self.order(id, action, "head_lost", view));
         }
@@ -493,13 +506,15 @@
         })
     }
 
-    fn free(&self, view: &DomainView<'_>, orders: &[TargetOrder]) -> Vec<TargetId> {
+    fn free_targets(&self, view: &DomainView<'_>, orders: &[TargetOrder]) -> Vec<TargetId> {
         let is_free = |id: &TargetId, facts: &TargetFacts| {
-            let is_out = match &facts.membership {
+            let is_available = match &facts.membership {
                 None => true,
-                Some(held) => self.released.contains(&held.group) && held.rank != 0,
+                Some(membership) => {
+                    self.released.contains(&membership.group) && membership.rank != 0
+                }
             };
-            is_out
+            is_available
                 && facts.status == TargetStatus::Live
                 && !self.in_flight.contains_key(id)
                 && !self.awaiting_report.contains(id)
@@ -522,23 +537,23 @@
         };
         let lacking = view.layout.holders.iter().map(|(model, holders)| {
             let size = view.engine.models.get(model).map_or(1, |model| model.size);
-            let held = groups
-                .iter()
-                .filter(|(group, seen)| seen.model.as_ref() == Some(model) && is_staying(group));
+            let existing = groups.iter().filter(|(group, observed)| {
+                observed.model.as_ref() == Some(model) && is_staying(group)
+            });
             let count = holders / size.max(1);
-            (model.clone(), count.saturating_sub(held.count()))
+            (model.clone(), count.saturating_sub(existing.count()))
         });
         lacking.collect()
     }
 
     fn next_candidate(
         &self,
-        wanted: &IndexMap<ModelId, usize>,
+        missing: &IndexMap<ModelId, usize>,
         free: &[TargetId],
         view: &DomainView<'_>,
         budget: usize,
     ) -> Option<Candidate> {
-        let lacking = wanted.iter().filter(|(_, count)| **count > 0);
+        let lacking = missing.iter().filter(|(_, count)| **count > 0);
         let mut models = lacking.filter_map(|(id, _)| view.engine.models.get(id));
         models.find_map(|model| self.candidate(model, free, view, budget))
     }
@@ -588,17 +603,17 @@
     }
 
     fn form(&mut self, candidate: Candidate, view: &DomainView<'_>) -> Vec<TargetOrder> {
-        self.count += 1;
-        let lives = candidate.members.iter();
-        let lives = lives.map(|id| (id, view.targets[id].incarnation));
+        self.formed_count += 1;
+        let incarnations = candidate.members.iter();
+        let incarnations = incarnations.map(|id| (id, view.targets[id].incarnation));
         let group = format!(
             "{}-{}-{}",
             self.name_prefix,
-            self.count,
-            incarnations_suffix(lives)
+            self.formed_count,
+            incarnations_suffix(incarnations)
         );
-        let seen = view.targets.values().map(|facts| facts.epoch_seen);
-        let epoch = (seen.max().unwrap_or(0) + 1).max(view.epoch_floor);
+        let epochs = view.targets.values().map(|facts| facts.epoch_seen);
+        let epoch = (epochs.max().unwrap_or(0) + 1).max(view.epoch_floor);
         let expected = candidate.members.iter().map(|id| {
             let facts = &view.targets[id];
             (facts.incarnation, facts.sequence)
--- a/crates/core/src/assembly/observed.rs
+++ b/crates/core/src/assembly/observed.rs
@@ -33,13 +33,13 @@
         (0..model.size).all(|rank| {
             let facts = self.members.get(&rank).map(|id| &view.targets[id]);
             facts.is_some_and(|facts| {
-                let held = facts.membership.as_ref();
+                let membership = facts.membership.as_ref();
                 let is_counted = match facts.status {
                     TargetStatus::Live | TargetStatus::Draining => true,
                     TargetStatus::Unlisted => is_served,
                     TargetStatus::Silent => false,
                 };
-                is_counted && held.is_some_and(|held| held.epoch == self.epoch)
+                is_counted && membership.is_some_and(|membership| membership.epoch == self.epoch)
             })
         })
     }
@@ -57,8 +57,11 @@
 pub(super) fn observe_groups(view: &DomainView<'_>) -> IndexMap<GroupId, ObservedGroup> {
     let mut members: IndexMap<&GroupId, Vec<(&TargetId, &Membership)>> = IndexMap::new();
     for (id, facts) in view.targets {
-        if let Some(held) = &facts.membership {
-            members.entry(&held.group).or_default().push((id, held));
+        if let Some(membership) = &facts.membership {
+            members
+                .entry(&membership.group)
+                .or_default()
+                .push((id, membership));
         }
     }
     members.sort_keys();
@@ -74,10 +77,13 @@
     view: &DomainView<'_>,
 ) -> ObservedGroup {
     let mut claims = RankClaims::new();
-    for (id, held) in members {
-        claims.entry(held.rank).or_default().push((*id).clone());
+    for (id, membership) in members {
+        claims
+            .entry(membership.rank)
+            .or_default()
+            .push((*id).clone());
     }
-    let epochs = members.iter().map(|(_, held)| held.epoch);
+    let epochs = members.iter().map(|(_, membership)| membership.epoch);
     let models = members.iter().map(|(id, _)| &view.targets[*id].model);
     ObservedGroup {
         epoch: epochs.max().unwrap_or_default(),
@@ -123,9 +129,11 @@
 /// including a successor, can tell that this is not the group that was formed, and dissolves it
 /// instead of opening it.
 pub(super) fn incarnations_suffix<'a>(
-    lives: impl Iterator<Item = (&'a TargetId, Incarnation)>,
+    incarnations: impl Iterator<Item = (&'a TargetId, Incarnation)>,
 ) -> String {
-    let list: Vec<String> = lives.map(|(id, born)| format!("{id}/{born}")).collect();
+    let list: Vec<String> = incarnations
+        .map(|(id, incarnation)| format!("{id}/{incarnation}"))
+        .collect();
     format!("{:08x}", xxh3_64(list.join(" ").as_bytes()) as u32)
 }
 
@@ -135,6 +143,6 @@
     members: impl Iterator<Item = &'a TargetId>,
     view: &DomainView<'_>,
 ) -> bool {
-    let lives = members.map(|id| (id, view.targets[id].incarnation));
-    group.ends_with(&incarnations_suffix(lives))
+    let incarnations = members.map(|id| (id, view.targets[id].incarnation));
+    group.ends_with(&incarnations_suffix(incarnations))
 }
--- a/crates/core/src/assembly/staging.rs
+++ b/crates/core/src/assembly/staging.rs
@@ -40,7 +40,7 @@
     /// assert_eq!(loading.next_model(), Some(&small));
     /// ```
     pub fn next_model(&self) -> Option<&'a ModelId> {
-        let state = self.membership.map(|held| held.state);
+        let state = self.membership.map(|membership| membership.state);
         let member = self.model.filter(|_| state.is_some());
         if state == Some(MembershipState::Joining) && member.is_some() {
             return member;
@@ -53,13 +53,13 @@
     /// Returns the model that a target can serve next.
     pub(super) fn next_model(&self, id: &TargetId) -> Option<&ModelId> {
         let facts = &self.targets[id];
-        let held = HeldWeights {
+        let weights = HeldWeights {
             membership: facts.membership.as_ref(),
             model: facts.model.as_ref(),
             staged: &facts.staged,
             loading: self.loading.get(id).filter(|_| facts.is_busy),
         };
-        held.next_model()
+        weights.next_model()
     }
 
     /// Returns whether a target holds a model's weights or will hold them after its current load.
@@ -106,28 +106,29 @@
         budget: usize,
     ) -> Vec<TargetOrder> {
         let mut idle: Vec<&TargetId> = free.iter().collect();
-        let given = self.surplus_groups(groups, view);
-        let mut givers: Vec<&TargetId> = given.values().flatten().copied().collect();
-        givers.retain(|id| !orders.iter().any(|order| order.target == **id));
+        let surplus = self.surplus_groups(groups, view);
+        let mut surplus_members: Vec<&TargetId> = surplus.values().flatten().copied().collect();
+        surplus_members.retain(|id| !orders.iter().any(|order| order.target == **id));
         let mut staged = Vec::new();
         for (model, holders) in &view.layout.holders {
             let members = view.targets.iter().filter(|(id, facts)| {
-                let is_given = facts.membership.as_ref().is_some_and(|held| {
-                    given.contains_key(&held.group) || self.reassigning.contains(&held.group)
+                let is_reassigned = facts.membership.as_ref().is_some_and(|membership| {
+                    surplus.contains_key(&membership.group)
+                        || self.reassigning.contains(&membership.group)
                 });
                 // Weights staged on a member's host cannot be used while its group remains.
-                let held = if is_given {
+                let usable = if is_reassigned {
                     view.next_model(id)
                 } else {
                     facts.model.as_ref()
                 };
-                facts.membership.is_some() && !free.contains(*id) && held == Some(model)
+                facts.membership.is_some() && !free.contains(*id) && usable == Some(model)
             });
             let lacking = holders.saturating_sub(members.count());
             let lacking = take_holders(&mut idle, model, lacking, view);
             let mut chosen = take_movable(&mut idle, lacking, view);
             chosen.extend(take_members(
-                &mut givers,
+                &mut surplus_members,
                 model,
                 lacking - chosen.len(),
                 view,
@@ -161,32 +162,32 @@
         groups: &'a IndexMap<GroupId, ObservedGroup>,
         view: &DomainView<'_>,
     ) -> IndexMap<&'a GroupId, Vec<&'a TargetId>> {
-        let mut givers = IndexMap::new();
+        let mut surplus = IndexMap::new();
         if view.may_load_on_join {
             // Nobody is served yet, and the layout changes with each target that registers.
-            return givers;
+            return surplus;
         }
         for model in view.engine.models.keys() {
-            let of_model = groups.iter().filter(|(id, seen)| {
+            let of_model = groups.iter().filter(|(id, observed)| {
                 let is_staying =
                     !self.dissolving.contains_key(*id) && !self.reassigning.contains(*id);
-                seen.model.as_ref() == Some(model) && is_staying && is_serving(seen, view)
+                observed.model.as_ref() == Some(model) && is_staying && is_serving(observed, view)
             });
             let mut of_model: Vec<(&GroupId, &ObservedGroup)> = of_model.collect();
             let holders = view.layout.holders.get(model).copied().unwrap_or(0);
             let kept = holders / view.size_of(model).max(1);
-            let surplus = of_model.len().saturating_sub(kept);
-            let staying = |seen: &ObservedGroup| {
-                let members = seen.members.values();
+            let count = of_model.len().saturating_sub(kept);
+            let staying = |observed: &ObservedGroup| {
+                let members = observed.members.values();
                 let staying = members.filter(|id| view.next_model(id) == Some(model));
                 staying.count()
             };
-            of_model.sort_by_key(|(_, seen)| staying(seen));
-            for (id, seen) in of_model.into_iter().take(surplus) {
-                givers.insert(id, seen.members.values().collect());
+            of_model.sort_by_key(|(_, observed)| staying(observed));
+            for (id, observed) in of_model.into_iter().take(count) {
+                surplus.insert(id, observed.members.values().collect());
             }
         }
-        givers
+        surplus
     }
 
     /// Reassigns groups whose members, together with free targets, can serve a model that lacks
@@ -198,20 +199,20 @@
         &mut self,
         groups: &IndexMap<GroupId, ObservedGroup>,
         free: &[TargetId],
-        wanted: &IndexMap<ModelId, usize>,
+        missing: &IndexMap<ModelId, usize>,
         view: &DomainView<'_>,
     ) {
-        if wanted.values().all(|count| *count == 0) {
+        if missing.values().all(|count| *count == 0) {
             return;
         }
-        let givers = self.surplus_groups(groups, view);
-        for (model, _) in wanted.iter().filter(|(_, count)| **count > 0) {
-            let given = self.reassigning.iter().filter_map(|id| groups.get(id));
-            let given = given.flat_map(|seen| seen.members.values());
-            let coming = free.iter().chain(given);
-            let mut ready = coming.filter(|id| view.is_ready_for(id, model)).count();
+        let surplus = self.surplus_groups(groups, view);
+        for (model, _) in missing.iter().filter(|(_, count)| **count > 0) {
+            let reassigned = self.reassigning.iter().filter_map(|id| groups.get(id));
+            let reassigned = reassigned.flat_map(|observed| observed.members.values());
+            let available = free.iter().chain(reassigned);
+            let mut ready = available.filter(|id| view.is_ready_for(id, model)).count();
             let mut chosen = Vec::new();
-            for (group, members) in &givers {
+            for (group, members) in &surplus {
                 if ready >= view.size_of(model) {
                     break;
                 }
@@ -231,11 +232,11 @@
 }
 
 /// Returns whether a group is open and all its members are live.
-fn is_serving(seen: &ObservedGroup, view: &DomainView<'_>) -> bool {
-    let head = seen.members.get(&0).map(|id| &view.targets[id]);
-    let held = head.and_then(|facts| facts.membership.as_ref());
-    held.is_some_and(|held| held.state == MembershipState::Open)
-        && seen
+fn is_serving(observed: &ObservedGroup, view: &DomainView<'_>) -> bool {
+    let leader = observed.members.get(&0).map(|id| &view.targets[id]);
+    let membership = leader.and_then(|facts| facts.membership.as_ref());
+    membership.is_some_and(|membership| membership.state == MembershipState::Open)
+        && observed
             .members
             .values()
             .all(|id| view.targets[id].status == TargetStatus::Live)
@@ -276,7 +277,7 @@
 
 /// Removes up to `count` members of surplus groups that can load a model's weights from a list.
 fn take_members<'a>(
-    givers: &mut Vec<&'a TargetId>,
+    surplus_members: &mut Vec<&'a TargetId>,
     model: &ModelId,
     count: usize,
     view: &DomainView<'_>,
@@ -286,9 +287,9 @@
         let serves = view.next_model(id) == facts.model.as_ref();
         serves && !facts.is_busy && facts.model.as_ref() != Some(model)
     };
-    let mut members = givers.clone();
+    let mut members = surplus_members.clone();
     members.retain(|id| can_load(id));
     members.truncate(count);
-    givers.retain(|id| !members.contains(id));
+    surplus_members.retain(|id| !members.contains(id));
     members
 }
--- a/crates/core/src/draft.rs
+++ b/crates/core/src/draft.rs
@@ -43,18 +43,18 @@
     pub(crate) fn new(
         fleet: &'a FleetState,
         now: Moment,
-        patience: Duration,
+        replacement_delay: Duration,
         grace: Duration,
     ) -> Self {
-        let mut ranked: Vec<_> = fleet.deployments.values().collect();
-        ranked.sort_by_key(|deployment| Reverse(deployment.priority));
+        let mut by_priority: Vec<_> = fleet.deployments.values().collect();
+        by_priority.sort_by_key(|deployment| Reverse(deployment.priority));
         Self {
             fleet,
             now,
-            replacement_delay: patience,
+            replacement_delay,
             grace,
             free: FreePool::new(fleet),
-            by_priority: ranked,
+            by_priority,
             dissolved: BTreeSet::new(),
             repaired: BTreeSet::new(),
             load_budget: fleet.load_budget,
@@ -68,18 +68,18 @@
         let mut counts: IndexMap<&DeploymentId, u32> = IndexMap::new();
         for group in active_groups(fleet) {
             let Some((size, wanted, weights)) = replica_params(fleet, &group.deployment) else {
-                self.dissolve(&group.id, "its deployment is gone");
+                self.dissolve(&group.id, "its deployment was deleted");
                 continue;
             };
             if group.members.len() != size {
-                self.dissolve(&group.id, "its deployment changed the size of a replica");
+                self.dissolve(&group.id, "the replica size of its deployment has changed");
                 continue;
             }
             let count = counts.entry(&group.deployment).or_default();
             *count += 1;
             let keeps_extra = prefers_extra(weights) && wanted > 0;
             if *count > wanted && !keeps_extra {
-                self.dissolve(&group.id, "more replicas stand than are wanted");
+                self.dissolve(&group.id, "more replicas than configured");
             }
         }
     }
@@ -148,12 +148,12 @@
     fn repair(&mut self, broken: &BrokenGroup<'a>) -> bool {
         let lacking = broken.group.members.len() - broken.kept.len();
         let key = (broken.pool.clone(), broken.domain.clone());
-        let warm = self.free.count_preloaded(&key, &broken.group.deployment);
+        let preloaded = self.free.count_preloaded(&key, &broken.group.deployment);
         // Using a spare that already holds the weights is better than waiting for a lost machine.
-        if !broken.is_overdue && warm < lacking {
+        if !broken.is_overdue && preloaded < lacking {
             return false;
         }
-        let loads = lacking.saturating_sub(warm);
+        let loads = lacking.saturating_sub(preloaded);
         if loads > self.load_budget {
             return false;
         }
@@ -167,7 +167,7 @@
         self.steps.push(PlanStep::Repair {
             group: broken.group.id.clone(),
             members,
-            reason: format!("{lacking} of its members were lost and machines are free"),
+            reason: format!("{lacking} members were lost and free machines are available"),
         });
         true
     }
@@ -177,13 +177,13 @@
     /// formed in the same round.
     fn relocate(&mut self, broken: &BrokenGroup<'a>) -> bool {
         let size = broken.group.members.len();
-        let is_elsewhere = self.free.best_fit(&broken.pool, size).is_some();
-        if !broken.is_overdue || size > self.load_budget || !is_elsewhere {
+        let fits_elsewhere = self.free.best_fit(&broken.pool, size).is_some();
+        if !broken.is_overdue || size > self.load_budget || !fits_elsewhere {
             return false;
         }
         self.dissolve(
             &broken.group.id,
-            "another fabric domain can hold a whole group",
+            "another fabric domain has room for a complete group",
         );
         true
     }
@@ -209,7 +209,7 @@
                 steps.push(PlanStep::Preload {
                     vm: vm.id.clone(),
                     deployment: deployment.clone(),
-                    reason: "a spare that holds the weights ends an outage sooner".to_owned(),
+                    reason: "a spare with preloaded weights shortens an outage".to_owned(),
                 });
             }
         }
@@ -251,12 +251,12 @@
     /// In each domain, dissolves an expendable group, or else the weakest broken groups, so that
     /// their machines can complete the strongest broken group.
     fn break_up(&mut self, waiting: Vec<BrokenGroup<'a>>) {
-        let mut places: IndexMap<PoolDomain, Vec<BrokenGroup<'a>>> = IndexMap::new();
+        let mut by_domain: IndexMap<PoolDomain, Vec<BrokenGroup<'a>>> = IndexMap::new();
         for group in waiting.into_iter().filter(|group| group.is_overdue) {
             let key = (group.pool.clone(), group.domain.clone());
-            places.entry(key).or_default().push(group);
+            by_domain.entry(key).or_default().push(group);
         }
-        for (key, groups) in places {
+        for (key, groups) in by_domain {
             self.break_up_in_domain(&key, &groups);
         }
     }
@@ -269,9 +269,9 @@
         let lacking = strongest.group.members.len() - strongest.kept.len();
         let free = self.free.count(key);
         let mut gained = free;
-        if let Some(spare) = self.expendable_group(key, strongest) {
-            let reason = format!("its machines complete {}", strongest.group.id);
-            self.dissolve(&spare, &reason);
+        if let Some(expendable) = self.expendable_group(key, strongest) {
+            let reason = format!("its machines are needed to complete {}", strongest.group.id);
+            self.dissolve(&expendable, &reason);
             return;
         }
         for weakest in groups[1..].iter().rev() {
@@ -279,7 +279,10 @@
                 break;
             }
             gained += weakest.kept.len();
-            let reason = format!("its survivors complete {}", strongest.group.id);
+            let reason = format!(
+                "its remaining members are needed to complete {}",
+                strongest.group.id
+            );
             self.dissolve(&weakest.group.id, &reason);
         }
     }
@@ -343,13 +346,13 @@
             let Some((size, wanted, _)) = replica_params(self.fleet, &deployment.id) else {
                 continue;
             };
-            let mut standing = self.count_active(&deployment.id);
-            while standing < wanted {
-                if !self.form(deployment, size, "fewer replicas stand than are wanted") {
+            let mut active = self.count_active(&deployment.id);
+            while active < wanted {
+                if !self.form(deployment, size, "fewer replicas than configured") {
                     self.preempt_for(deployment, size);
                     break;
                 }
-                standing += 1;
+                active += 1;
             }
         }
     }
@@ -430,7 +433,7 @@
             .min_by_key(|(priority, _)| *priority);
         if let Some((_, group)) = candidate {
             let reason = format!(
-                "{} has a higher priority and lacks a replica",
+                "{} has a higher priority and is missing a replica",
                 deployment.id
             );
             self.dissolve(&group.id, &reason);
--- a/crates/core/src/free_pool.rs
+++ b/crates/core/src/free_pool.rs
@@ -19,15 +19,12 @@
 impl<'a> FreePool<'a> {
     /// Collects all machines that may be claimed.
     pub(crate) fn new(fleet: &'a FleetState) -> Self {
-        let mut places: IndexMap<PoolDomain, Vec<&Vm>> = IndexMap::new();
+        let mut by_domain: IndexMap<PoolDomain, Vec<&Vm>> = IndexMap::new();
         for facts in fleet.vms.values().filter(|facts| facts.is_free()) {
             let key = (facts.vm.pool.clone(), facts.vm.domain.clone());
-            places.entry(key).or_default().push(&facts.vm);
-        }
-        Self {
-            fleet,
-            by_domain: places,
+            by_domain.entry(key).or_default().push(&facts.vm);
         }
+        Self { fleet, by_domain }
     }
 
     /// Returns the free machines by pool and domain.
@@ -84,18 +81,18 @@
         count: usize,
         deployment: &str,
     ) -> Option<Vec<GroupMember>> {
-        let places: Vec<PoolDomain> = self
+        let domains: Vec<PoolDomain> = self
             .by_domain
             .keys()
             .filter(|(found, _)| found == pool)
             .cloned()
             .collect();
-        let total: usize = places.iter().map(|key| self.by_domain[key].len()).sum();
+        let total: usize = domains.iter().map(|key| self.by_domain[key].len()).sum();
         if total < count {
             return None;
         }
         let mut members = Vec::with_capacity(count);
-        for key in places {
+        for key in domains {
             let share = (count - members.len()).min(self.by_domain[&key].len());
             members.extend(self.take(&key, share, deployment).unwrap_or_default());
         }
--- a/crates/core/src/planner.rs
+++ b/crates/core/src/planner.rs
@@ -43,8 +43,8 @@
     /// assert!(planner.plan(&FleetState::default(), Duration::ZERO).is_empty());
     /// ```
     pub fn plan(&self, fleet: &FleetState, now: Moment) -> Vec<PlanStep> {
-        let patience = self.grace.max(self.history.patience(self.load_time));
-        let mut draft = PlanDraft::new(fleet, now, patience, self.grace);
+        let replacement_delay = self.grace.max(self.history.patience(self.load_time));
+        let mut draft = PlanDraft::new(fleet, now, replacement_delay, self.grace);
         draft.dissolve_surplus();
         draft.repair_broken();
         draft.form_wanted();
