--- a/crates/core/src/deployment.rs
+++ b/crates/core/src/deployment.rs
@@ -40,18 +40,18 @@
 }
 
 impl Deployment {
-    /// Validates the deployment and reports every error under the path `place`.
-    pub fn check(&self, place: &str) -> Vec<Finding> {
+    /// Validates the deployment and reports every error under `path`.
+    pub fn check(&self, path: &str) -> Vec<Finding> {
         let mut findings = Vec::new();
         if self.pool.is_empty() {
             findings.push(Finding::new(
-                format!("{place}.pool"),
+                format!("{path}.pool"),
                 "expected the name of a pool",
             ));
         }
         if self.target_in_flight == 0 {
             findings.push(Finding::new(
-                format!("{place}.target_in_flight"),
+                format!("{path}.target_in_flight"),
                 "expected 1 or more",
             ));
         }
@@ -61,7 +61,7 @@
         {
             if vms_per_replica == 0 {
                 findings.push(Finding::new(
-                    format!("{place}.vms_per_replica"),
+                    format!("{path}.vms_per_replica"),
                     "expected 1 or more",
                 ));
             }
--- a/crates/core/src/draft.rs
+++ b/crates/core/src/draft.rs
@@ -104,6 +104,8 @@
         self.break_up(waiting);
     }
 
+    /// Returns a group that has lost members, with its remaining members; `None` if it is
+    /// complete or its deployment was deleted.
     fn examine(&self, group: &'a GroupRecord) -> Option<BrokenGroup<'a>> {
         let deployment = self.fleet.deployments.get(&group.deployment)?;
         let mut kept = Vec::with_capacity(group.members.len());
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -74,7 +74,7 @@
         members: Vec<GroupMember>,
         /// Whether the members are in several fabric domains.
         spans_domains: bool,
-        /// Reason, for the logs.
+        /// Reason for the step.
         reason: String,
     },
     /// Replace members of a group and increment its generation.
@@ -83,7 +83,7 @@
         group: GroupId,
         /// Members by rank after the change.
         members: Vec<GroupMember>,
-        /// Reason, for the logs.
+        /// Reason for the step.
         reason: String,
     },
     /// Load weights on a free machine, so that it can replace a lost one immediately.
@@ -92,14 +92,14 @@
         vm: VmId,
         /// Deployment whose weights to load.
         deployment: DeploymentId,
-        /// Reason, for the logs.
+        /// Reason for the step.
         reason: String,
     },
     /// Release the machines of a group.
     Dissolve {
         /// Group to dissolve.
         group: GroupId,
-        /// Reason, for the logs.
+        /// Reason for the step.
         reason: String,
     },
 }
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -82,7 +82,7 @@
     node: NodeId,
     incarnation: Incarnation,
     timing: LeaseTiming,
-    seen: Option<ObservedRow>,
+    last_read: Option<ObservedRow>,
     pending: Option<PendingWrite>,
     held: Option<(Epoch, Moment)>,
     renewed: Moment,
@@ -95,7 +95,7 @@
             node,
             incarnation,
             timing,
-            seen: None,
+            last_read: None,
             pending: None,
             held: None,
             renewed: Moment::ZERO,
@@ -121,7 +121,9 @@
 
     /// Returns the row as last read.
     pub fn record(&self) -> Option<&LeaseRecord> {
-        self.seen.as_ref().and_then(|seen| seen.record.as_ref())
+        self.last_read
+            .as_ref()
+            .and_then(|last_read| last_read.record.as_ref())
     }
 
     /// Returns whether the result of a write is unknown, so that the row must be read.
@@ -138,12 +140,12 @@
     pub fn observe(&mut self, record: Option<LeaseRecord>, version: RowVersion, now: Moment) {
         self.resolve_pending(record.as_ref());
         let is_changed = self
-            .seen
+            .last_read
             .as_ref()
-            .is_none_or(|seen| seen.version != version);
+            .is_none_or(|last_read| last_read.version != version);
         if is_changed {
             self.drop_if_not_holder(record.as_ref());
-            self.seen = Some(ObservedRow {
+            self.last_read = Some(ObservedRow {
                 record,
                 version,
                 since: now,
@@ -156,18 +158,24 @@
         if self.pending.is_some() {
             return None;
         }
-        let seen = self.seen.as_ref()?;
-        let is_mine = seen.record.as_ref().is_some_and(|record| self.owns(record));
+        let last_read = self.last_read.as_ref()?;
+        let is_mine = last_read
+            .record
+            .as_ref()
+            .is_some_and(|record| self.owns(record));
         let is_due = if is_mine {
             now >= self.renewed + self.timing.renew || self.epoch(now).is_none()
         } else {
-            seen.record.as_ref().is_none_or(LeaseRecord::is_released)
-                || now >= seen.since + self.timing.duration + self.timing.margin
+            last_read
+                .record
+                .as_ref()
+                .is_none_or(LeaseRecord::is_released)
+                || now >= last_read.since + self.timing.duration + self.timing.margin
         };
         if !is_due {
             return None;
         }
-        let current = seen.record.as_ref().map_or(0, |record| record.epoch);
+        let current = last_read.record.as_ref().map_or(0, |record| record.epoch);
         let record = LeaseRecord {
             holder: self.node.clone(),
             incarnation: self.incarnation,
@@ -176,7 +184,7 @@
         };
         let proposal = LeaseWrite {
             record: record.clone(),
-            expected: seen.version,
+            expected: last_read.version,
             takes_over: !is_mine,
         };
         self.pending = Some(PendingWrite {
@@ -195,7 +203,7 @@
                     return;
                 };
                 self.hold(&write);
-                self.seen = Some(ObservedRow {
+                self.last_read = Some(ObservedRow {
                     record: Some(write.record),
                     version,
                     since: now,
@@ -221,7 +229,7 @@
     pub fn release(&mut self, write: WriteId, now: Moment) -> Option<LeaseWrite> {
         let epoch = self.epoch(now)?;
         self.held = None;
-        let seen = self.seen.as_ref()?;
+        let last_read = self.last_read.as_ref()?;
         Some(LeaseWrite {
             record: LeaseRecord {
                 holder: NodeId::new(),
@@ -229,7 +237,7 @@
                 epoch,
                 write,
             },
-            expected: seen.version,
+            expected: last_read.version,
             takes_over: false,
         })
     }
@@ -238,6 +246,7 @@
         record.holder == self.node && record.incarnation == self.incarnation
     }
 
+    /// Resolves a write of unknown result by the row as read.
     fn resolve_pending(&mut self, record: Option<&LeaseRecord>) {
         let Some(write) = self.pending.take_if(|write| write.is_uncertain) else {
             return;
@@ -247,6 +256,7 @@
         }
     }
 
+    /// Holds the lease, counted from when the confirmed write was sent.
     fn hold(&mut self, write: &PendingWrite) {
         let until = write.sent + self.timing.duration - self.timing.margin;
         self.held = Some((write.record.epoch, until));
--- a/crates/core/src/order.rs
+++ b/crates/core/src/order.rs
@@ -101,11 +101,11 @@
     }
 
     /// Returns the membership of a target right after it has begun the action.
-    pub fn effect(&self, target: &str, held: Option<&Membership>) -> Option<Membership> {
+    pub fn effect(&self, target: &str, membership: Option<&Membership>) -> Option<Membership> {
         let with_state = |state| {
-            held.map(|held| Membership {
+            membership.map(|membership| Membership {
                 state,
-                ..held.clone()
+                ..membership.clone()
             })
         };
         match self {
@@ -123,7 +123,7 @@
             Self::Open { .. } => with_state(MembershipState::Open),
             Self::Close { .. } => with_state(MembershipState::Closing),
             Self::Leave { .. } => None,
-            Self::Stage { .. } => held.cloned(),
+            Self::Stage { .. } => membership.cloned(),
         }
     }
 }
