--- a/crates/core/src/losses.rs
+++ b/crates/core/src/losses.rs
@@ -6,10 +6,10 @@
 /// size.
 ///
 /// The number missing at a time is the fleet's loss rate times the seconds until a replacement has
-/// arrived and loaded, divided among the domains. Losing two of 54 targets every 3 s leaves a
-/// domain of nine three short on average; of 222 targets, a domain of 37 as many. A fixed fraction
-/// would be too little for the small domain, where a model would get a group next to another
-/// without a spare, and too much for the large one.
+/// arrived and loaded, divided among the domains. If two of 54 targets are lost every 3 s, a domain
+/// of nine is three short on average; in a fleet of 222 targets, so is a domain of 37. A fixed
+/// fraction would be too little for the small domain, where a second model would be added without
+/// a spare, and too much for the large one.
 const MAX_LOSSES_PER_SQRT_TARGETS: f64 = 1.25;
 
 /// Parameters of the expected number of surviving groups.
@@ -62,7 +62,7 @@
     weighted.sum::<f64>() / binomial(targets, losses).max(f64::MIN_POSITIVE)
 }
 
-/// Returns the binomial coefficient of `from` over `count`.
+/// Returns the number of ways to choose `count` out of `from` items.
 fn binomial(from: usize, count: usize) -> f64 {
     if count > from {
         return 0.0;
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -239,8 +239,8 @@
 }
 
 /// A removal after the directory has recovered must not be treated as an expired entry. Otherwise a
-/// target whose entry is removed 2.1 s after the recovery still gets requests 2.3 s later, where 2
-/// s are allowed.
+/// target whose entry is removed 2.1 s after the recovery gets requests for another 2.3 s, longer
+/// than the allowed 2 s.
 #[gtest]
 fn a_removal_after_recovery_is_a_departure() {
     let at = Duration::from_millis;
--- a/crates/core/tests/properties.rs
+++ b/crates/core/tests/properties.rs
@@ -272,8 +272,10 @@
     fleet
 }
 
-/// Adds a machine. `condition` 2 is a member of another incarnation, 3 an unreachable machine; a
-/// `group` below four claims it.
+/// Adds a machine, which is claimed if `group` is below four.
+///
+/// With `condition` 1 `is_leaving` applies, with 2 another incarnation was claimed, and with 3 the
+/// machine is unreachable.
 fn add_machine(
     fleet: &mut FleetState,
     index: usize,
