--- a/crates/core/examples/layout.rs
+++ b/crates/core/examples/layout.rs
@@ -1,4 +1,4 @@
-//! Time that one decision on what all domains should hold takes, by the number of targets.
+//! Measures the time to plan the layout of all domains by number of targets.
 //!
 //! Run with `cargo run --release -p briarswitch-core --example layout`.
 
@@ -6,15 +6,15 @@
 
 use briarswitch_core::engine::{EngineModel, ModelSpec};
 use briarswitch_core::id::{DomainId, ModelId};
-use briarswitch_core::layout::{plan_layout, DomainLayout, DomainStock, LayoutPhase};
+use briarswitch_core::layout::{plan_layout, DomainInventory, DomainLayout, LayoutPhase};
 use indexmap::IndexMap;
 
-/// Targets of a domain.
-const DOMAIN_TARGETS: usize = 36;
-/// Targets for each zone.
-const ZONE_TARGETS: usize = 360;
-/// Decisions that are timed.
-const TRIALS: usize = 5;
+/// Targets per domain.
+const TARGETS_PER_DOMAIN: usize = 36;
+/// Targets per zone.
+const TARGETS_PER_ZONE: usize = 360;
+/// Number of timed runs.
+const TIMED_RUNS: usize = 5;
 
 fn engine() -> EngineModel {
     let model = |id: &str, size: usize| {
@@ -34,37 +34,43 @@
     }
 }
 
-fn stock(targets: usize) -> Vec<DomainStock> {
-    let zones = (targets / ZONE_TARGETS).max(1);
-    let domains = (0..targets / DOMAIN_TARGETS).map(|index| DomainStock {
+fn inventory(targets: usize) -> Vec<DomainInventory> {
+    let zones = (targets / TARGETS_PER_ZONE).max(1);
+    let domains = (0..targets / TARGETS_PER_DOMAIN).map(|index| DomainInventory {
         domain: format!("d{index}"),
         zone: format!("z{}", index % zones),
-        empty: DOMAIN_TARGETS,
-        ..DomainStock::default()
+        empty: TARGETS_PER_DOMAIN,
+        ..DomainInventory::default()
     });
     domains.collect()
 }
 
-/// Returns the stock after the layout was carried out and each tenth domain has a new target.
-fn held(stock: &[DomainStock], layouts: &IndexMap<DomainId, DomainLayout>) -> Vec<DomainStock> {
-    let held = stock.iter().enumerate().map(|(index, domain)| DomainStock {
-        holders: layouts[&domain.domain].holders.clone(),
-        empty: usize::from(index % 10 == 0),
-        ..domain.clone()
-    });
-    held.collect()
+/// Returns the inventory after the layout was carried out and every tenth domain got a new target.
+fn filled_inventory(
+    inventory: &[DomainInventory],
+    layouts: &IndexMap<DomainId, DomainLayout>,
+) -> Vec<DomainInventory> {
+    let filled = inventory
+        .iter()
+        .enumerate()
+        .map(|(index, domain)| DomainInventory {
+            holders: layouts[&domain.domain].holders.clone(),
+            empty: usize::from(index % 10 == 0),
+            ..domain.clone()
+        });
+    filled.collect()
 }
 
 fn median(mut decide: impl FnMut()) -> Duration {
-    let mut times: Vec<Duration> = (0..TRIALS)
+    let mut times: Vec<Duration> = (0..TIMED_RUNS)
         .map(|_| {
-            let begun = Instant::now();
+            let start = Instant::now();
             decide();
-            begun.elapsed()
+            start.elapsed()
         })
         .collect();
     times.sort_unstable();
-    times[TRIALS / 2]
+    times[TIMED_RUNS / 2]
 }
 
 fn main() {
@@ -72,9 +78,9 @@
     let demand: IndexMap<ModelId, f64> = IndexMap::new();
     println!("targets  before callers  while serving");
     for targets in [360, 3_600, 12_240] {
-        let empty = stock(targets);
+        let empty = inventory(targets);
         let first = plan_layout(&engine, &demand, &empty, LayoutPhase::Start);
-        let serving = held(&empty, &first);
+        let serving = filled_inventory(&empty, &first);
         let start = median(|| drop(plan_layout(&engine, &demand, &empty, LayoutPhase::Start)));
         let later = median(|| {
             drop(plan_layout(
--- a/crates/core/src/assembly/staging.rs
+++ b/crates/core/src/assembly/staging.rs
@@ -1,31 +1,33 @@
-//! Which targets of a domain load which weights, and which groups are given up for another model's.
+//! Decides which targets of a domain load which weights, and which groups are reassigned to another
+//! model.
 
 use indexmap::IndexMap;
 
-use super::seen::SeenGroup;
-use super::{DomainKeeper, DomainView, TargetStanding};
+use super::observed::ObservedGroup;
+use super::{DomainReconciler, DomainView, TargetStatus};
 use crate::id::{GroupId, ModelId, TargetId};
 use crate::order::{TargetAction, TargetOrder};
 use crate::target::{Membership, MembershipState};
 
-/// What is known of the weights at one target.
+/// Weights held or being loaded by one target.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HeldWeights<'a> {
-    /// Its group.
+    /// Membership in a group, if any.
     pub membership: Option<&'a Membership>,
     /// Model of its group.
     pub model: Option<&'a ModelId>,
-    /// Models on its host.
+    /// Models staged on its host.
     pub staged: &'a [ModelId],
     /// Model that it is loading.
     pub loading: Option<&'a ModelId>,
 }
 
 impl<'a> HeldWeights<'a> {
-    /// Returns the model that the target can serve next: the one it loads or has on its host, or else its group's.
+    /// Returns the model that the target can serve next: the one it is loading or has staged, or
+    /// else that of its group.
     ///
-    /// A member that has another model's weights on its host is on its way to that model. One that is still
-    /// joining brings its group's weights to its host by that.
+    /// A member with another model staged is about to move to that model. A member that is still
+    /// joining stages the weights of its group by doing so.
     ///
     /// ```
     /// use briarswitch_core::assembly::HeldWeights;
@@ -38,7 +40,7 @@
     /// assert_eq!(loading.next_model(), Some(&small));
     /// ```
     pub fn next_model(&self) -> Option<&'a ModelId> {
-        let state = self.membership.map(|held| held.state);
+        let state = self.membership.map(|membership| membership.state);
         let member = self.model.filter(|_| state.is_some());
         if state == Some(MembershipState::Joining) && member.is_some() {
             return member;
@@ -51,16 +53,16 @@
     /// Returns the model that a target can serve next.
     pub(super) fn next_model(&self, id: &TargetId) -> Option<&ModelId> {
         let facts = &self.targets[id];
-        let held = HeldWeights {
+        let weights = HeldWeights {
             membership: facts.membership.as_ref(),
             model: facts.model.as_ref(),
             staged: &facts.staged,
             loading: self.loading.get(id).filter(|_| facts.is_busy),
         };
-        held.next_model()
+        weights.next_model()
     }
 
-    /// Returns whether a target holds a model's weights, or will when it has loaded.
+    /// Returns whether a target holds a model's weights or will hold them after its current load.
     fn will_hold(&self, id: &TargetId, model: &ModelId) -> bool {
         match self.loading.get(id) {
             Some(loading) if self.targets[id].is_busy => loading == model,
@@ -68,19 +70,19 @@
         }
     }
 
-    /// Returns whether a target can join a group of a model without a load.
+    /// Returns whether a target can join a group of a model without loading weights.
     fn is_ready_for(&self, id: &TargetId, model: &ModelId) -> bool {
         let facts = &self.targets[id];
         !facts.is_busy && facts.staged.contains(model)
     }
 
-    /// Returns whether a target loads weights that somebody else ordered.
-    fn is_loading_unknown(&self, id: &TargetId) -> bool {
+    /// Returns whether a target is loading weights on another controller's order.
+    fn has_foreign_load(&self, id: &TargetId) -> bool {
         self.targets[id].is_busy && !self.loading.contains_key(id)
     }
 
-    /// Returns whether a target's weights are of use in the domain as it should be.
-    fn is_of_use(&self, id: &TargetId) -> bool {
+    /// Returns whether the domain's layout needs the weights that a target holds.
+    fn has_useful_weights(&self, id: &TargetId) -> bool {
         let mut models = self.layout.holders.keys();
         models.any(|model| self.will_hold(id, model))
     }
@@ -90,41 +92,43 @@
     }
 }
 
-impl DomainKeeper {
-    /// Has targets load the weights that the domain lacks: free ones, then members of groups beyond need.
+impl DomainReconciler {
+    /// Orders targets to load the weights that the domain lacks: free targets first, then members
+    /// of surplus groups.
     ///
-    /// A member loads beside its work, and its group goes on serving.
+    /// A member loads in the background, and its group continues to serve.
     pub(super) fn stage(
         &self,
         free: &[TargetId],
-        groups: &IndexMap<GroupId, SeenGroup>,
+        groups: &IndexMap<GroupId, ObservedGroup>,
         view: &DomainView<'_>,
         orders: &[TargetOrder],
         budget: usize,
     ) -> Vec<TargetOrder> {
         let mut idle: Vec<&TargetId> = free.iter().collect();
-        let given = self.givers(groups, view);
-        let mut givers: Vec<&TargetId> = given.values().flatten().copied().collect();
-        givers.retain(|id| !orders.iter().any(|order| order.target == **id));
+        let surplus = self.surplus_groups(groups, view);
+        let mut surplus_members: Vec<&TargetId> = surplus.values().flatten().copied().collect();
+        surplus_members.retain(|id| !orders.iter().any(|order| order.target == **id));
         let mut staged = Vec::new();
         for (model, holders) in &view.layout.holders {
             let members = view.targets.iter().filter(|(id, facts)| {
-                let is_given = facts.membership.as_ref().is_some_and(|held| {
-                    given.contains_key(&held.group) || self.giving.contains(&held.group)
+                let is_reassigned = facts.membership.as_ref().is_some_and(|membership| {
+                    surplus.contains_key(&membership.group)
+                        || self.reassigning.contains(&membership.group)
                 });
-                // The weights on a member's host are of no use while its group stays.
-                let held = if is_given {
+                // Weights staged on a member's host cannot be used while its group remains.
+                let usable = if is_reassigned {
                     view.next_model(id)
                 } else {
                     facts.model.as_ref()
                 };
-                facts.membership.is_some() && !free.contains(*id) && held == Some(model)
+                facts.membership.is_some() && !free.contains(*id) && usable == Some(model)
             });
             let lacking = holders.saturating_sub(members.count());
             let lacking = take_holders(&mut idle, model, lacking, view);
             let mut chosen = take_movable(&mut idle, lacking, view);
             chosen.extend(take_members(
-                &mut givers,
+                &mut surplus_members,
                 model,
                 lacking - chosen.len(),
                 view,
@@ -150,63 +154,65 @@
         self.order(id, action, reason, view)
     }
 
-    /// Returns the groups beyond those that the domain should hold, with their members.
+    /// Returns the groups beyond the number that the domain should have, with their members.
     ///
-    /// Those go first of which most members have other weights already.
-    fn givers<'a>(
+    /// Groups with the most members that already hold other weights come first.
+    fn surplus_groups<'a>(
         &self,
-        groups: &'a IndexMap<GroupId, SeenGroup>,
+        groups: &'a IndexMap<GroupId, ObservedGroup>,
         view: &DomainView<'_>,
     ) -> IndexMap<&'a GroupId, Vec<&'a TargetId>> {
-        let mut givers = IndexMap::new();
-        if view.joins_load {
-            // Nobody is served yet, and what the domain should hold changes with each target that registers.
-            return givers;
+        let mut surplus = IndexMap::new();
+        if view.may_load_on_join {
+            // Nobody is served yet, and the layout changes with each target that registers.
+            return surplus;
         }
         for model in view.engine.models.keys() {
-            let of_model = groups.iter().filter(|(id, seen)| {
-                let is_staying = !self.dissolving.contains_key(*id) && !self.giving.contains(*id);
-                seen.model.as_ref() == Some(model) && is_staying && is_at_work(seen, view)
+            let of_model = groups.iter().filter(|(id, observed)| {
+                let is_staying =
+                    !self.dissolving.contains_key(*id) && !self.reassigning.contains(*id);
+                observed.model.as_ref() == Some(model) && is_staying && is_serving(observed, view)
             });
-            let mut of_model: Vec<(&GroupId, &SeenGroup)> = of_model.collect();
+            let mut of_model: Vec<(&GroupId, &ObservedGroup)> = of_model.collect();
             let holders = view.layout.holders.get(model).copied().unwrap_or(0);
             let kept = holders / view.size_of(model).max(1);
-            let surplus = of_model.len().saturating_sub(kept);
-            let staying = |seen: &SeenGroup| {
-                let members = seen.members.values();
+            let count = of_model.len().saturating_sub(kept);
+            let staying = |observed: &ObservedGroup| {
+                let members = observed.members.values();
                 let staying = members.filter(|id| view.next_model(id) == Some(model));
                 staying.count()
             };
-            of_model.sort_by_key(|(_, seen)| staying(seen));
-            for (id, seen) in of_model.into_iter().take(surplus) {
-                givers.insert(id, seen.members.values().collect());
+            of_model.sort_by_key(|(_, observed)| staying(observed));
+            for (id, observed) in of_model.into_iter().take(count) {
+                surplus.insert(id, observed.members.values().collect());
             }
         }
-        givers
+        surplus
     }
 
-    /// Gives up groups whose members, with the free targets, can serve a model that lacks groups.
+    /// Reassigns groups whose members, together with free targets, can serve a model that lacks
+    /// groups.
     ///
-    /// No group is given up while a member is still loading, for less than a whole group of the other model, or for
-    /// the few of its members that happen to have other weights.
-    pub(super) fn give_up(
+    /// A group is not reassigned while a member is still loading, if no complete group of the other
+    /// model would result, or if only a minority of its members holds the other weights.
+    pub(super) fn reassign_surplus(
         &mut self,
-        groups: &IndexMap<GroupId, SeenGroup>,
+        groups: &IndexMap<GroupId, ObservedGroup>,
         free: &[TargetId],
-        wanted: &IndexMap<ModelId, usize>,
+        missing: &IndexMap<ModelId, usize>,
         view: &DomainView<'_>,
     ) {
-        if wanted.values().all(|count| *count == 0) {
+        if missing.values().all(|count| *count == 0) {
             return;
         }
-        let givers = self.givers(groups, view);
-        for (model, _) in wanted.iter().filter(|(_, count)| **count > 0) {
-            let given = self.giving.iter().filter_map(|id| groups.get(id));
-            let given = given.flat_map(|seen| seen.members.values());
-            let coming = free.iter().chain(given);
-            let mut ready = coming.filter(|id| view.is_ready_for(id, model)).count();
+        let surplus = self.surplus_groups(groups, view);
+        for (model, _) in missing.iter().filter(|(_, count)| **count > 0) {
+            let reassigned = self.reassigning.iter().filter_map(|id| groups.get(id));
+            let reassigned = reassigned.flat_map(|observed| observed.members.values());
+            let available = free.iter().chain(reassigned);
+            let mut ready = available.filter(|id| view.is_ready_for(id, model)).count();
             let mut chosen = Vec::new();
-            for (group, members) in &givers {
+            for (group, members) in &surplus {
                 if ready >= view.size_of(model) {
                     break;
                 }
@@ -219,24 +225,25 @@
                 }
             }
             if ready >= view.size_of(model) {
-                self.giving.extend(chosen);
+                self.reassigning.extend(chosen);
             }
         }
     }
 }
 
-/// Returns whether a group is open and all its members can be counted on.
-fn is_at_work(seen: &SeenGroup, view: &DomainView<'_>) -> bool {
-    let head = seen.members.get(&0).map(|id| &view.targets[id]);
-    let held = head.and_then(|facts| facts.membership.as_ref());
-    held.is_some_and(|held| held.state == MembershipState::Open)
-        && seen
+/// Returns whether a group is open and all its members are live.
+fn is_serving(observed: &ObservedGroup, view: &DomainView<'_>) -> bool {
+    let leader = observed.members.get(&0).map(|id| &view.targets[id]);
+    let membership = leader.and_then(|facts| facts.membership.as_ref());
+    membership.is_some_and(|membership| membership.state == MembershipState::Open)
+        && observed
             .members
             .values()
-            .all(|id| view.targets[id].standing == TargetStanding::Live)
+            .all(|id| view.targets[id].status == TargetStatus::Live)
 }
 
-/// Takes up to `count` targets that hold a model's weights or load them out of a list; returns how many lack.
+/// Removes up to `count` targets that hold or are loading a model's weights from a list, and
+/// returns how many are still lacking.
 fn take_holders(
     idle: &mut Vec<&TargetId>,
     model: &ModelId,
@@ -245,7 +252,7 @@
 ) -> usize {
     let mut lacking = count;
     idle.retain(|id| {
-        let is_holder = view.will_hold(id, model) || view.is_loading_unknown(id);
+        let is_holder = view.will_hold(id, model) || view.has_foreign_load(id);
         let is_taken = lacking > 0 && is_holder;
         lacking -= usize::from(is_taken);
         !is_taken
@@ -253,7 +260,8 @@
     lacking
 }
 
-/// Takes up to `count` targets out of a list to load other weights, those first whose own are of no use.
+/// Removes up to `count` targets that can load other weights from a list, preferring those whose
+/// weights are not needed.
 fn take_movable<'a>(
     idle: &mut Vec<&'a TargetId>,
     count: usize,
@@ -261,15 +269,15 @@
 ) -> Vec<&'a TargetId> {
     let mut movable = idle.clone();
     movable.retain(|id| !view.targets[*id].is_busy);
-    movable.sort_by_key(|id| view.is_of_use(id));
+    movable.sort_by_key(|id| view.has_useful_weights(id));
     movable.truncate(count);
     idle.retain(|id| !movable.contains(id));
     movable
 }
 
-/// Takes up to `count` members of groups beyond need out of a list to load a model's weights.
+/// Removes up to `count` members of surplus groups that can load a model's weights from a list.
 fn take_members<'a>(
-    givers: &mut Vec<&'a TargetId>,
+    surplus_members: &mut Vec<&'a TargetId>,
     model: &ModelId,
     count: usize,
     view: &DomainView<'_>,
@@ -279,9 +287,9 @@
         let serves = view.next_model(id) == facts.model.as_ref();
         serves && !facts.is_busy && facts.model.as_ref() != Some(model)
     };
-    let mut members = givers.clone();
+    let mut members = surplus_members.clone();
     members.retain(|id| can_load(id));
     members.truncate(count);
-    givers.retain(|id| !members.contains(id));
+    surplus_members.retain(|id| !members.contains(id));
     members
 }
--- a/crates/core/tests/properties.rs
+++ b/crates/core/tests/properties.rs
@@ -1,9 +1,9 @@
-//! Properties of the decisions over random sequences of events.
+//! Properties of the decision logic over random sequences of events.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use briarswitch_core::lease::{LeaseAnswer, LeaseWrite};
+use briarswitch_core::lease::{LeaseWrite, LeaseWriteResult};
 use briarswitch_core::prelude::*;
 use briarswitch_core::stream::EventScanner;
 use briarswitch_core::watch::watchers;
@@ -13,7 +13,7 @@
 const POOL: &str = "pool";
 const SIZE: usize = 2;
 
-/// One thing that happens to two nodes that contest a lease.
+/// One event in a contest of two nodes for a lease.
 #[derive(Clone, Copy, Debug)]
 enum LeaseEvent {
     Read(usize),
@@ -44,20 +44,20 @@
 }
 
 impl LeaseTable {
-    fn apply(&mut self, write: &LeaseWrite) -> LeaseAnswer {
+    fn apply(&mut self, write: &LeaseWrite) -> LeaseWriteResult {
         if write.expected != self.version {
-            return LeaseAnswer::Conflict;
+            return LeaseWriteResult::Conflict;
         }
         self.version += 1;
         self.row = Some(write.record.clone());
-        LeaseAnswer::Written(self.version)
+        LeaseWriteResult::Written(self.version)
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, ..Default::default() })]
 
-    /// However reads, writes, answers and time fall, two nodes never hold the lease at once.
+    /// Two nodes never hold the lease at once, in any order of reads, writes, responses and delays.
     #[test]
     fn lease_has_one_holder(events in prop::collection::vec(lease_event(), 1..120)) {
         let timing = LeaseTiming {
@@ -65,22 +65,22 @@
             margin: Duration::from_millis(1000),
             renew: Duration::from_millis(1500),
         };
-        let mut keepers = [
-            LeaseKeeper::open("a".to_owned(), 1, timing),
-            LeaseKeeper::open("b".to_owned(), 1, timing),
+        let mut clients = [
+            LeaseClient::new("a".to_owned(), 1, timing),
+            LeaseClient::new("b".to_owned(), 1, timing),
         ];
         let mut table = LeaseTable::default();
         let mut sent: [Option<LeaseWrite>; 2] = [None, None];
-        let mut answers: [Option<LeaseAnswer>; 2] = [None, None];
+        let mut answers: [Option<LeaseWriteResult>; 2] = [None, None];
         let mut late: Vec<LeaseWrite> = Vec::new();
         let mut now = Duration::from_secs(100);
         let mut writes = 0;
         for event in events {
             match event {
-                LeaseEvent::Read(node) => keepers[node].observe(table.row.clone(), table.version, now),
+                LeaseEvent::Read(node) => clients[node].observe(table.row.clone(), table.version, now),
                 LeaseEvent::Propose(node) if sent[node].is_none() && answers[node].is_none() => {
                     writes += 1;
-                    sent[node] = keepers[node].propose(format!("w{writes}"), now);
+                    sent[node] = clients[node].propose(format!("w{writes}"), now);
                 }
                 LeaseEvent::Apply(node) => {
                     if let Some(write) = sent[node].take() {
@@ -89,13 +89,13 @@
                 }
                 LeaseEvent::Answer(node) => {
                     if let Some(answer) = answers[node].take() {
-                        keepers[node].answer(answer, now);
+                        clients[node].record_result(answer, now);
                     }
                 }
                 LeaseEvent::Lose(node) => {
                     let was_sent = sent[node].take();
                     if was_sent.is_some() || answers[node].take().is_some() {
-                        keepers[node].answer(LeaseAnswer::Lost, now);
+                        clients[node].record_result(LeaseWriteResult::Lost, now);
                     }
                     late.extend(was_sent);
                 }
@@ -107,25 +107,26 @@
                 LeaseEvent::Pass(millis) => now += Duration::from_millis(millis),
                 LeaseEvent::Propose(_) => {}
             }
-            let holders: Vec<_> = keepers.iter().filter_map(|keeper| keeper.epoch(now)).collect();
+            let holders: Vec<_> = clients.iter().filter_map(|client| client.epoch(now)).collect();
             prop_assert!(holders.len() < 2, "both hold: {holders:?}");
         }
     }
 
-    /// Whatever order entries arrive in, the version only rises and no entry is skipped.
+    /// Whatever the order in which entries arrive, the version only increases and no entry is
+    /// skipped.
     #[test]
     fn configuration_never_goes_back(versions in prop::collection::vec(1..12_u64, 1..60)) {
-        let mut book = ConfigBook::default();
+        let mut config = ConfigBook::default();
         for version in versions {
-            let before = book.version();
+            let before = config.version();
             let key = EntityKey { kind: EntityKind::Rules, id: "main".to_owned() };
-            let is_taken = book.apply(ConfigEntry { version, key, value: ConfigValue::Deleted });
+            let is_taken = config.apply(ConfigEntry { version, key, value: ConfigValue::Deleted });
             prop_assert_eq!(is_taken, version == before + 1);
-            prop_assert_eq!(book.version(), before + u64::from(is_taken));
+            prop_assert_eq!(config.version(), before + u64::from(is_taken));
         }
     }
 
-    /// However a stream is cut into pieces, the same bytes and events come through.
+    /// However a stream is cut into chunks, the same bytes and events are passed on.
     #[test]
     fn scanner_passes_whole_events(cuts in prop::collection::vec(1..20_usize, 1..40), count in 0..12_usize) {
         let mut text: String = (0..count).map(|index| format!("data: token {index}\n\n")).collect();
@@ -148,7 +149,7 @@
         prop_assert_eq!(passed, text.as_bytes());
     }
 
-    /// Retries never pass the share of successes plus what was saved up.
+    /// Retries never exceed the configured share of successes plus the initial balance.
     #[test]
     fn retries_stay_within_their_share(outcomes in prop::collection::vec(any::<bool>(), 1..500)) {
         let mut budget = RetryBudget::open(100, 5);
@@ -164,7 +165,8 @@
         }
     }
 
-    /// While all wait, service goes to organisations in proportion to their weights.
+    /// While all organisations have waiting requests, they are served in proportion to their
+    /// weights.
     #[test]
     fn queue_is_fair(weights in prop::collection::vec(1..6_u32, 2..5)) {
         let mut queue = FairQueue::default();
@@ -186,9 +188,9 @@
         }
     }
 
-    /// When a node goes, only the machines it watched change hands.
+    /// When a node is removed, only the machines it watched are reassigned.
     #[test]
-    fn watchers_move_little(count in 3..20_usize, vm in "[a-z]{1,8}") {
+    fn few_watchers_change(count in 3..20_usize, vm in "[a-z]{1,8}") {
         let nodes: Vec<NodeId> = (0..count).map(|index| format!("n{index}")).collect();
         let before: Vec<NodeId> = watchers(&vm, &nodes).into_iter().cloned().collect();
         let rest: Vec<NodeId> = nodes.iter().filter(|node| **node != before[0]).cloned().collect();
@@ -196,10 +198,10 @@
         prop_assert!(after.contains(&&before[1]));
     }
 
-    /// Every plan is safe whatever the fleet looks like.
+    /// Every plan is safe for any state of the fleet.
     #[test]
     fn plans_are_safe(fleet in fleets(), millis in 0..10_000_u64) {
-        let planner = GroupPlanner::open(Duration::from_secs(60), Duration::from_secs(1));
+        let planner = GroupPlanner::new(Duration::from_secs(60), Duration::from_secs(1));
         let steps = planner.plan(&fleet, Duration::from_millis(millis) + Duration::from_secs(100));
         check_plan(&fleet, &steps)?;
     }
@@ -270,7 +272,10 @@
     fleet
 }
 
-/// Adds a machine: its condition says whether it is seen, and a group below four claims it.
+/// Adds a machine, which is claimed if `group` is below four.
+///
+/// With `condition` 1 `is_leaving` applies, with 2 another incarnation was claimed, and with 3 the
+/// machine is unreachable.
 fn add_machine(
     fleet: &mut FleetState,
     index: usize,
@@ -288,10 +293,10 @@
         address: String::new(),
         incarnation: 1,
         accelerators: 2,
-        standing: if is_leaving && condition == 1 {
-            VmStanding::Leaving
+        status: if is_leaving && condition == 1 {
+            VmStatus::Leaving
         } else {
-            VmStanding::Live
+            VmStatus::Live
         },
     };
     let group_id = format!("group-{domain}-{group}");
@@ -347,7 +352,7 @@
                 spans_domains,
                 ..
             } => (members, Vec::new(), *spans_domains),
-            PlanStep::Mend { group, members, .. } => {
+            PlanStep::Repair { group, members, .. } => {
                 *touched.entry(group.clone()).or_insert(0) += 1;
                 (members, fleet.groups[group].members.clone(), false)
             }
@@ -396,7 +401,8 @@
     Ok(())
 }
 
-/// Fleets as a map keep the planner's choice the same for the same input.
+/// The planner makes the same choices for the same input, because machines are kept in insertion
+/// order.
 #[test]
 fn plans_are_repeatable() {
     let machines = [
@@ -406,7 +412,7 @@
         (1, 0, false, 9),
     ];
     let fleet = build_fleet(&machines, 1, false, false, 10);
-    let planner = GroupPlanner::open(Duration::from_secs(60), Duration::from_secs(1));
+    let planner = GroupPlanner::new(Duration::from_secs(60), Duration::from_secs(1));
     let first = planner.plan(&fleet, Duration::from_secs(100));
     assert_eq!(first, planner.plan(&fleet, Duration::from_secs(100)));
     assert_eq!(first.len(), 2);
