--- a/crates/core/examples/layout.rs
+++ b/crates/core/examples/layout.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use briarswitch_core::engine::{EngineModel, ModelSpec};
+use briarswitch_core::engine::{EngineSpec, ModelSpec};
 use briarswitch_core::id::{DomainId, ModelId};
 use briarswitch_core::layout::{plan_layout, DomainLayout, DomainStock, LayoutPhase};
 use indexmap::IndexMap;
@@ -16,7 +16,7 @@
 /// Decisions that are timed.
 const TRIALS: usize = 5;
 
-fn engine() -> EngineModel {
+fn engine() -> EngineSpec {
     let model = |id: &str, size: usize| {
         let spec = ModelSpec {
             id: id.to_owned(),
@@ -28,9 +28,9 @@
         };
         (spec.id.clone(), spec)
     };
-    EngineModel {
+    EngineSpec {
         models: IndexMap::from([model("large", 16), model("small", 4)]),
-        ..EngineModel::default()
+        ..EngineSpec::default()
     }
 }
 
--- a/crates/core/examples/routing.rs
+++ b/crates/core/examples/routing.rs
@@ -7,7 +7,7 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::time::Duration;
 
-use briarswitch_core::prefix::{PrefixBook, PrefixChain};
+use briarswitch_core::prefix::{PrefixChain, PrefixIndex};
 use briarswitch_core::prelude::*;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -57,7 +57,7 @@
 struct Server {
     running: usize,
     queue: VecDeque<Arrival>,
-    cache: PrefixBook,
+    cache: PrefixIndex,
     reported: u32,
 }
 
@@ -66,7 +66,7 @@
     in_flight: u32,
     sent_since: u32,
     latency: Duration,
-    prefix: PrefixBook,
+    prefix: PrefixIndex,
 }
 
 struct Run {
@@ -143,14 +143,14 @@
         let server = || Server {
             running: 0,
             queue: VecDeque::new(),
-            cache: PrefixBook::open(CACHE_BLOCKS),
+            cache: PrefixIndex::open(CACHE_BLOCKS),
             reported: 0,
         };
         let known = || Known {
             in_flight: 0,
             sent_since: 0,
             latency: Duration::ZERO,
-            prefix: PrefixBook::open(CACHE_BLOCKS),
+            prefix: PrefixIndex::open(CACHE_BLOCKS),
         };
         Self {
             policy,
--- a/crates/core/src/assembly.rs
+++ b/crates/core/src/assembly.rs
@@ -12,7 +12,7 @@
 use indexmap::{IndexMap, IndexSet};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::engine::{EngineModel, ModelSpec};
+use crate::engine::{EngineSpec, ModelSpec};
 use crate::id::{Epoch, GroupId, Incarnation, ModelId, Moment, TargetId};
 use crate::layout::DomainLayout;
 use crate::order::{OrderResult, TargetAction, TargetOrder};
@@ -82,7 +82,7 @@
     /// Targets of the domain.
     pub targets: &'a IndexMap<TargetId, TargetFacts>,
     /// Speeds and models.
-    pub engine: &'a EngineModel,
+    pub engine: &'a EngineSpec,
     /// What the domain should hold.
     pub layout: &'a DomainLayout,
     /// Weights that targets are loading, as far as this controller ordered it.
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -54,7 +54,7 @@
 
 /// The configuration at one version.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ConfigBook {
+pub struct VersionedConfig {
     version: ConfigVersion,
     organisations: IndexMap<OrganisationId, Organisation>,
     deployments: IndexMap<DeploymentId, Deployment>,
@@ -62,7 +62,7 @@
     edited: IndexMap<EntityKey, ConfigVersion>,
 }
 
-impl ConfigBook {
+impl VersionedConfig {
     /// Rebuilds a book from the current entities of a snapshot.
     pub fn restore(version: ConfigVersion, entries: Vec<ConfigEntry>) -> Self {
         let mut book = Self::default();
@@ -139,7 +139,7 @@
     ///
     /// let key = EntityKey { kind: EntityKind::Deployment, id: "old".into() };
     /// let entry = ConfigEntry { version: 2, key, value: ConfigValue::Deleted };
-    /// assert!(!ConfigBook::default().apply(entry));
+    /// assert!(!VersionedConfig::default().apply(entry));
     /// ```
     pub fn apply(&mut self, entry: ConfigEntry) -> bool {
         if entry.version != self.version + 1 {
--- a/crates/core/src/crash.rs
+++ b/crates/core/src/crash.rs
@@ -9,45 +9,45 @@
 use indexmap::IndexMap;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
+use crate::fingerprint::RequestFingerprint;
 use crate::id::{DomainId, Incarnation, Moment, TargetId};
-use crate::print::RequestPrint;
 
 /// Ends after which a request may be quarantined.
-pub const LEAST_ENDS: usize = 3;
+pub const MIN_CRASHES: usize = 3;
 /// Ends after which a request is quarantined however often targets end otherwise.
-const CERTAIN_ENDS: usize = 5;
+const CERTAIN_CRASHES: usize = 5;
 /// Chance of coincidence below which a request is quarantined: so many of those that were there at as many ends are
 /// quarantined for nothing.
 const QUARANTINE_CHANCE: f64 = 1e-3;
 /// Chance of coincidence below which two ends are worth telling all nodes.
 const SUSPECT_CHANCE: f64 = 1e-2;
 /// Least chance that one end counts with; what is declared impossible would need no second one.
-const LEAST_CHANCE: f64 = 1e-2;
+const MIN_CHANCE: f64 = 1e-2;
 /// Time for which an end is remembered; a request can end this many targets less one in that time.
-pub const MEMORY_TIME: Duration = Duration::from_secs(600);
+pub const CRASH_RETENTION: Duration = Duration::from_secs(600);
 /// Time within which ends in one domain have one cause.
-const SAME_CAUSE: Duration = Duration::from_millis(100);
+const SAME_CAUSE_WINDOW: Duration = Duration::from_millis(100);
 /// Time over which the rate of ends is taken.
-const RATE_TIME: Duration = Duration::from_secs(30);
+const RATE_WINDOW: Duration = Duration::from_secs(30);
 /// Least time over which the rate of ends is taken, by a node that has just started.
-const LEAST_RATE_TIME: Duration = Duration::from_secs(10);
+const MIN_RATE_WINDOW: Duration = Duration::from_secs(10);
 /// Requests that are remembered at most.
-const MOST_REQUESTS: usize = 4_096;
+const MAX_REQUESTS: usize = 4_096;
 
 /// Reading of the store's clock in milliseconds, the same at all nodes.
 pub type StoreMillis = u64;
 
 /// One life of a target, as a hash.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct LifeKey(pub u64);
+pub struct IncarnationKey(pub u64);
 
-impl LifeKey {
+impl IncarnationKey {
     /// Returns the key of one life.
     ///
     /// ```
-    /// use briarswitch_core::crash::LifeKey;
+    /// use briarswitch_core::crash::IncarnationKey;
     ///
-    /// assert_ne!(LifeKey::of("t", 1), LifeKey::of("t", 2));
+    /// assert_ne!(IncarnationKey::of("t", 1), IncarnationKey::of("t", 2));
     /// ```
     pub fn of(target: &str, incarnation: Incarnation) -> Self {
         Self(xxh3_64_with_seed(target.as_bytes(), incarnation))
@@ -56,7 +56,7 @@
 
 /// A target and its place, at whose end a request was under way.
 #[derive(Clone, Copy, Debug)]
-pub struct EndedTarget<'a> {
+pub struct CrashedTarget<'a> {
     /// Target.
     pub target: &'a TargetId,
     /// Life that ended.
@@ -67,11 +67,11 @@
 
 /// One end of a target with a request under way.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub struct EndSign {
+pub struct CrashReport {
     /// Request.
-    pub print: RequestPrint,
+    pub print: RequestFingerprint,
     /// Life that ended.
-    pub life: LifeKey,
+    pub life: IncarnationKey,
     /// Hash of the target's domain.
     pub domain: u64,
     /// When the end was seen.
@@ -80,23 +80,23 @@
     pub chance: u16,
 }
 
-impl EndSign {
+impl CrashReport {
     /// Returns the sign of an end during which a request had run for `ran`, where targets end at `rate` a second.
     ///
     /// ```
     /// use std::time::Duration;
     ///
-    /// use briarswitch_core::crash::{EndSign, EndedTarget};
-    /// use briarswitch_core::print::RequestPrint;
+    /// use briarswitch_core::crash::{CrashReport, CrashedTarget};
+    /// use briarswitch_core::fingerprint::RequestFingerprint;
     ///
     /// let (target, domain) = ("t".to_owned(), "d".to_owned());
-    /// let target = EndedTarget { target: &target, incarnation: 1, domain: &domain };
-    /// let sign = |ran| EndSign::of(RequestPrint::from([1; 16]), target, 5, ran, 0.1);
+    /// let target = CrashedTarget { target: &target, incarnation: 1, domain: &domain };
+    /// let sign = |ran| CrashReport::of(RequestFingerprint::from([1; 16]), target, 5, ran, 0.1);
     /// assert!(sign(Duration::from_secs(1)).chance < sign(Duration::from_secs(5)).chance);
     /// ```
     pub fn of(
-        print: RequestPrint,
-        target: EndedTarget<'_>,
+        print: RequestFingerprint,
+        target: CrashedTarget<'_>,
         at: StoreMillis,
         ran: Duration,
         rate: f64,
@@ -104,10 +104,10 @@
         let chance = 1.0 - (-rate * ran.as_secs_f64()).exp();
         Self {
             print,
-            life: LifeKey::of(target.target, target.incarnation),
+            life: IncarnationKey::of(target.target, target.incarnation),
             domain: xxh3_64(target.domain.as_bytes()),
             at,
-            chance: (chance.clamp(LEAST_CHANCE, 1.0) * 1000.0).ceil() as u16,
+            chance: (chance.clamp(MIN_CHANCE, 1.0) * 1000.0).ceil() as u16,
         }
     }
 
@@ -118,24 +118,24 @@
 
 /// Word that a request is not the cause of what ended before.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub struct ClearSign {
+pub struct ClearReport {
     /// Request.
-    pub print: RequestPrint,
+    pub print: RequestFingerprint,
     /// Ends up to this moment do not count.
     pub at: StoreMillis,
 }
 
 /// How often targets end, whatever they run.
 #[derive(Clone, Debug, Default)]
-pub struct EndRate {
+pub struct CrashRate {
     samples: Vec<(Moment, u64)>,
     targets: usize,
 }
 
-impl EndRate {
+impl CrashRate {
     /// Notes that `ends` targets have ended so far, and that there are `targets`.
     pub fn note(&mut self, ends: u64, targets: usize, now: Moment) {
-        let since = now.saturating_sub(RATE_TIME);
+        let since = now.saturating_sub(RATE_WINDOW);
         self.samples.retain(|(at, _)| *at >= since);
         self.samples.push((now, ends));
         self.targets = targets;
@@ -146,9 +146,9 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use briarswitch_core::crash::EndRate;
+    /// use briarswitch_core::crash::CrashRate;
     ///
-    /// let mut rate = EndRate::default();
+    /// let mut rate = CrashRate::default();
     /// rate.note(0, 10, Duration::from_secs(1));
     /// rate.note(19, 10, Duration::from_secs(21));
     /// assert_eq!(rate.per_second(), 0.1);
@@ -157,7 +157,7 @@
         let first = self.samples.first().copied().unwrap_or_default();
         let last = self.samples.last().copied().unwrap_or_default();
         let ends = last.1.saturating_sub(first.1) + 1;
-        let time = last.0.saturating_sub(first.0).max(LEAST_RATE_TIME);
+        let time = last.0.saturating_sub(first.0).max(MIN_RATE_WINDOW);
         ends as f64 / (self.targets.max(1) as f64 * time.as_secs_f64())
     }
 }
@@ -176,17 +176,17 @@
 #[derive(Clone, Debug, Default)]
 struct CrashRecord {
     /// By life: the same end is counted once, whoever saw it and however often it is told.
-    ends: IndexMap<LifeKey, EndSign>,
+    ends: IndexMap<IncarnationKey, CrashReport>,
     cleared: StoreMillis,
 }
 
 /// Ends that speak the same way, in order of time; those of one cause count as one.
-fn causes(ends: &[EndSign]) -> Vec<EndSign> {
-    let mut causes: Vec<EndSign> = Vec::new();
+fn causes(ends: &[CrashReport]) -> Vec<CrashReport> {
+    let mut causes: Vec<CrashReport> = Vec::new();
     for end in ends {
-        let near = |held: &&mut EndSign| {
+        let near = |held: &&mut CrashReport| {
             let gap = Duration::from_millis(end.at.saturating_sub(held.at));
-            held.domain == end.domain && gap < SAME_CAUSE
+            held.domain == end.domain && gap < SAME_CAUSE_WINDOW
         };
         match causes.iter_mut().find(near) {
             Some(held) => held.chance = held.chance.max(end.chance),
@@ -200,8 +200,8 @@
 ///
 /// Of many requests some are at several ends early in their runs by luck. The bare product of the chances is below any
 /// bound far more often than the bound says; their combined significance is not.
-fn coincidence(causes: &[EndSign]) -> f64 {
-    let product: f64 = causes.iter().map(EndSign::probability).product();
+fn coincidence(causes: &[CrashReport]) -> f64 {
+    let product: f64 = causes.iter().map(CrashReport::probability).product();
     let surprise = -product.ln();
     let mut term = 1.0;
     let mut sum = 0.0;
@@ -212,21 +212,21 @@
     product * sum
 }
 
-fn is_quarantined(ends: &[EndSign]) -> bool {
+fn is_quarantined(ends: &[CrashReport]) -> bool {
     let causes = causes(ends);
-    causes.len() >= CERTAIN_ENDS
-        || (causes.len() >= LEAST_ENDS && coincidence(&causes) <= QUARANTINE_CHANCE)
+    causes.len() >= CERTAIN_CRASHES
+        || (causes.len() >= MIN_CRASHES && coincidence(&causes) <= QUARANTINE_CHANCE)
 }
 
-fn is_suspect(ends: &[EndSign]) -> bool {
+fn is_suspect(ends: &[CrashReport]) -> bool {
     let causes = causes(ends);
     causes.len() >= 2 && coincidence(&causes) <= SUSPECT_CHANCE
 }
 
 impl CrashRecord {
     /// Returns the ends that count at `now`, in order of time.
-    fn ends_at(&self, now: StoreMillis) -> Vec<EndSign> {
-        let mut ends: Vec<EndSign> = self
+    fn ends_at(&self, now: StoreMillis) -> Vec<CrashReport> {
+        let mut ends: Vec<CrashReport> = self
             .ends
             .values()
             .filter(|end| end.at > self.cleared && !is_forgotten(end.at, now))
@@ -244,7 +244,7 @@
         }
         let last = (0..ends.len()).take_while(|first| is_quarantined(&ends[*first..]));
         let at = ends[last.last()?].at;
-        let until = at + MEMORY_TIME.as_millis() as StoreMillis;
+        let until = at + CRASH_RETENTION.as_millis() as StoreMillis;
         Some(Duration::from_millis(until.saturating_sub(now)))
     }
 }
@@ -258,37 +258,37 @@
 /// assert!(is_forgotten(1_000, 601_000));
 /// ```
 pub fn is_forgotten(at: StoreMillis, now: StoreMillis) -> bool {
-    now >= at + MEMORY_TIME.as_millis() as StoreMillis
+    now >= at + CRASH_RETENTION.as_millis() as StoreMillis
 }
 
 /// The ends of targets by the requests that were under way there.
 ///
 /// Two ledgers that have taken the same signs in, in any order and however often, hold the same.
 #[derive(Clone, Debug, Default)]
-pub struct CrashLedger {
-    records: IndexMap<RequestPrint, CrashRecord>,
+pub struct CrashHistory {
+    records: IndexMap<RequestFingerprint, CrashRecord>,
 }
 
-impl CrashLedger {
+impl CrashHistory {
     /// Takes an end in; returns whether it is news.
     ///
     /// ```
     /// use std::time::Duration;
     ///
-    /// use briarswitch_core::crash::{CrashLedger, CrashVerdict, EndSign, EndedTarget};
-    /// use briarswitch_core::print::RequestPrint;
+    /// use briarswitch_core::crash::{CrashHistory, CrashVerdict, CrashReport, CrashedTarget};
+    /// use briarswitch_core::fingerprint::RequestFingerprint;
     ///
-    /// let print = RequestPrint::from([1; 16]);
-    /// let mut ledger = CrashLedger::default();
+    /// let print = RequestFingerprint::from([1; 16]);
+    /// let mut ledger = CrashHistory::default();
     /// for (name, at) in [("a", 1_000), ("b", 2_000), ("c", 3_000)] {
     ///     let (target, domain) = (name.to_owned(), String::new());
-    ///     let target = EndedTarget { target: &target, incarnation: 0, domain: &domain };
+    ///     let target = CrashedTarget { target: &target, incarnation: 0, domain: &domain };
     ///     let ran = Duration::from_millis(50);
-    ///     ledger.take_end(EndSign::of(print, target, at, ran, 0.001));
+    ///     ledger.take_end(CrashReport::of(print, target, at, ran, 0.001));
     /// }
     /// assert!(matches!(ledger.verdict(&print, 3_000), CrashVerdict::Quarantined(_)));
     /// ```
-    pub fn take_end(&mut self, end: EndSign) -> bool {
+    pub fn take_end(&mut self, end: CrashReport) -> bool {
         let record = self.records.entry(end.print).or_default();
         let is_news = match record.ends.get_mut(&end.life) {
             // Two nodes may have seen one end; what is kept must not hang on whose word came first.
@@ -307,15 +307,15 @@
     /// Takes in that a request is not the cause of earlier ends; returns whether that is news.
     ///
     /// ```
-    /// use briarswitch_core::crash::{ClearSign, CrashLedger};
-    /// use briarswitch_core::print::RequestPrint;
+    /// use briarswitch_core::crash::{ClearReport, CrashHistory};
+    /// use briarswitch_core::fingerprint::RequestFingerprint;
     ///
-    /// let clear = ClearSign { print: RequestPrint::from([1; 16]), at: 5 };
-    /// let mut ledger = CrashLedger::default();
+    /// let clear = ClearReport { print: RequestFingerprint::from([1; 16]), at: 5 };
+    /// let mut ledger = CrashHistory::default();
     /// assert!(ledger.take_clear(clear));
     /// assert!(!ledger.take_clear(clear));
     /// ```
-    pub fn take_clear(&mut self, clear: ClearSign) -> bool {
+    pub fn take_clear(&mut self, clear: ClearReport) -> bool {
         let record = self.records.entry(clear.print).or_default();
         if clear.at <= record.cleared {
             return false;
@@ -329,13 +329,13 @@
     /// Returns what is held of a request.
     ///
     /// ```
-    /// use briarswitch_core::crash::{CrashLedger, CrashVerdict};
-    /// use briarswitch_core::print::RequestPrint;
+    /// use briarswitch_core::crash::{CrashHistory, CrashVerdict};
+    /// use briarswitch_core::fingerprint::RequestFingerprint;
     ///
-    /// let verdict = CrashLedger::default().verdict(&RequestPrint::from([1; 16]), 5);
+    /// let verdict = CrashHistory::default().verdict(&RequestFingerprint::from([1; 16]), 5);
     /// assert_eq!(verdict, CrashVerdict::Clear);
     /// ```
-    pub fn verdict(&self, print: &RequestPrint, now: StoreMillis) -> CrashVerdict {
+    pub fn verdict(&self, print: &RequestFingerprint, now: StoreMillis) -> CrashVerdict {
         let Some(record) = self.records.get(print) else {
             return CrashVerdict::Clear;
         };
@@ -347,25 +347,25 @@
     }
 
     /// Returns the ends of targets that a request was under way at, as far as they count.
-    pub fn ends(&self, print: &RequestPrint, now: StoreMillis) -> Vec<EndSign> {
+    pub fn ends(&self, print: &RequestFingerprint, now: StoreMillis) -> Vec<CrashReport> {
         let record = self.records.get(print);
         record.map_or_else(Vec::new, |record| record.ends_at(now))
     }
 
     /// Returns the last word that a request is not the cause.
-    pub fn cleared(&self, print: &RequestPrint) -> Option<ClearSign> {
+    pub fn cleared(&self, print: &RequestFingerprint) -> Option<ClearReport> {
         let record = self.records.get(print)?;
         let at = record.cleared;
-        (at > 0).then_some(ClearSign { print: *print, at })
+        (at > 0).then_some(ClearReport { print: *print, at })
     }
 
     /// Returns the requests that anything is known of.
-    pub fn prints(&self) -> impl Iterator<Item = &RequestPrint> {
+    pub fn prints(&self) -> impl Iterator<Item = &RequestFingerprint> {
         self.records.keys()
     }
 
     /// Returns whether any target has ended with the request under way.
-    pub fn has_ends(&self, print: &RequestPrint) -> bool {
+    pub fn has_ends(&self, print: &RequestFingerprint) -> bool {
         let record = self.records.get(print);
         record.is_some_and(|record| record.ends.values().any(|end| end.at > record.cleared))
     }
@@ -382,7 +382,7 @@
     ///
     /// A caller that sends ever new requests to targets that end would fill the memory otherwise.
     fn bound(&mut self) {
-        if self.records.len() <= MOST_REQUESTS {
+        if self.records.len() <= MAX_REQUESTS {
             return;
         }
         let records = self.records.iter().enumerate();
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -25,7 +25,7 @@
 
 /// Speeds and limits of one service's engines.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct EngineModel {
+pub struct EngineSpec {
     /// Requests a group works on at once.
     pub slots: u32,
     /// Token steps in one pass.
@@ -65,7 +65,7 @@
     pub delay: Duration,
 }
 
-impl EngineModel {
+impl EngineSpec {
     /// Returns the expected time from one event of a stream to the next with `writers` at work.
     pub fn pass_time(&self, model: &ModelSpec, writers: u32) -> Duration {
         let step = self.step + self.step_per_request * writers;
@@ -87,14 +87,14 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use briarswitch_core::engine::{EngineModel, ModelSpec};
+    /// use briarswitch_core::engine::{EngineSpec, ModelSpec};
     ///
     /// let model = ModelSpec { size: 4, pace: 1.0, ..ModelSpec::default() };
-    /// let engine = EngineModel {
+    /// let engine = EngineSpec {
     ///     slots: 10,
     ///     step: Duration::from_millis(5),
     ///     read_per_second: 1000.0,
-    ///     ..EngineModel::default()
+    ///     ..EngineSpec::default()
     /// };
     /// assert_eq!(engine.work_time(&model, 100, 20), Duration::from_millis(110));
     /// ```
--- a/crates/core/src/evidence.rs
+++ b/crates/core/src/evidence.rs
@@ -75,13 +75,13 @@
 
 /// The newest evidence for each machine.
 #[derive(Clone, Debug)]
-pub struct EvidenceLedger {
+pub struct EvidenceCache {
     ttl: Duration,
     entries: IndexMap<VmId, Evidence>,
     revoked: IndexMap<VmId, Moment>,
 }
 
-impl EvidenceLedger {
+impl EvidenceCache {
     /// Opens a ledger whose entries are good for `ttl`.
     pub fn open(ttl: Duration) -> Self {
         Self {
@@ -139,7 +139,7 @@
     /// use briarswitch_core::prelude::*;
     /// use std::time::Duration;
     ///
-    /// let ledger = EvidenceLedger::open(Duration::from_secs(1));
+    /// let ledger = EvidenceCache::open(Duration::from_secs(1));
     /// let group = GroupRecord::forming("g".into(), "d".into(), vec![], 1);
     /// assert_eq!(ledger.whole_until(&group, Duration::ZERO), None);
     /// ```
--- a/crates/core/src/print.rs
+++ b/crates/core/src/fingerprint.rs
@@ -6,11 +6,11 @@
 use sha2::{Digest, Sha256};
 
 /// Bytes of a fingerprint; enough that no two requests ever share one.
-const PRINT_BYTES: usize = 16;
+const FINGERPRINT_BYTES: usize = 16;
 
 /// What makes two requests the same, whatever their ids and headers.
 #[derive(Clone, Copy, Debug)]
-pub struct PrintParts<'a> {
+pub struct FingerprintParts<'a> {
     /// Who calls: an organisation, or a key where no organisation is known.
     pub caller: &'a str,
     /// Method.
@@ -29,19 +29,19 @@
 /// fingerprint of another caller's, and have that one refused.
 ///
 /// ```
-/// use briarswitch_core::print::{PrintParts, RequestPrint};
+/// use briarswitch_core::fingerprint::{PrintParts, RequestFingerprint};
 ///
 /// let parts = PrintParts { caller: "a", method: "POST", host: "h", path: "/x", body: b"text" };
 /// let other = PrintParts { caller: "b", ..parts };
-/// assert_eq!(RequestPrint::of(&parts), RequestPrint::of(&parts));
-/// assert_ne!(RequestPrint::of(&parts), RequestPrint::of(&other));
+/// assert_eq!(RequestFingerprint::of(&parts), RequestFingerprint::of(&parts));
+/// assert_ne!(RequestFingerprint::of(&parts), RequestFingerprint::of(&other));
 /// ```
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct RequestPrint([u8; PRINT_BYTES]);
+pub struct RequestFingerprint([u8; FINGERPRINT_BYTES]);
 
-impl RequestPrint {
+impl RequestFingerprint {
     /// Returns the fingerprint of a request.
-    pub fn of(parts: &PrintParts<'_>) -> Self {
+    pub fn of(parts: &FingerprintParts<'_>) -> Self {
         let texts = [parts.caller, parts.method, parts.host, parts.path];
         let mut hash = Sha256::new();
         for part in texts.map(str::as_bytes).into_iter().chain([parts.body]) {
@@ -49,25 +49,25 @@
             hash.update((part.len() as u64).to_le_bytes());
             hash.update(part);
         }
-        let mut bytes = [0; PRINT_BYTES];
-        bytes.copy_from_slice(&hash.finalize()[..PRINT_BYTES]);
+        let mut bytes = [0; FINGERPRINT_BYTES];
+        bytes.copy_from_slice(&hash.finalize()[..FINGERPRINT_BYTES]);
         Self(bytes)
     }
 }
 
-impl From<[u8; PRINT_BYTES]> for RequestPrint {
-    fn from(bytes: [u8; PRINT_BYTES]) -> Self {
+impl From<[u8; FINGERPRINT_BYTES]> for RequestFingerprint {
+    fn from(bytes: [u8; FINGERPRINT_BYTES]) -> Self {
         Self(bytes)
     }
 }
 
-impl From<RequestPrint> for [u8; PRINT_BYTES] {
-    fn from(print: RequestPrint) -> Self {
+impl From<RequestFingerprint> for [u8; FINGERPRINT_BYTES] {
+    fn from(print: RequestFingerprint) -> Self {
         print.0
     }
 }
 
-impl fmt::Display for RequestPrint {
+impl fmt::Display for RequestFingerprint {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0
             .iter()
@@ -78,28 +78,28 @@
 /// A text that is no fingerprint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("expected 32 hexadecimal digits")]
-pub struct PrintError;
+pub struct FingerprintError;
 
-impl FromStr for RequestPrint {
-    type Err = PrintError;
+impl FromStr for RequestFingerprint {
+    type Err = FingerprintError;
 
     /// Reads a fingerprint as it is displayed.
     ///
     /// ```
-    /// use briarswitch_core::print::RequestPrint;
+    /// use briarswitch_core::fingerprint::RequestFingerprint;
     ///
-    /// let print = RequestPrint::from([7; 16]);
+    /// let print = RequestFingerprint::from([7; 16]);
     /// assert_eq!(print.to_string().parse(), Ok(print));
-    /// assert!("7".parse::<RequestPrint>().is_err());
+    /// assert!("7".parse::<RequestFingerprint>().is_err());
     /// ```
-    fn from_str(text: &str) -> Result<Self, PrintError> {
-        let mut bytes = [0; PRINT_BYTES];
-        if text.len() != 2 * PRINT_BYTES || !text.is_ascii() {
-            return Err(PrintError);
+    fn from_str(text: &str) -> Result<Self, FingerprintError> {
+        let mut bytes = [0; FINGERPRINT_BYTES];
+        if text.len() != 2 * FINGERPRINT_BYTES || !text.is_ascii() {
+            return Err(FingerprintError);
         }
         for (index, byte) in bytes.iter_mut().enumerate() {
             let digits = &text[2 * index..2 * index + 2];
-            *byte = u8::from_str_radix(digits, 16).map_err(|_| PrintError)?;
+            *byte = u8::from_str_radix(digits, 16).map_err(|_| FingerprintError)?;
         }
         Ok(Self(bytes))
     }
--- a/crates/core/src/layout.rs
+++ b/crates/core/src/layout.rs
@@ -15,7 +15,7 @@
 use indexmap::IndexMap;
 
 use crate::cover::{cover_worth, demand_of, model_weight};
-use crate::engine::{EngineModel, ModelSpec};
+use crate::engine::{EngineSpec, ModelSpec};
 use crate::id::{DomainId, ModelId, ZoneId};
 use crate::losses::{GroupTable, LossCase};
 
@@ -76,7 +76,7 @@
 /// Shares weights out over all domains.
 ///
 /// ```
-/// use briarswitch_core::engine::{EngineModel, ModelSpec};
+/// use briarswitch_core::engine::{EngineSpec, ModelSpec};
 /// use briarswitch_core::layout::{plan_layout, DomainStock, LayoutPhase};
 /// use indexmap::IndexMap;
 ///
@@ -85,14 +85,14 @@
 ///     (id.clone(), ModelSpec { id, size, share, ..ModelSpec::default() })
 /// };
 /// let models = IndexMap::from([model("large", 4, 0.67), model("small", 2, 0.33)]);
-/// let engine = EngineModel { models, ..EngineModel::default() };
+/// let engine = EngineSpec { models, ..EngineSpec::default() };
 /// let domain = DomainStock { empty: 8, ..DomainStock::default() };
 /// let layouts = plan_layout(&engine, &IndexMap::new(), &[domain], LayoutPhase::Start);
 /// assert_eq!(layouts[""].holders.values().sum::<usize>(), 8);
 /// assert!(layouts[""].holders["large"] >= 4);
 /// ```
 pub fn plan_layout(
-    engine: &EngineModel,
+    engine: &EngineSpec,
     demand: &IndexMap<ModelId, f64>,
     domains: &[DomainStock],
     phase: LayoutPhase,
@@ -140,7 +140,7 @@
 impl<'a> LayoutDraft<'a> {
     /// Opens a draft of what domains hold now, or of nothing before the first caller.
     pub(crate) fn open(
-        engine: &'a EngineModel,
+        engine: &'a EngineSpec,
         demand: &IndexMap<ModelId, f64>,
         domains: &'a [DomainStock],
         phase: LayoutPhase,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -6,7 +6,7 @@
 //! ```
 //! use briarswitch_core::prelude::*;
 //!
-//! let book = ConfigBook::default();
+//! let book = VersionedConfig::default();
 //! assert_eq!(book.version(), 0);
 //! ```
 
@@ -21,9 +21,9 @@
 pub mod engine;
 pub mod events;
 pub mod evidence;
-pub mod exchange;
 pub mod fair;
 pub mod finding;
+pub mod fingerprint;
 pub mod fleet;
 mod free;
 pub mod group;
@@ -35,14 +35,14 @@
 pub mod mint;
 pub mod order;
 pub mod organisation;
+pub mod outage_history;
 pub mod outcome;
 pub mod placement;
 pub mod planner;
 pub mod prefix;
 pub mod prelude;
-pub mod print;
+pub mod rebalance;
 pub mod retry;
-pub mod returns;
 pub mod rule;
 pub mod silence;
 pub mod stream;
--- a/crates/core/src/returns.rs
+++ b/crates/core/src/outage_history.rs
@@ -4,7 +4,7 @@
 
 /// How long lost machines took to come back, and whether they did.
 #[derive(Clone, Debug, Default)]
-pub struct ReturnHistory {
+pub struct OutageHistory {
     delays: Vec<Duration>,
     next: usize,
 }
@@ -12,9 +12,9 @@
 /// Absences remembered.
 const HISTORY_LENGTH: usize = 256;
 /// Absences needed before the history is believed.
-const HISTORY_LEAST: usize = 16;
+const MIN_HISTORY: usize = 16;
 
-impl ReturnHistory {
+impl OutageHistory {
     /// Records that a lost machine came back after `delay`.
     pub fn returned(&mut self, delay: Duration) {
         if self.delays.len() < HISTORY_LENGTH {
@@ -32,10 +32,10 @@
     /// least mean wins, and zero is always a candidate.
     ///
     /// ```
-    /// use briarswitch_core::returns::ReturnHistory;
+    /// use briarswitch_core::outage_history::OutageHistory;
     /// use std::time::Duration;
     ///
-    /// let mut history = ReturnHistory::default();
+    /// let mut history = OutageHistory::default();
     /// for _ in 0..20 {
     ///     history.returned(Duration::from_secs(30));
     /// }
@@ -43,7 +43,7 @@
     /// assert_eq!(patience, Duration::from_secs(30));
     /// ```
     pub fn patience(&self, load_time: Duration) -> Duration {
-        if self.delays.len() < HISTORY_LEAST {
+        if self.delays.len() < MIN_HISTORY {
             return Duration::ZERO;
         }
         let mut sorted = self.delays.clone();
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-use crate::engine::{EngineModel, ModelSpec};
+use crate::engine::{EngineSpec, ModelSpec};
 
 /// Part of a pass that a new request waits for on average before its prompt is read.
-const PASS_WAIT: f64 = 0.5;
+const MEAN_PASS_WAIT: f64 = 0.5;
 /// Part of the places up to which nodes need not keep to their shares.
-const FREE_USE: f64 = 0.75;
+const MAX_UTILIZATION: f64 = 0.75;
 /// Part of the places that may be used beyond shares where nodes are many and take turns.
-const CROWD_USE: f64 = 0.95;
+const MAX_UTILIZATION_CROWDED: f64 = 0.95;
 
 /// Part of the places that late requests may fill where nodes are many.
-const LATE_USE: f64 = 0.75;
+const MAX_UTILIZATION_LATE: f64 = 0.75;
 
 /// Part of a place that sums of weights may lack by rounding.
 const ROUNDING: f64 = 1e-6;
@@ -42,14 +42,14 @@
 
 /// Returns the expected time to the first event.
 pub fn first_event(
-    engine: &EngineModel,
+    engine: &EngineSpec,
     model: &ModelSpec,
     load: &GroupLoad,
     prompt: u64,
 ) -> Duration {
     let pass = engine.pass_time(model, load.writers.min(engine.slots));
     let read = engine.read_time(model, load.unread_tokens + prompt);
-    let work = pass.mul_f64(PASS_WAIT + 1.0) + read;
+    let work = pass.mul_f64(MEAN_PASS_WAIT + 1.0) + read;
     work + load.delay * 2
 }
 
@@ -98,20 +98,20 @@
 ///
 /// A request that is late already takes a place only while half of them are free. Given every place
 /// that comes free, the late ones would always be there first, and those that come next late too.
-pub fn has_room(engine: &EngineModel, load: &GroupLoad) -> bool {
+pub fn has_room(engine: &EngineSpec, load: &GroupLoad) -> bool {
     let nodes = load.nodes.max(1);
     if load.is_for_late && !is_free_for_late(engine, load) {
         return false;
     }
     let others_see = load.writers.saturating_sub(load.fresh);
     let free = engine.slots.saturating_sub(others_see);
-    let is_far_from_full = f64::from(load.writers) < f64::from(engine.slots) * FREE_USE;
+    let is_far_from_full = f64::from(load.writers) < f64::from(engine.slots) * MAX_UTILIZATION;
     let may_exceed = is_far_from_full && load.fresh < free / nodes + 1;
     !load.is_queueing && (is_in_share(engine, load) || may_exceed)
 }
 
 /// Returns whether more nodes choose among the groups than a group has places.
-fn is_crowded(engine: &EngineModel, load: &GroupLoad) -> bool {
+fn is_crowded(engine: &EngineSpec, load: &GroupLoad) -> bool {
     load.nodes > engine.slots
 }
 
@@ -119,10 +119,10 @@
 ///
 /// Where there are more nodes than places, hardly any node has half of its share of a group in use, so its own
 /// requests say nothing of how full it is.
-fn is_free_for_late(engine: &EngineModel, load: &GroupLoad) -> bool {
+fn is_free_for_late(engine: &EngineSpec, load: &GroupLoad) -> bool {
     let slots = f64::from(engine.slots);
     if is_crowded(engine, load) {
-        return f64::from(load.writers) < slots * LATE_USE;
+        return f64::from(load.writers) < slots * MAX_UTILIZATION_LATE;
     }
     load.own * 2 < load.share.max(1) || load.writers * 2 < engine.slots
 }
@@ -131,7 +131,7 @@
 ///
 /// Where there are more nodes than places, callers that were cut off together come back to all nodes at once, and none
 /// has heard yet of what the others send. What this node has just sent itself tells how much that is.
-fn has_late_room(engine: &EngineModel, loads: &[GroupLoad]) -> bool {
+fn has_late_room(engine: &EngineSpec, loads: &[GroupLoad]) -> bool {
     let is_crowd = loads.iter().any(|load| is_crowded(engine, load));
     if !is_crowd {
         return true;
@@ -139,10 +139,10 @@
     let writers: u32 = loads.iter().map(|load| load.writers).sum();
     let unseen: u32 = loads.iter().map(|load| load.fresh * load.nodes).sum();
     let places = f64::from(engine.slots) * loads.len() as f64;
-    f64::from(writers + unseen) < places * LATE_USE
+    f64::from(writers + unseen) < places * MAX_UTILIZATION_LATE
 }
 
-fn is_in_share(engine: &EngineModel, load: &GroupLoad) -> bool {
+fn is_in_share(engine: &EngineSpec, load: &GroupLoad) -> bool {
     load.own < load.share && load.writers < engine.slots
 }
 
@@ -154,15 +154,15 @@
 /// nodes go there at a time as there are places, and the others keep to their shares.
 ///
 /// ```
-/// use briarswitch_core::engine::EngineModel;
+/// use briarswitch_core::engine::EngineSpec;
 /// use briarswitch_core::placement::{exceed_chance, GroupLoad};
 ///
-/// let engine = EngineModel { slots: 20, ..EngineModel::default() };
+/// let engine = EngineSpec { slots: 20, ..EngineSpec::default() };
 /// let load = GroupLoad { nodes: 300, writers: 14, ..GroupLoad::default() };
 /// // Five of 20 places may be used, and ten requests are on their way.
 /// assert_eq!(exceed_chance(&engine, &[load], 10.0), 0.5);
 /// ```
-pub fn exceed_chance(engine: &EngineModel, loads: &[GroupLoad], unseen: f64) -> f64 {
+pub fn exceed_chance(engine: &EngineSpec, loads: &[GroupLoad], unseen: f64) -> f64 {
     let rooms = loads.iter().filter(|load| !load.is_queueing);
     let room: f64 = rooms
         .map(|load| (usable_places(engine, load) - f64::from(load.writers)).max(0.0))
@@ -178,17 +178,17 @@
 ///
 /// Where there are more nodes than places a share is one place or none, and most callers come to nodes that
 /// have none; turns alone keep the group from being sent too much.
-fn usable_places(engine: &EngineModel, load: &GroupLoad) -> f64 {
+fn usable_places(engine: &EngineSpec, load: &GroupLoad) -> f64 {
     let part = if is_crowded(engine, load) {
-        CROWD_USE
+        MAX_UTILIZATION_CROWDED
     } else {
-        FREE_USE
+        MAX_UTILIZATION
     };
     f64::from(engine.slots) * part
 }
 
 /// Returns whether a request may go to a group, from a node whose turn it is to go beyond its share or not.
-fn is_open_to(engine: &EngineModel, load: &GroupLoad, may_exceed: bool) -> bool {
+fn is_open_to(engine: &EngineSpec, load: &GroupLoad, may_exceed: bool) -> bool {
     if !is_crowded(engine, load) || load.is_for_late {
         return has_room(engine, load) && (may_exceed || is_in_share(engine, load));
     }
@@ -199,7 +199,7 @@
 
 /// What is asked of a group, and what else is on its way to the same groups.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct PlaceTerms {
+pub struct PlacementParams {
     /// Tokens of the request's prompt.
     pub prompt: u64,
     /// Requests that other nodes have sent since this node heard of their load.
@@ -218,10 +218,10 @@
 /// quick, and this request goes to each with the share of them that it takes. With nothing unseen that
 /// is the quickest group.
 pub fn pick_group(
-    engine: &EngineModel,
+    engine: &EngineSpec,
     model: &ModelSpec,
     loads: &[GroupLoad],
-    terms: &PlaceTerms,
+    terms: &PlacementParams,
 ) -> Option<usize> {
     let is_late = loads.iter().any(|load| load.is_for_late);
     if is_late && !has_late_room(engine, loads) {
--- a/crates/core/src/planner.rs
+++ b/crates/core/src/planner.rs
@@ -10,13 +10,13 @@
 use crate::draft::PlanDraft;
 use crate::fleet::{FleetState, PlanStep};
 use crate::id::Moment;
-use crate::returns::ReturnHistory;
+use crate::outage_history::OutageHistory;
 
 /// Plans one zone's groups.
 #[derive(Clone, Debug)]
 pub struct GroupPlanner {
     /// How long lost machines took to come back.
-    pub history: ReturnHistory,
+    pub history: OutageHistory,
     /// Time a machine takes to load weights it does not hold.
     pub load_time: Duration,
     /// Shortest time a machine must be unseen before its group is changed.
@@ -27,7 +27,7 @@
     /// Opens a planner that has seen nothing yet.
     pub fn open(load_time: Duration, grace: Duration) -> Self {
         Self {
-            history: ReturnHistory::default(),
+            history: OutageHistory::default(),
             load_time,
             grace,
         }
--- a/crates/core/src/prefix.rs
+++ b/crates/core/src/prefix.rs
@@ -6,7 +6,7 @@
 /// Bytes of a prompt that one block covers.
 const BLOCK_BYTES: usize = 256;
 /// Most blocks of a prompt that are looked at.
-const BLOCKS: usize = 64;
+const MAX_BLOCKS: usize = 64;
 
 /// Hashes of a prompt's leading blocks, each over everything before it.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
@@ -26,7 +26,7 @@
         let mut seed = 0;
         let hashes = prompt
             .chunks_exact(BLOCK_BYTES)
-            .take(BLOCKS)
+            .take(MAX_BLOCKS)
             .map(|block| {
                 seed = xxh3_64_with_seed(block, seed);
                 seed
@@ -63,12 +63,12 @@
 
 /// Blocks that one target was sent lately.
 #[derive(Clone, Debug)]
-pub struct PrefixBook {
+pub struct PrefixIndex {
     capacity: usize,
     blocks: IndexSet<u64>,
 }
 
-impl PrefixBook {
+impl PrefixIndex {
     /// Opens a book of at most `capacity` blocks.
     pub fn open(capacity: usize) -> Self {
         Self {
--- a/crates/core/src/prelude.rs
+++ b/crates/core/src/prelude.rs
@@ -2,9 +2,9 @@
 
 pub use crate::choice::{TargetLoad, TargetPicker};
 pub use crate::claim::{ClaimBook, ClaimState};
-pub use crate::config::{ConfigBook, ConfigEntry, ConfigValue, EntityKey, EntityKind};
+pub use crate::config::{ConfigEntry, ConfigValue, EntityKey, EntityKind, VersionedConfig};
 pub use crate::deployment::{Deployment, DeploymentKind};
-pub use crate::evidence::{EvidenceLedger, MemberReport, MemberState};
+pub use crate::evidence::{EvidenceCache, MemberReport, MemberState};
 pub use crate::fair::FairQueue;
 pub use crate::finding::Finding;
 pub use crate::fleet::{FleetState, PlanStep, PlanWeights, VmFacts};
--- a/crates/core/src/exchange.rs
+++ b/crates/core/src/rebalance.rs
@@ -7,36 +7,36 @@
 
 use indexmap::IndexMap;
 
-use crate::engine::EngineModel;
+use crate::engine::EngineSpec;
 use crate::id::{DomainId, ModelId};
 use crate::layout::{DomainLayout, DomainStock, HolderCounts, LayoutDraft, LayoutPhase};
 
 /// Gain that an exchange has to bring, as a part of what all models weigh.
-const LEAST_GAIN: f64 = 0.02;
+const MIN_GAIN: f64 = 0.02;
 /// Gain that each target of an exchange has to bring beside.
 ///
 /// It loads for many seconds, and its group serves nobody while it forms anew.
-const TARGET_GAIN: f64 = 0.002;
+const MIN_GAIN_PER_TARGET: f64 = 0.002;
 /// Cover that a model keeps when it gives to one whose callers fill no more than it has.
 ///
 /// Groups of many targets are lost more often than the mean of losses tells, and take longest to come back.
-const GIVER_COVER: f64 = 2.0;
+const DONOR_MIN_COVERAGE: f64 = 2.0;
 /// Cover from which on a model has enough, by the groups that are expected to be left.
 ///
 /// Small groups that lose a member serve again within two seconds, sooner than the mean of losses tells.
-const ENOUGH_COVER: f64 = 0.85;
+const ENOUGH_COVERAGE: f64 = 0.85;
 /// Groups that a model keeps, whatever its callers ask for.
-const LEAST_GROUPS: f64 = 1.0;
+const MIN_GROUPS: f64 = 1.0;
 /// Least and most exchanges decided at a time; what is left is decided anew with what has become of them.
-const EXCHANGES: (usize, usize) = (8, 64);
+const STEPS_PER_DECISION: (usize, usize) = (8, 64);
 /// Domains that are looked at for the exchanges of one decision, which takes time for each of them.
-const LOOKS: usize = 400;
+const MAX_DOMAIN_EVALUATIONS: usize = 400;
 
 /// What an exchange is decided on.
 #[derive(Clone, Copy, Debug)]
-pub struct ExchangeTerms<'a> {
+pub struct RebalanceParams<'a> {
     /// Models.
-    pub engine: &'a EngineModel,
+    pub engine: &'a EngineSpec,
     /// Groups that each model's callers fill, smoothed over about the time of a load.
     pub demand: &'a IndexMap<ModelId, f64>,
     /// What each domain holds.
@@ -50,8 +50,8 @@
 /// Every controller computes the same from the same list and carries out its own domains' part.
 ///
 /// ```
-/// use briarswitch_core::engine::{EngineModel, ModelSpec};
-/// use briarswitch_core::exchange::{plan_exchange, ExchangeTerms};
+/// use briarswitch_core::engine::{EngineSpec, ModelSpec};
+/// use briarswitch_core::rebalance::{plan_exchange, RebalanceParams};
 /// use briarswitch_core::layout::DomainStock;
 /// use indexmap::IndexMap;
 ///
@@ -60,11 +60,11 @@
 ///     (id.clone(), ModelSpec { id, size, ..ModelSpec::default() })
 /// };
 /// let models = IndexMap::from([model("large", 4), model("small", 2)]);
-/// let engine = EngineModel { models, ..EngineModel::default() };
+/// let engine = EngineSpec { models, ..EngineSpec::default() };
 /// let holders = IndexMap::from([("large".to_owned(), 24), ("small".to_owned(), 4)]);
 /// let domain = DomainStock { holders, ..DomainStock::default() };
 /// let demand = IndexMap::from([("large".to_owned(), 1.0), ("small".to_owned(), 3.0)]);
-/// let layouts = plan_exchange(ExchangeTerms {
+/// let layouts = plan_exchange(RebalanceParams {
 ///     engine: &engine,
 ///     demand: &demand,
 ///     domains: &[domain],
@@ -72,7 +72,7 @@
 /// });
 /// assert!(layouts[""].holders["small"] > 4);
 /// ```
-pub fn plan_exchange(terms: ExchangeTerms<'_>) -> IndexMap<DomainId, DomainLayout> {
+pub fn plan_exchange(terms: RebalanceParams<'_>) -> IndexMap<DomainId, DomainLayout> {
     let phase = LayoutPhase::Serving;
     let mut draft = LayoutDraft::open(terms.engine, terms.demand, terms.domains, phase);
     let unseen = draft.fill_empty();
@@ -83,7 +83,7 @@
 
 /// One domain's targets after some of them went from one model to another.
 #[derive(Clone, Debug)]
-struct ExchangeStep {
+struct RebalanceStep {
     domain: usize,
     holders: HolderCounts,
     /// Gain for each target that has to load; loads are what is short.
@@ -119,8 +119,8 @@
 
     /// Takes the best exchange, as long as there is one that gains enough.
     fn exchange(&mut self) {
-        let (least, most) = EXCHANGES;
-        let looks = LOOKS / self.domains.len().max(1);
+        let (least, most) = STEPS_PER_DECISION;
+        let looks = MAX_DOMAIN_EVALUATIONS / self.domains.len().max(1);
         for _ in 0..looks.clamp(least, most) {
             let Some(step) = self.best_step() else {
                 return;
@@ -129,9 +129,9 @@
         }
     }
 
-    fn best_step(&mut self) -> Option<ExchangeStep> {
+    fn best_step(&mut self) -> Option<RebalanceStep> {
         let before = self.worth();
-        let mut best: Option<ExchangeStep> = None;
+        let mut best: Option<RebalanceStep> = None;
         for domain in 0..self.domains.len() {
             for step in self.steps_of(domain, before) {
                 if best.as_ref().is_none_or(|best| step.rate > best.rate) {
@@ -143,7 +143,7 @@
     }
 
     /// Returns the exchanges in one domain that gain enough.
-    fn steps_of(&mut self, domain: usize, before: f64) -> Vec<ExchangeStep> {
+    fn steps_of(&mut self, domain: usize, before: f64) -> Vec<RebalanceStep> {
         let mut steps = Vec::new();
         for from in 0..self.models.len() {
             for to in (0..self.models.len()).filter(|to| *to != from) {
@@ -161,7 +161,7 @@
         steps
     }
 
-    fn step(&mut self, tried: TargetMove, before: f64) -> Option<ExchangeStep> {
+    fn step(&mut self, tried: TargetMove, before: f64) -> Option<RebalanceStep> {
         let TargetMove {
             domain,
             from,
@@ -178,12 +178,12 @@
         let gain = (self.worth() - before) / self.weights.iter().sum::<f64>();
         // A model is never left with less than the one that it gave to had.
         // By the square, a model that lacks little takes little, and one that lacks half takes what there is.
-        let has = (self.cover(to) / ENOUGH_COVER).min(1.0);
-        let kept = cover_before.max(GIVER_COVER * has.powi(2));
-        let keeps_enough = self.cover(from) >= kept && self.groups_left(from) >= LEAST_GROUPS;
+        let has = (self.cover(to) / ENOUGH_COVERAGE).min(1.0);
+        let kept = cover_before.max(DONOR_MIN_COVERAGE * has.powi(2));
+        let keeps_enough = self.cover(from) >= kept && self.groups_left(from) >= MIN_GROUPS;
         self.change(domain, |domain| domain.holders = held);
-        let is_worth_it = gain >= LEAST_GAIN + TARGET_GAIN * count as f64;
-        (keeps_enough && is_worth_it).then_some(ExchangeStep {
+        let is_worth_it = gain >= MIN_GAIN + MIN_GAIN_PER_TARGET * count as f64;
+        (keeps_enough && is_worth_it).then_some(RebalanceStep {
             domain,
             holders,
             rate: gain / count as f64,
--- a/crates/core/src/silence.rs
+++ b/crates/core/src/silence.rs
@@ -5,22 +5,22 @@
 
 use std::time::Duration;
 
-use crate::engine::{EngineModel, ModelSpec};
+use crate::engine::{EngineSpec, ModelSpec};
 
 /// Passes without any event after which a group counts as silent.
 const SILENT_PASSES: f64 = 4.0;
 /// Least silence of a group that means anything; below it the network's delays show.
-const LEAST_SILENCE: Duration = Duration::from_millis(180);
+const MIN_SILENCE: Duration = Duration::from_millis(180);
 /// Factor on the longest of the last intervals between events.
 const INTERVAL_FACTOR: f64 = 1.5;
 /// Factor on the longest pass that a sound group can have.
-const LONGEST_PASS_FACTOR: f64 = 1.15;
+const MAX_PASS_FACTOR: f64 = 1.15;
 /// Longest interval that counts as usual; a group that stalled must not teach patience.
-const LONGEST_INTERVAL: Duration = Duration::from_millis(250);
+const MAX_USUAL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What a node knows of a group's work.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct GroupWork {
+pub struct GroupActivity {
     /// Requests at work there, of all nodes.
     pub writers: u32,
     /// This node's own requests among them.
@@ -37,14 +37,14 @@
 ///
 /// A node that has a running stream there hears of every pass. One that has only sent requests hears
 /// nothing until the pass under way is over and the next one, which reads its prompt, as well.
-pub fn silence_limit(engine: &EngineModel, model: &ModelSpec, work: &GroupWork) -> Duration {
+pub fn silence_limit(engine: &EngineSpec, model: &ModelSpec, work: &GroupActivity) -> Duration {
     let pass = engine.pass_time(model, work.writers);
     let read = engine.read_time(model, work.unread_tokens);
-    let usual = work.interval.min(LONGEST_INTERVAL);
+    let usual = work.interval.min(MAX_USUAL_INTERVAL);
     let passes = if work.unread < work.own { 1 } else { 2 };
     let longest = engine.longest_pass(model, work.writers) * passes;
     (pass.mul_f64(SILENT_PASSES) + read)
         .max(usual.mul_f64(INTERVAL_FACTOR))
-        .max(longest.mul_f64(LONGEST_PASS_FACTOR))
-        .max(LEAST_SILENCE)
+        .max(longest.mul_f64(MAX_PASS_FACTOR))
+        .max(MIN_SILENCE)
 }
--- a/crates/core/src/traffic.rs
+++ b/crates/core/src/traffic.rs
@@ -1,13 +1,13 @@
 //! A whole configuration as one version: rules by host and path, services, and organisations.
 //!
-//! [`crate::config::ConfigBook`] is edited one entity at a time; a [`TrafficBook`] is accepted and
+//! [`crate::config::VersionedConfig`] is edited one entity at a time; a [`TrafficConfig`] is accepted and
 //! replaced as a whole, so a node holds either all of a version or nothing of it.
 
 use std::time::Duration;
 
 use indexmap::IndexMap;
 
-use crate::engine::EngineModel;
+use crate::engine::EngineSpec;
 use crate::id::{ConfigVersion, OrganisationId, ServiceId};
 
 /// What may be repeated of a rule's requests.
@@ -113,7 +113,7 @@
     /// Most connections one target takes from all callers together.
     pub max_connections: u32,
     /// Speeds and limits, where the targets are model engines.
-    pub engine: Option<EngineModel>,
+    pub engine: Option<EngineSpec>,
 }
 
 /// Limits on what callers send.
@@ -140,7 +140,7 @@
 
 /// One whole version of the configuration.
 #[derive(Clone, Debug, PartialEq)]
-pub struct TrafficBook {
+pub struct TrafficConfig {
     /// Version; later ones are higher.
     pub version: ConfigVersion,
     /// Rules by host, longest prefix first.
@@ -153,7 +153,7 @@
     pub limits: CallerLimits,
 }
 
-impl TrafficBook {
+impl TrafficConfig {
     /// Returns the rule with the longest prefix that begins the path.
     pub fn rule(&self, host: &str, path: &str) -> Option<&TrafficRule> {
         let rules = self.hosts.get(host)?;
--- a/crates/core/src/waiting.rs
+++ b/crates/core/src/waiting.rs
@@ -13,16 +13,16 @@
 ///
 /// A late answer is worth a quarter of one on time, and a caller that was told to come back is late as
 /// well; but a request that is held and then refused has lost that time.
-const LATE_WAIT: Duration = Duration::from_millis(500);
+const LATE_MAX_WAIT: Duration = Duration::from_millis(500);
 /// Part of the time it has left for which a request is kept that has come back already.
 ///
 /// Its caller comes back only once, so refusing it again is the end of it.
-const RETURNED_WAIT: f64 = 0.3;
+const RETRIED_WAIT_SHARE: f64 = 0.3;
 
 /// Time for which a stream is kept that broke off and is to go on.
 ///
 /// What was delivered of it is lost if it ends. Callers leave a stream that pauses for two seconds.
-const BEGUN_WAIT: Duration = Duration::from_millis(1_500);
+const RESUMPTION_MAX_WAIT: Duration = Duration::from_millis(1_500);
 
 /// A request that waits.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -41,7 +41,7 @@
 
 /// What is known of a request when it begins to wait.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct WaitTerms {
+pub struct WaitParams {
     /// When it came.
     pub arrived: Moment,
     /// Time its caller had waited before, at another node or for an earlier answer.
@@ -72,18 +72,18 @@
     ///
     /// A place is useful as long as the first event can come within the objective, counted from the
     /// caller's first attempt.
-    pub fn open(terms: WaitTerms) -> Self {
+    pub fn open(terms: WaitParams) -> Self {
         let slack = terms
             .objective
             .saturating_sub(terms.first + terms.waited_before);
         let useful_until = terms.arrived + slack;
         let late = if terms.is_begun {
-            BEGUN_WAIT
+            RESUMPTION_MAX_WAIT
         } else if terms.waited_before.is_zero() {
-            terms.objective + LATE_WAIT
+            terms.objective + LATE_MAX_WAIT
         } else {
             let left = terms.deadline.saturating_sub(terms.arrived);
-            left.mul_f64(RETURNED_WAIT)
+            left.mul_f64(RETRIED_WAIT_SHARE)
         };
         Self {
             arrived: terms.arrived,
--- a/crates/core/src/watch.rs
+++ b/crates/core/src/watch.rs
@@ -5,7 +5,7 @@
 use crate::id::NodeId;
 
 /// Nodes that watch each machine, so that the loss of one watcher loses no evidence.
-pub const WATCHERS: usize = 2;
+pub const WATCHERS_PER_VM: usize = 2;
 
 /// Returns the nodes that watch `vm`, the first choice first.
 ///
@@ -23,7 +23,7 @@
     ranked.sort_by(|left, right| right.cmp(left));
     ranked
         .into_iter()
-        .take(WATCHERS)
+        .take(WATCHERS_PER_VM)
         .map(|(_, node)| node)
         .collect()
 }
--- a/crates/core/tests/broken_streams.rs
+++ b/crates/core/tests/broken_streams.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use briarswitch_core::id::Moment;
-use briarswitch_core::waiting::{next_waiting, WaitTerms, WaitVerdict, WaitingRequest};
+use briarswitch_core::waiting::{next_waiting, WaitParams, WaitVerdict, WaitingRequest};
 use googletest::prelude::*;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -66,13 +66,13 @@
     }
 
     fn wait(&mut self, stream: PlayStream, is_begun: bool) {
-        let request = WaitingRequest::open(WaitTerms {
+        let request = WaitingRequest::open(WaitParams {
             arrived: self.now,
             objective: Duration::from_millis(300),
             first: Duration::from_millis(100),
             deadline: self.now + DEADLINE,
             is_begun,
-            ..WaitTerms::default()
+            ..WaitParams::default()
         });
         self.waiting.push(PlayWaiter { request, stream });
     }
--- a/crates/core/tests/crash.rs
+++ b/crates/core/tests/crash.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use briarswitch_core::crash::*;
-use briarswitch_core::print::{PrintParts, RequestPrint};
+use briarswitch_core::fingerprint::{FingerprintParts, RequestFingerprint};
 use googletest::prelude::*;
 use proptest::prelude::*;
 
@@ -12,22 +12,22 @@
 /// Time for which the request had run at each end.
 const RAN: Duration = Duration::from_millis(90);
 
-fn print() -> RequestPrint {
-    RequestPrint::from([7; 16])
+fn print() -> RequestFingerprint {
+    RequestFingerprint::from([7; 16])
 }
 
-fn end(target: &str, domain: &str, at: StoreMillis, rate: f64) -> EndSign {
+fn end(target: &str, domain: &str, at: StoreMillis, rate: f64) -> CrashReport {
     let (target, domain) = (target.to_owned(), domain.to_owned());
-    let target = EndedTarget {
+    let target = CrashedTarget {
         target: &target,
         incarnation: 0,
         domain: &domain,
     };
-    EndSign::of(print(), target, at, RAN, rate)
+    CrashReport::of(print(), target, at, RAN, rate)
 }
 
-fn ledger_of(ends: &[EndSign]) -> CrashLedger {
-    let mut ledger = CrashLedger::default();
+fn ledger_of(ends: &[CrashReport]) -> CrashHistory {
+    let mut ledger = CrashHistory::default();
     for end in ends {
         ledger.take_end(*end);
     }
@@ -35,7 +35,7 @@
 }
 
 /// Returns ends of different targets, a second apart.
-fn ends(count: usize, rate: f64) -> Vec<EndSign> {
+fn ends(count: usize, rate: f64) -> Vec<CrashReport> {
     let end = |index: usize| {
         let at = 1_000 * (index as StoreMillis + 1);
         end(&format!("t{index}"), &format!("d{index}"), at, rate)
@@ -43,7 +43,7 @@
     (0..count).map(end).collect()
 }
 
-fn verdict(ends: &[EndSign]) -> CrashVerdict {
+fn verdict(ends: &[CrashReport]) -> CrashVerdict {
     ledger_of(ends).verdict(&print(), 10_000)
 }
 
@@ -55,7 +55,7 @@
 /// Cause guarded against: a fingerprint that holds too little, parts that run into each other, or headers of one attempt.
 #[gtest]
 fn a_fingerprint_is_of_caller_method_host_path_and_body() {
-    let parts = PrintParts {
+    let parts = FingerprintParts {
         caller: "org",
         method: "POST",
         host: "api",
@@ -63,32 +63,32 @@
         body: b"text",
     };
     let others = [
-        PrintParts {
+        FingerprintParts {
             caller: "or",
             ..parts
         },
-        PrintParts {
+        FingerprintParts {
             method: "PUT",
             ..parts
         },
-        PrintParts {
+        FingerprintParts {
             host: "app",
             ..parts
         },
-        PrintParts {
+        FingerprintParts {
             path: "/x/y?z",
             ..parts
         },
-        PrintParts {
+        FingerprintParts {
             body: b"texts",
             ..parts
         },
-        PrintParts {
+        FingerprintParts {
             host: "api/x",
             path: "/y",
             ..parts
         },
-        PrintParts {
+        FingerprintParts {
             caller: "orgPOST",
             method: "",
             ..parts
@@ -96,16 +96,19 @@
     ];
     for other in others {
         expect_that!(
-            RequestPrint::of(&other),
-            not(eq(RequestPrint::of(&parts))),
+            RequestFingerprint::of(&other),
+            not(eq(RequestFingerprint::of(&parts))),
             "{other:?}"
         );
     }
-    let again = PrintParts {
+    let again = FingerprintParts {
         body: b"text",
         ..parts
     };
-    expect_that!(RequestPrint::of(&again), eq(RequestPrint::of(&parts)));
+    expect_that!(
+        RequestFingerprint::of(&again),
+        eq(RequestFingerprint::of(&parts))
+    );
 }
 
 #[gtest]
@@ -137,10 +140,10 @@
 #[gtest]
 fn targets_of_one_domain_that_end_together_count_once() {
     let together = |index: u64| end(&format!("t{index}"), "d", 1_000 + 10 * index, CALM);
-    let ends: Vec<EndSign> = (0..6).map(together).collect();
+    let ends: Vec<CrashReport> = (0..6).map(together).collect();
     expect_that!(verdict(&ends), eq(CrashVerdict::Clear));
     let apart = |index: u64| end(&format!("t{index}"), "d", 1_000 + 200 * index, CALM);
-    let ends: Vec<EndSign> = (0..3).map(apart).collect();
+    let ends: Vec<CrashReport> = (0..3).map(apart).collect();
     expect_true!(is_quarantined(verdict(&ends)));
 }
 
@@ -150,7 +153,7 @@
 #[gtest]
 fn a_whole_answer_clears_what_was_before_and_nothing_later() {
     let mut ledger = ledger_of(&ends(3, CALM));
-    let clear = ClearSign {
+    let clear = ClearReport {
         print: print(),
         at: 5_000,
     };
@@ -175,7 +178,7 @@
         panic!("it is {verdict:?}");
     };
     // Its first end, at one second, is forgotten then.
-    expect_that!(left, eq(MEMORY_TIME - Duration::from_secs(3)));
+    expect_that!(left, eq(CRASH_RETENTION - Duration::from_secs(3)));
     let over = 4_000 + left.as_millis() as StoreMillis;
     expect_true!(is_quarantined(ledger.verdict(&print(), over - 1)));
     expect_false!(is_quarantined(ledger.verdict(&print(), over)));
@@ -191,21 +194,21 @@
     for index in 0..20_000_u64 {
         let mut bytes = [0; 16];
         bytes[..8].copy_from_slice(&(index + 1).to_le_bytes());
-        let other = EndSign {
-            print: RequestPrint::from(bytes),
+        let other = CrashReport {
+            print: RequestFingerprint::from(bytes),
             ..end("t", "d", 4_000, CALM)
         };
         ledger.take_end(other);
     }
     expect_that!(ledger.prints().count(), le(4_096));
     expect_true!(is_quarantined(ledger.verdict(&print(), 10_000)));
-    ledger.prune(4_000 + MEMORY_TIME.as_millis() as StoreMillis);
+    ledger.prune(4_000 + CRASH_RETENTION.as_millis() as StoreMillis);
     expect_that!(ledger.prints().count(), eq(0));
 }
 
 #[gtest]
 fn the_rate_counts_what_ended_lately() {
-    let mut rate = EndRate::default();
+    let mut rate = CrashRate::default();
     let at = Duration::from_secs;
     for second in 0..20 {
         rate.note(10 * second, 100, at(second));
@@ -221,22 +224,22 @@
 /// One thing that a ledger is told.
 #[derive(Clone, Copy, Debug)]
 enum Told {
-    End(EndSign),
-    Clear(ClearSign),
+    End(CrashReport),
+    Clear(ClearReport),
 }
 
 fn told() -> impl Strategy<Value = Told> {
     let ends = (0..4_u64, 1..60_u64, 10..400_u16).prop_map(|(life, at, chance)| {
-        Told::End(EndSign {
+        Told::End(CrashReport {
             print: print(),
-            life: LifeKey(life),
+            life: IncarnationKey(life),
             domain: life % 2,
             at: at * 100,
             chance,
         })
     });
     let clears = (1..60_u64).prop_map(|at| {
-        Told::Clear(ClearSign {
+        Told::Clear(ClearReport {
             print: print(),
             at: at * 100,
         })
@@ -244,7 +247,7 @@
     prop_oneof![4 => ends, 1 => clears]
 }
 
-fn take(ledger: &mut CrashLedger, told: Told) {
+fn take(ledger: &mut CrashHistory, told: Told) {
     match told {
         Told::End(end) => ledger.take_end(end),
         Told::Clear(clear) => ledger.take_clear(clear),
@@ -261,7 +264,7 @@
         again in prop::collection::vec(any::<prop::sample::Index>(), 0..6),
         seed in any::<u64>(),
     ) {
-        let mut first = CrashLedger::default();
+        let mut first = CrashHistory::default();
         told.iter().for_each(|one| take(&mut first, *one));
         let mut other = told.clone();
         if !told.is_empty() {
@@ -270,7 +273,7 @@
         other.sort_by_key(|one| format!("{seed}{one:?}").bytes().fold(seed, |sum, byte| {
             sum.rotate_left(5) ^ u64::from(byte).wrapping_mul(0x9e37_79b9)
         }));
-        let mut second = CrashLedger::default();
+        let mut second = CrashHistory::default();
         other.iter().for_each(|one| take(&mut second, *one));
         prop_assert_eq!(first.ends(&print(), 10_000), second.ends(&print(), 10_000));
         prop_assert_eq!(first.verdict(&print(), 10_000), second.verdict(&print(), 10_000));
--- a/crates/core/tests/crash_play.rs
+++ b/crates/core/tests/crash_play.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use briarswitch_core::crash::*;
-use briarswitch_core::print::RequestPrint;
+use briarswitch_core::fingerprint::RequestFingerprint;
 use googletest::prelude::*;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -43,7 +43,7 @@
 
 #[derive(Clone, Debug)]
 struct PlayRequest {
-    print: RequestPrint,
+    print: RequestFingerprint,
     is_deadly: bool,
     runs: u32,
     head: usize,
@@ -69,11 +69,11 @@
     lives: [u64; HEADS],
     requests: Vec<PlayRequest>,
     waiting: Vec<(f64, PlayRequest)>,
-    ledger: CrashLedger,
-    rate: EndRate,
+    ledger: CrashHistory,
+    rate: CrashRate,
     /// When the directory drops what has ended.
     lapses: Vec<f64>,
-    refused: std::collections::HashSet<RequestPrint>,
+    refused: std::collections::HashSet<RequestFingerprint>,
     end: PlayEnd,
 }
 
@@ -91,16 +91,16 @@
             lives: [0; HEADS],
             requests: Vec::new(),
             waiting: Vec::new(),
-            ledger: CrashLedger::default(),
-            rate: EndRate::default(),
+            ledger: CrashHistory::default(),
+            rate: CrashRate::default(),
             lapses: Vec::new(),
             refused: Default::default(),
             end: PlayEnd::default(),
         }
     }
 
-    fn new_print(&mut self) -> RequestPrint {
-        RequestPrint::from(self.rng.random::<[u8; 16]>())
+    fn new_print(&mut self) -> RequestFingerprint {
+        RequestFingerprint::from(self.rng.random::<[u8; 16]>())
     }
 
     fn send(&mut self, mut request: PlayRequest) {
@@ -141,12 +141,12 @@
         self.requests = left;
         for request in hit {
             let ran = Duration::from_secs_f64(self.now - request.sent);
-            let target = EndedTarget {
+            let target = CrashedTarget {
                 target: &format!("h{head}"),
                 incarnation: self.lives[head],
                 domain: &domain,
             };
-            let end = EndSign::of(request.print, target, millis(self.now), ran, rate);
+            let end = CrashReport::of(request.print, target, millis(self.now), ran, rate);
             self.ledger.take_end(end);
             // The second run of an attempt follows at once, the next attempt after a while.
             let pause = if request.runs % 2 == 1 { 0.0 } else { 0.4 };
@@ -195,7 +195,7 @@
                 self.end_head(request.head);
             } else if self.ledger.has_ends(&request.print) {
                 let (print, at) = (request.print, millis(now));
-                self.ledger.take_clear(ClearSign { print, at });
+                self.ledger.take_clear(ClearReport { print, at });
             }
         }
         let all = std::mem::take(&mut self.waiting);
@@ -233,7 +233,7 @@
     }
 }
 
-fn open_request(print: RequestPrint, is_deadly: bool) -> PlayRequest {
+fn open_request(print: RequestFingerprint, is_deadly: bool) -> PlayRequest {
     PlayRequest {
         print,
         is_deadly,
--- a/crates/core/tests/crowd.rs
+++ b/crates/core/tests/crowd.rs
@@ -4,8 +4,10 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use briarswitch_core::engine::{EngineModel, ModelSpec};
-use briarswitch_core::placement::{pick_group, place_share, GroupLoad, NodeWeight, PlaceTerms};
+use briarswitch_core::engine::{EngineSpec, ModelSpec};
+use briarswitch_core::placement::{
+    pick_group, place_share, GroupLoad, NodeWeight, PlacementParams,
+};
 use googletest::prelude::*;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -20,7 +22,7 @@
 /// Time that a request is at work in its group, in ticks; longer in one that is sent too much.
 const WORK_TICKS: f64 = 130.0;
 
-fn engine() -> EngineModel {
+fn engine() -> EngineSpec {
     let large = ModelSpec {
         id: "large".to_owned(),
         size: 32,
@@ -28,20 +30,20 @@
         pace: 1.0,
         ..ModelSpec::default()
     };
-    EngineModel {
+    EngineSpec {
         slots: SLOTS,
         stride: 11,
         step: Duration::from_micros(5_950),
         step_per_request: Duration::from_nanos(44_500),
         read_per_second: 50_700.0,
         models: [(large.id.clone(), large)].into_iter().collect(),
-        ..EngineModel::default()
+        ..EngineSpec::default()
     }
 }
 
 struct Crowd {
     rng: StdRng,
-    engine: EngineModel,
+    engine: EngineSpec,
     /// Requests at each group by node.
     own: Vec<[u32; GROUPS]>,
     /// Requests at each group, the newest last.
@@ -105,7 +107,7 @@
             .collect();
         let window = (tick / LATE_TICKS) as u64;
         let mut turn = StdRng::seed_from_u64(window * 1_000 + node as u64);
-        let terms = PlaceTerms {
+        let terms = PlacementParams {
             prompt: 1_600,
             unseen: per_second * LATE_TICKS as f64 / SECOND as f64,
             draw: self.rng.random(),
--- a/crates/core/tests/exchange.rs
+++ b/crates/core/tests/exchange.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use briarswitch_core::engine::{EngineModel, ModelSpec};
-use briarswitch_core::exchange::{plan_exchange, ExchangeTerms};
+use briarswitch_core::engine::{EngineSpec, ModelSpec};
 use briarswitch_core::id::*;
 use briarswitch_core::layout::{DomainLayout, DomainStock};
+use briarswitch_core::rebalance::{plan_exchange, RebalanceParams};
 use googletest::prelude::*;
 use indexmap::IndexMap;
 
@@ -22,7 +22,7 @@
 /// Sizes of domains that are played, with those of the groups.
 const SHAPES: [(usize, [usize; 2]); 3] = [(8, [4, 2]), (27, [12, 6]), (73, [32, 8])];
 
-fn engine(sizes: [usize; 2]) -> EngineModel {
+fn engine(sizes: [usize; 2]) -> EngineSpec {
     let models = [LARGE, SMALL].into_iter().zip(sizes).map(|(id, size)| {
         let spec = ModelSpec {
             id: id.to_owned(),
@@ -34,9 +34,9 @@
         };
         (spec.id.clone(), spec)
     });
-    EngineModel {
+    EngineSpec {
         models: models.collect(),
-        ..EngineModel::default()
+        ..EngineSpec::default()
     }
 }
 
@@ -65,7 +65,7 @@
     domains: &[DomainStock],
     rates: [f64; 2],
 ) -> IndexMap<DomainId, DomainLayout> {
-    plan_exchange(ExchangeTerms {
+    plan_exchange(RebalanceParams {
         engine: &engine(sizes),
         demand: &demand(rates),
         domains,
@@ -165,7 +165,7 @@
     let domains = stock(&[[27, 0], [15, 12], [27, 0], [15, 12], [15, 12], [15, 12]]);
     let alone = moved(&domains, &plan([12, 6], &domains, [2.2, 9.0]));
     let coming = IndexMap::from([(SMALL.to_owned(), alone)]);
-    let told = plan_exchange(ExchangeTerms {
+    let told = plan_exchange(RebalanceParams {
         engine: &engine([12, 6]),
         demand: &demand([2.2, 9.0]),
         domains: &domains,
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use briarswitch_core::engine::{EngineModel, ModelSpec};
+use briarswitch_core::engine::{EngineSpec, ModelSpec};
 use briarswitch_core::events::EventSplitter;
 use briarswitch_core::id::*;
 use briarswitch_core::placement::{
-    has_room, pick_group, place_share, GroupLoad, NodeWeight, PlaceTerms,
+    has_room, pick_group, place_share, GroupLoad, NodeWeight, PlacementParams,
 };
 use briarswitch_core::target::{
     LapseWindow, Membership, MembershipState, TargetBook, TargetChange, TargetRecord,
@@ -26,9 +26,9 @@
     }
 }
 
-fn engine() -> EngineModel {
+fn engine() -> EngineSpec {
     let models = [model("large", 4, 0.57, 1.0), model("small", 3, 0.43, 0.6)];
-    EngineModel {
+    EngineSpec {
         slots: 26,
         stride: 7,
         step: Duration::from_micros(5_950),
@@ -38,7 +38,7 @@
             .map(|spec| (spec.id.clone(), spec))
             .into_iter()
             .collect(),
-        ..EngineModel::default()
+        ..EngineSpec::default()
     }
 }
 
@@ -147,8 +147,8 @@
     expect_that!(pick_group(&engine, spec, &[load(26)], &terms), none());
 }
 
-fn place_terms(unseen: f64, draw: f64) -> PlaceTerms {
-    PlaceTerms {
+fn place_terms(unseen: f64, draw: f64) -> PlacementParams {
+    PlacementParams {
         prompt: 1_460,
         unseen,
         draw,
--- a/crates/core/tests/layout.rs
+++ b/crates/core/tests/layout.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use briarswitch_core::engine::{EngineModel, ModelSpec};
+use briarswitch_core::engine::{EngineSpec, ModelSpec};
 use briarswitch_core::id::*;
 use briarswitch_core::layout::{plan_layout, DomainLayout, DomainStock, LayoutPhase};
 use googletest::prelude::*;
@@ -13,7 +13,7 @@
 /// Zones, of two domains each.
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-fn engine(sizes: [usize; 2]) -> EngineModel {
+fn engine(sizes: [usize; 2]) -> EngineSpec {
     let model = |id: &str, size: usize, share| {
         let spec = ModelSpec {
             id: id.to_owned(),
@@ -26,9 +26,9 @@
         (spec.id.clone(), spec)
     };
     let models = [model(LARGE, sizes[0], 0.67), model(SMALL, sizes[1], 0.33)];
-    EngineModel {
+    EngineSpec {
         models: IndexMap::from(models),
-        ..EngineModel::default()
+        ..EngineSpec::default()
     }
 }
 
--- a/crates/core/tests/losses.rs
+++ b/crates/core/tests/losses.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use briarswitch_core::engine::{EngineModel, ModelSpec};
+use briarswitch_core::engine::{EngineSpec, ModelSpec};
 use briarswitch_core::id::*;
 use briarswitch_core::layout::{plan_layout, DomainLayout, DomainStock, LayoutPhase};
 use googletest::prelude::*;
@@ -72,7 +72,7 @@
 };
 
 impl FleetCase {
-    fn engine(&self) -> EngineModel {
+    fn engine(&self) -> EngineSpec {
         let models = [LARGE, SMALL].into_iter().enumerate();
         let models = models.map(|(index, id)| {
             let spec = ModelSpec {
@@ -85,9 +85,9 @@
             };
             (spec.id.clone(), spec)
         });
-        EngineModel {
+        EngineSpec {
             models: models.collect(),
-            ..EngineModel::default()
+            ..EngineSpec::default()
         }
     }
 
--- a/crates/core/tests/properties.rs
+++ b/crates/core/tests/properties.rs
@@ -115,7 +115,7 @@
     /// Whatever order entries arrive in, the version only rises and no entry is skipped.
     #[test]
     fn configuration_never_goes_back(versions in prop::collection::vec(1..12_u64, 1..60)) {
-        let mut book = ConfigBook::default();
+        let mut book = VersionedConfig::default();
         for version in versions {
             let before = book.version();
             let key = EntityKey { kind: EntityKind::Rules, id: "main".to_owned() };
--- a/crates/core/tests/silence.rs
+++ b/crates/core/tests/silence.rs
@@ -2,19 +2,19 @@
 
 use std::time::Duration;
 
-use briarswitch_core::engine::{EngineModel, ModelSpec};
-use briarswitch_core::silence::{silence_limit, GroupWork};
+use briarswitch_core::engine::{EngineSpec, ModelSpec};
+use briarswitch_core::silence::{silence_limit, GroupActivity};
 use googletest::prelude::*;
 
-fn engine() -> EngineModel {
-    EngineModel {
+fn engine() -> EngineSpec {
+    EngineSpec {
         slots: 30,
         stride: 8,
         step: Duration::from_micros(5_950),
         step_per_request: Duration::from_nanos(44_500),
         read_per_second: 50_700.0,
         read_per_step: 2_048,
-        ..EngineModel::default()
+        ..EngineSpec::default()
     }
 }
 
@@ -33,10 +33,10 @@
 #[gtest]
 fn a_group_that_reads_other_nodes_prompts_is_not_silent() {
     let (engine, model) = (engine(), model());
-    let work = GroupWork {
+    let work = GroupActivity {
         writers: 10,
         own: 1,
-        ..GroupWork::default()
+        ..GroupActivity::default()
     };
     let longest = engine.longest_pass(&model, work.writers);
     expect_that!(longest, gt(Duration::from_millis(370)));
@@ -50,15 +50,15 @@
 #[gtest]
 fn a_node_without_a_running_stream_waits_for_two_passes() {
     let (engine, model) = (engine(), model());
-    let work = GroupWork {
+    let work = GroupActivity {
         writers: 24,
         own: 2,
         unread: 2,
-        ..GroupWork::default()
+        ..GroupActivity::default()
     };
     let longest = engine.longest_pass(&model, work.writers);
     expect_that!(silence_limit(&engine, &model, &work), gt(longest * 2));
-    let hears = GroupWork { unread: 1, ..work };
+    let hears = GroupActivity { unread: 1, ..work };
     expect_that!(silence_limit(&engine, &model, &hears), lt(longest * 2));
 }
 
@@ -68,7 +68,7 @@
 #[gtest]
 fn a_group_that_has_stalled_before_is_not_waited_for_longer() {
     let (engine, model) = (engine(), model());
-    let work = GroupWork {
+    let work = GroupActivity {
         writers: 30,
         own: 5,
         unread: 1,
--- a/crates/core/tests/staging.rs
+++ b/crates/core/tests/staging.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use briarswitch_core::assembly::{DomainKeeper, DomainView, TargetFacts, TargetStanding};
-use briarswitch_core::engine::{EngineModel, ModelSpec};
+use briarswitch_core::engine::{EngineSpec, ModelSpec};
 use briarswitch_core::id::*;
 use briarswitch_core::layout::DomainLayout;
 use briarswitch_core::order::{OrderResult, TargetAction, TargetOrder};
@@ -17,7 +17,7 @@
 /// One domain whose targets do as they are told at once; only loads take until they are let go on.
 struct DomainWorld {
     keeper: DomainKeeper,
-    engine: EngineModel,
+    engine: EngineSpec,
     layout: DomainLayout,
     targets: IndexMap<TargetId, TargetFacts>,
     loading: IndexMap<TargetId, ModelId>,
@@ -39,9 +39,9 @@
         });
         let mut world = Self {
             keeper: DomainKeeper::open("n1"),
-            engine: EngineModel {
+            engine: EngineSpec {
                 models: IndexMap::from(models),
-                ..EngineModel::default()
+                ..EngineSpec::default()
             },
             layout: layout(8, 0),
             targets: IndexMap::new(),
--- a/crates/core/tests/waiting.rs
+++ b/crates/core/tests/waiting.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use briarswitch_core::id::Moment;
-use briarswitch_core::waiting::{next_waiting, WaitTerms, WaitVerdict, WaitingRequest};
+use briarswitch_core::waiting::{next_waiting, WaitParams, WaitVerdict, WaitingRequest};
 use googletest::prelude::*;
 
 /// Time within which callers were promised the first event.
@@ -21,13 +21,13 @@
     Duration::from_millis(millis)
 }
 
-fn terms(arrived: Moment) -> WaitTerms {
-    WaitTerms {
+fn terms(arrived: Moment) -> WaitParams {
+    WaitParams {
         arrived,
         objective: OBJECTIVE,
         first: FIRST,
         deadline: arrived + Duration::from_secs(8),
-        ..WaitTerms::default()
+        ..WaitParams::default()
     }
 }
 
@@ -95,7 +95,7 @@
 #[gtest]
 fn urgent_requests_go_first_among_those_that_can_be_on_time() {
     let urgent = WaitingRequest::open(terms(at(0)));
-    let newer = WaitingRequest::open(WaitTerms {
+    let newer = WaitingRequest::open(WaitParams {
         priority: 2,
         ..terms(at(50))
     });
@@ -108,7 +108,7 @@
 /// Cause guarded against: counting a returning caller's objective from its return.
 #[gtest]
 fn a_caller_that_comes_back_counts_from_its_first_attempt() {
-    let returned = WaitingRequest::open(WaitTerms {
+    let returned = WaitingRequest::open(WaitParams {
         waited_before: Duration::from_millis(700),
         ..terms(at(1_000))
     });
--- a/crates/core/tests/wave.rs
+++ b/crates/core/tests/wave.rs
@@ -3,8 +3,10 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use briarswitch_core::engine::{EngineModel, ModelSpec};
-use briarswitch_core::placement::{pick_group, place_share, GroupLoad, NodeWeight, PlaceTerms};
+use briarswitch_core::engine::{EngineSpec, ModelSpec};
+use briarswitch_core::placement::{
+    pick_group, place_share, GroupLoad, NodeWeight, PlacementParams,
+};
 use googletest::prelude::*;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -36,7 +38,7 @@
 /// Nodes that place callers, a second after they started.
 struct WavePlay {
     rng: StdRng,
-    engine: EngineModel,
+    engine: EngineSpec,
     own: Vec<[u32; GROUPS]>,
     /// What each node has sent that others have not heard of, by tick.
     sent: VecDeque<Vec<[u32; GROUPS]>>,
@@ -62,14 +64,14 @@
             pace: 0.6,
             ..ModelSpec::default()
         };
-        let engine = EngineModel {
+        let engine = EngineSpec {
             slots: SLOTS,
             stride: 5,
             step: Duration::from_micros(6_450),
             step_per_request: Duration::from_nanos(96_700),
             read_per_second: 56_100.0,
             models: [(small.id.clone(), small)].into_iter().collect(),
-            ..EngineModel::default()
+            ..EngineSpec::default()
         };
         Self {
             rng: StdRng::seed_from_u64(seed),
@@ -117,7 +119,7 @@
             .collect();
         let window = (tick / LATE_TICKS) as u64;
         let mut turn = StdRng::seed_from_u64(window * 1_000 + node as u64);
-        let terms = PlaceTerms {
+        let terms = PlacementParams {
             prompt: 714,
             unseen: CALLERS * LATE_TICKS as f64 / SECOND as f64,
             draw: self.rng.random(),
--- a/crates/fleet/src/controller.rs
+++ b/crates/fleet/src/controller.rs
@@ -7,12 +7,12 @@
 use briarswitch_core::assembly::{
     DomainKeeper, DomainView, HeldWeights, TargetFacts, TargetStanding,
 };
-use briarswitch_core::engine::EngineModel;
+use briarswitch_core::engine::EngineSpec;
 use briarswitch_core::id::*;
 use briarswitch_core::layout::DomainLayout;
 use briarswitch_core::order::{OrderResult, TargetAction, TargetOrder};
 use briarswitch_core::target::{MembershipState, TargetRecord};
-use briarswitch_core::traffic::{ServiceSpec, TrafficBook};
+use briarswitch_core::traffic::{ServiceSpec, TrafficConfig};
 use briarswitch_kernel::{BootClock, Service, ServiceLink};
 use indexmap::{IndexMap, IndexSet};
 use serde_json::{json, Value};
@@ -163,7 +163,7 @@
     /// Returns what this node is responsible for, worked out again only when something has changed.
     ///
     /// Few of the nodes give orders at all, and all look at every target twenty times a second.
-    fn scope(&mut self, book: &TrafficBook, directory: &Arc<DirectoryView>) -> Arc<ControlScope> {
+    fn scope(&mut self, book: &TrafficConfig, directory: &Arc<DirectoryView>) -> Arc<ControlScope> {
         let basis = ScopeBasis {
             version: book.version,
             directory: Arc::clone(directory),
@@ -208,7 +208,7 @@
     /// Decides anew what all domains of a service should hold.
     fn lay_out(
         &mut self,
-        engine: &EngineModel,
+        engine: &EngineSpec,
         records: &[&TargetRecord],
         own: &IndexSet<DomainKey>,
         held: ServiceLayouts,
@@ -358,7 +358,7 @@
     fn plan(
         &mut self,
         key: &DomainKey,
-        engine: &EngineModel,
+        engine: &EngineSpec,
         layout: &DomainLayout,
         load_budget: usize,
         now: Moment,
@@ -407,7 +407,7 @@
     ///
     /// The limit holds for all domains together; what other nodes have under way is known from the
     /// exchange. A load under way shows in the target itself, so a successor sees it too.
-    fn load_budget(&self, engine: &EngineModel) -> usize {
+    fn load_budget(&self, engine: &EngineSpec) -> usize {
         if self.is_start() {
             // Before the first caller the weight store has nothing else to do.
             return usize::MAX;
--- a/crates/fleet/src/domains.rs
+++ b/crates/fleet/src/domains.rs
@@ -1,7 +1,7 @@
 //! The fabric domains that a list of targets makes up, and what each of them holds.
 
 use briarswitch_core::assembly::HeldWeights;
-use briarswitch_core::engine::EngineModel;
+use briarswitch_core::engine::EngineSpec;
 use briarswitch_core::id::{DomainId, ModelId, ZoneId};
 use briarswitch_core::layout::DomainStock;
 use briarswitch_core::target::TargetRecord;
@@ -20,7 +20,7 @@
 
 impl<'a> StockItem<'a> {
     /// Returns the model that the target can serve next.
-    fn held(&self, engine: &EngineModel) -> Option<&'a ModelId> {
+    fn held(&self, engine: &EngineSpec) -> Option<&'a ModelId> {
         let held = self.weights.next_model()?;
         engine.models.contains_key(held).then_some(held)
     }
@@ -59,7 +59,7 @@
 
 /// Returns what each domain holds, in an order that all controllers agree on.
 pub fn stock_of(
-    engine: &EngineModel,
+    engine: &EngineSpec,
     domains: &IndexMap<&DomainId, &ZoneId>,
     items: &[StockItem<'_>],
     is_own: impl Fn(&DomainId) -> bool,
--- a/crates/fleet/src/fleet_host.rs
+++ b/crates/fleet/src/fleet_host.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use briarswitch_core::fingerprint::RequestFingerprint;
 use briarswitch_core::id::*;
-use briarswitch_core::print::RequestPrint;
 use briarswitch_membership::ThingHolders;
 use futures::future::BoxFuture;
 
@@ -35,7 +35,7 @@
         })
     }
 
-    fn holders_of(&self, print: &RequestPrint, count: usize) -> ThingHolders {
+    fn holders_of(&self, print: &RequestFingerprint, count: usize) -> ThingHolders {
         self.live.read().holders_of(&print.to_string(), count)
     }
 
--- a/crates/fleet/src/job.rs
+++ b/crates/fleet/src/job.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use briarswitch_core::engine::EngineModel;
+use briarswitch_core::engine::EngineSpec;
+use briarswitch_core::fingerprint::RequestFingerprint;
 use briarswitch_core::id::*;
-use briarswitch_core::print::RequestPrint;
-use briarswitch_core::traffic::{AnswerKind, TrafficBook, TrafficRule};
+use briarswitch_core::traffic::{AnswerKind, TrafficConfig, TrafficRule};
 use briarswitch_http::TargetBody;
 use bytes::Bytes;
 use http::{HeaderMap, Method};
@@ -31,11 +31,11 @@
     /// Body.
     pub body: Bytes,
     /// Fingerprint, the same for each repeat of the request.
-    pub print: RequestPrint,
+    pub print: RequestFingerprint,
     /// Rule that matched.
     pub rule: TrafficRule,
     /// Configuration that the rule is from.
-    pub book: Arc<Option<TrafficBook>>,
+    pub book: Arc<Option<TrafficConfig>>,
     /// Service chosen.
     pub service: ServiceId,
     /// Organisation, if a key was asked for.
@@ -52,7 +52,7 @@
 
 impl RequestJob {
     /// Returns the engine behind the service.
-    pub fn engine(&self) -> Option<&EngineModel> {
+    pub fn engine(&self) -> Option<&EngineSpec> {
         let book = self.book.as_ref().as_ref()?;
         book.services.get(&self.service)?.engine.as_ref()
     }
--- a/crates/fleet/src/keeper.rs
+++ b/crates/fleet/src/keeper.rs
@@ -5,7 +5,7 @@
 
 use briarswitch_core::id::Moment;
 use briarswitch_core::target::LapseWindow;
-use briarswitch_core::traffic::TrafficBook;
+use briarswitch_core::traffic::TrafficConfig;
 use briarswitch_kernel::{Service, ServiceLink};
 use serde_json::{json, Value};
 
@@ -175,7 +175,7 @@
     }
 
     /// Takes a configuration over if it is newer; an older one read late changes nothing.
-    fn adopt(&self, book: TrafficBook) {
+    fn adopt(&self, book: TrafficConfig) {
         let held = self
             .shared
             .book
--- a/crates/fleet/src/layouts.rs
+++ b/crates/fleet/src/layouts.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use briarswitch_core::engine::EngineModel;
-use briarswitch_core::exchange::{plan_exchange, ExchangeTerms};
+use briarswitch_core::engine::EngineSpec;
 use briarswitch_core::id::*;
 use briarswitch_core::layout::{plan_layout, DomainLayout, DomainStock, LayoutPhase};
+use briarswitch_core::rebalance::{plan_exchange, RebalanceParams};
 use indexmap::IndexMap;
 
 /// Time between two decisions on what all domains should hold.
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LayoutBasis<'a> {
     /// Models.
-    pub engine: &'a EngineModel,
+    pub engine: &'a EngineSpec,
     /// What each domain holds.
     pub stock: &'a [DomainStock],
     /// Groups that each model's callers fill now.
@@ -68,7 +68,7 @@
     ///
     /// While weights are exchanged, all domains may begin before their nodes hear of each other, and some of the
     /// loads are kept for targets that come in place of lost ones.
-    pub fn load_budget(&self, engine: &EngineModel, budget: usize) -> usize {
+    pub fn load_budget(&self, engine: &EngineSpec, budget: usize) -> usize {
         if !self.is_exchange {
             return budget;
         }
@@ -93,7 +93,7 @@
         let trend = basis.trend.filter(|_| !basis.is_start);
         let trend = trend.filter(|_| basis.now >= self.exchanged + EXCHANGE_INTERVAL);
         let exchanged = trend.map(|demand| {
-            plan_exchange(ExchangeTerms {
+            plan_exchange(RebalanceParams {
                 engine: basis.engine,
                 demand,
                 domains: basis.stock,
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
+use briarswitch_core::fingerprint::RequestFingerprint;
 use briarswitch_core::id::Incarnation;
-use briarswitch_core::print::RequestPrint;
 use briarswitch_http::{
     reply_bytes, reply_json, reply_text, Handler, HttpServer, Request, Response, ServerGuard,
 };
@@ -194,7 +194,7 @@
 
     /// Lets a quarantined request run again, at all nodes.
     async fn release(&self, name: &str) -> Response {
-        let Ok(print) = name.parse::<RequestPrint>() else {
+        let Ok(print) = name.parse::<RequestFingerprint>() else {
             return reply_text(StatusCode::BAD_REQUEST, "expected a request's fingerprint");
         };
         if !self.shared.suspects.has_ends(&print) {
--- a/crates/fleet/src/peer_surface.rs
+++ b/crates/fleet/src/peer_surface.rs
@@ -3,8 +3,8 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
+use briarswitch_core::fingerprint::RequestFingerprint;
 use briarswitch_core::id::Moment;
-use briarswitch_core::print::RequestPrint;
 use briarswitch_http::{read_body, reply_packed, reply_text, unpack, Handler, Request, Response};
 use briarswitch_kernel::{BootClock, Mailbox};
 use briarswitch_membership::{Gossip, GossipDoc, Standing};
@@ -92,10 +92,10 @@
             return reply_text(StatusCode::BAD_REQUEST, "expected ends of targets");
         };
         let told = Vec::<SuspectRow>::from(doc);
-        let prints: IndexSet<RequestPrint> = told.iter().map(|row| row.key().print).collect();
+        let prints: IndexSet<RequestFingerprint> = told.iter().map(|row| row.key().print).collect();
         let suspects = &self.shared.suspects;
         let news = told.iter().filter(|row| suspects.take(row));
-        let news: IndexSet<RequestPrint> = news.map(|row| row.key().print).collect();
+        let news: IndexSet<RequestFingerprint> = news.map(|row| row.key().print).collect();
         if !news.is_empty() {
             if let Err(error) = self.suspects.post(SuspectMessage::Told(news)) {
                 log::warn!(error:% = error; "ends_untold");
--- a/crates/fleet/src/placer.rs
+++ b/crates/fleet/src/placer.rs
@@ -3,11 +3,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use briarswitch_core::engine::EngineModel;
+use briarswitch_core::engine::EngineSpec;
 use briarswitch_core::id::*;
 use briarswitch_core::outcome::FailurePoint;
-use briarswitch_core::placement::{pick_group, place_share, GroupLoad, PlaceTerms};
-use briarswitch_core::waiting::{WaitTerms, WaitingRequest};
+use briarswitch_core::placement::{pick_group, place_share, GroupLoad, PlacementParams};
+use briarswitch_core::waiting::{WaitParams, WaitingRequest};
 use briarswitch_kernel::BootClock;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
@@ -63,10 +63,10 @@
         job: &RequestJob,
         tried: &[TargetId],
     ) -> Result<PlacedTarget, FailurePoint> {
-        let terms = WaitTerms {
+        let terms = WaitParams {
             arrived: job.arrived,
             waited_before: job.waited_before,
-            ..WaitTerms::default()
+            ..WaitParams::default()
         };
         self.place_on(job, tried, terms).await
     }
@@ -85,10 +85,10 @@
         tried: &[TargetId],
         is_begun: bool,
     ) -> Result<PlacedTarget, FailurePoint> {
-        let terms = WaitTerms {
+        let terms = WaitParams {
             arrived: BootClock::now(),
             is_begun,
-            ..WaitTerms::default()
+            ..WaitParams::default()
         };
         self.place_on(job, tried, terms).await
     }
@@ -98,10 +98,10 @@
         &self,
         job: &RequestJob,
         tried: &[TargetId],
-        terms: WaitTerms,
+        terms: WaitParams,
     ) -> Result<PlacedTarget, FailurePoint> {
         let mut ask = job.place_ask(tried);
-        let request = WaitingRequest::open(WaitTerms {
+        let request = WaitingRequest::open(WaitParams {
             objective: job.rule.objective,
             first: self.queue.usual_first(&ask.key),
             deadline: job.deadline,
@@ -164,7 +164,7 @@
                     .collect();
                 let elsewhere = self.shared.elsewhere.read();
                 let arrivals = elsewhere.arrivals.get(&model.id).copied();
-                let terms = PlaceTerms {
+                let terms = PlacementParams {
                     prompt: ask.prompt_tokens,
                     unseen: arrivals.unwrap_or_default() * KNOWN_TIME.as_secs_f64(),
                     draw: rand::random(),
@@ -187,7 +187,7 @@
         hash as f64 / u64::MAX as f64
     }
 
-    fn load_of(&self, engine: &EngineModel, group: &RouteTarget, now: Moment) -> GroupLoad {
+    fn load_of(&self, engine: &EngineSpec, group: &RouteTarget, now: Moment) -> GroupLoad {
         let own = &self.shared.settings.zone;
         let delay = engine.delays.iter().find(|delay| {
             (&delay.from == own && delay.to == group.zone)
--- a/crates/fleet/src/ports.rs
+++ b/crates/fleet/src/ports.rs
@@ -6,7 +6,7 @@
 use briarswitch_core::id::*;
 use briarswitch_core::order::{OrderResult, TargetAction};
 use briarswitch_core::target::{Membership, TargetChange};
-use briarswitch_core::traffic::TrafficBook;
+use briarswitch_core::traffic::TrafficConfig;
 use futures::future::BoxFuture;
 use http::request::Parts;
 use http::{HeaderMap, StatusCode};
@@ -102,7 +102,7 @@
     /// Where to go on.
     pub mark: FeedMark,
     /// Newest configuration, if there is one that was not read yet.
-    pub book: Option<Box<TrafficBook>>,
+    pub book: Option<Box<TrafficConfig>>,
     /// Whether no newer one can have been there when the store was asked.
     pub is_newest: bool,
     /// How long before the question was sent the store may have been asked.
--- a/crates/fleet/src/run_facts.rs
+++ b/crates/fleet/src/run_facts.rs
@@ -1,7 +1,7 @@
 //! What ran where, and how a run ended that brought no whole answer.
 
+use briarswitch_core::fingerprint::RequestFingerprint;
 use briarswitch_core::id::*;
-use briarswitch_core::print::RequestPrint;
 
 /// One life of a target.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
@@ -18,7 +18,7 @@
     /// Id of the caller's attempt.
     pub request: RequestId,
     /// Fingerprint of the request.
-    pub print: RequestPrint,
+    pub print: RequestFingerprint,
     /// Organisation; empty where no key is asked for.
     pub organisation: OrganisationId,
     /// Target.
--- a/crates/fleet/src/scope.rs
+++ b/crates/fleet/src/scope.rs
@@ -4,7 +4,7 @@
 
 use briarswitch_core::id::*;
 use briarswitch_core::target::TargetRecord;
-use briarswitch_core::traffic::TrafficBook;
+use briarswitch_core::traffic::TrafficConfig;
 use briarswitch_membership::LiveView;
 use indexmap::IndexSet;
 
@@ -57,7 +57,7 @@
     ///
     /// The domain's own zone goes first, since a zone that is cut off has to mend itself. Two nodes that
     /// both believe a domain theirs do no harm: the targets obey only one of them.
-    pub fn open(book: &TrafficBook, basis: ScopeBasis) -> Self {
+    pub fn open(book: &TrafficConfig, basis: ScopeBasis) -> Self {
         let ScopeBasis {
             directory, live, ..
         } = &basis;
--- a/crates/fleet/src/shared.rs
+++ b/crates/fleet/src/shared.rs
@@ -7,7 +7,7 @@
 use briarswitch_core::id::*;
 use briarswitch_core::placement::NodeWeight;
 use briarswitch_core::target::TargetBook;
-use briarswitch_core::traffic::TrafficBook;
+use briarswitch_core::traffic::TrafficConfig;
 use briarswitch_kernel::{BootClock, Snapshot};
 use briarswitch_membership::{LiveView, Membership, WorkSum};
 use indexmap::IndexMap;
@@ -66,7 +66,7 @@
     /// Changes of the store's tables, asked for together with other nodes.
     pub feed: FeedRelay,
     /// Configuration in force.
-    pub book: Snapshot<Option<TrafficBook>>,
+    pub book: Snapshot<Option<TrafficConfig>>,
     /// Directory.
     pub directory: Snapshot<DirectoryView>,
     /// Where requests may go.
@@ -159,7 +159,7 @@
     }
 
     /// Puts a configuration in force.
-    pub fn adopt_book(&self, book: TrafficBook) {
+    pub fn adopt_book(&self, book: TrafficConfig) {
         self.book.publish(Some(book));
         self.rebuild_table();
     }
@@ -167,7 +167,7 @@
     /// Returns the configuration in force; a node that has just started waits a moment for its first one.
     ///
     /// Callers come as soon as the node listens. One that is refused then comes back late, and once only.
-    pub async fn first_book(&self) -> Arc<Option<TrafficBook>> {
+    pub async fn first_book(&self) -> Arc<Option<TrafficConfig>> {
         if *self.book_known.borrow() {
             return self.book.load();
         }
--- a/crates/fleet/src/supply.rs
+++ b/crates/fleet/src/supply.rs
@@ -1,6 +1,6 @@
 //! How many places each model has, how many are taken, and how many its callers would fill.
 
-use briarswitch_core::engine::EngineModel;
+use briarswitch_core::engine::EngineSpec;
 use briarswitch_core::id::{ModelId, Moment};
 use briarswitch_core::traffic::ServiceSpec;
 use indexmap::IndexMap;
@@ -25,14 +25,14 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use briarswitch_core::engine::{EngineModel, ModelSpec};
+/// use briarswitch_core::engine::{EngineSpec, ModelSpec};
 /// use briarswitch_core::traffic::ServiceSpec;
 /// use briarswitch_fleet::supply::supplies;
 /// use briarswitch_fleet::table::TargetTable;
 /// use indexmap::IndexMap;
 ///
 /// let models = IndexMap::from([("chat".to_owned(), ModelSpec::default())]);
-/// let engine = EngineModel { models, ..EngineModel::default() };
+/// let engine = EngineSpec { models, ..EngineSpec::default() };
 /// let service = ServiceSpec { id: "chat".to_owned(), max_connections: 9, engine: None };
 /// let demand = IndexMap::from([("chat".to_owned(), 2.5)]);
 /// let now = Duration::ZERO;
@@ -42,7 +42,7 @@
 /// ```
 pub fn supplies(
     service: &ServiceSpec,
-    engine: &EngineModel,
+    engine: &EngineSpec,
     table: &TargetTable,
     demand: &IndexMap<ModelId, f64>,
     now: Moment,
--- a/crates/fleet/src/surface.rs
+++ b/crates/fleet/src/surface.rs
@@ -3,9 +3,9 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
+use briarswitch_core::fingerprint::{FingerprintParts, RequestFingerprint};
 use briarswitch_core::id::*;
-use briarswitch_core::print::{PrintParts, RequestPrint};
-use briarswitch_core::traffic::{TrafficBook, TrafficRule};
+use briarswitch_core::traffic::{TrafficConfig, TrafficRule};
 use briarswitch_http::{read_body, Body, BodyError, Handler, Request, Response};
 use briarswitch_kernel::BootClock;
 use bytes::Bytes;
@@ -108,7 +108,7 @@
         self.shared.has_traffic.store(true, Ordering::Relaxed);
         let path = head.uri.path_and_query();
         let path = path.map_or("/", |path| path.as_str()).to_owned();
-        let print = RequestPrint::of(&PrintParts {
+        let print = RequestFingerprint::of(&FingerprintParts {
             caller: organisation.as_deref().or(ask.key.as_deref()).unwrap_or(""),
             method: head.method.as_str(),
             host: &ask.host,
@@ -134,7 +134,7 @@
         })
     }
 
-    fn count_demand(&self, book: &TrafficBook, service: &str, ask: &CallerAsk, now: Moment) {
+    fn count_demand(&self, book: &TrafficConfig, service: &str, ask: &CallerAsk, now: Moment) {
         let engine = book.services.get(service);
         let engine = engine.and_then(|service| service.engine.as_ref());
         let model = ask.model.as_deref();
@@ -150,7 +150,7 @@
 
     fn match_rule<'a>(
         &self,
-        book: &'a TrafficBook,
+        book: &'a TrafficConfig,
         ask: &CallerAsk,
         head: &Parts,
     ) -> Result<&'a TrafficRule, OwnAnswer> {
@@ -169,7 +169,7 @@
 
     fn identify(
         &self,
-        book: &TrafficBook,
+        book: &TrafficConfig,
         rule: &TrafficRule,
         ask: &CallerAsk,
     ) -> Result<Option<(OrganisationId, Option<u8>)>, OwnAnswer> {
@@ -187,7 +187,12 @@
         Ok(Some((holder.organisation.clone(), holder.priority)))
     }
 
-    async fn read(&self, book: &TrafficBook, head: &Parts, body: Body) -> Result<Bytes, OwnAnswer> {
+    async fn read(
+        &self,
+        book: &TrafficConfig,
+        head: &Parts,
+        body: Body,
+    ) -> Result<Bytes, OwnAnswer> {
         let limits = book.limits;
         let sizes = head
             .headers
--- a/crates/fleet/src/suspect_doc.rs
+++ b/crates/fleet/src/suspect_doc.rs
@@ -1,6 +1,6 @@
 //! Ends of targets and the requests under way there, on the wire between nodes.
 
-use briarswitch_core::crash::{ClearSign, EndSign, LifeKey, StoreMillis};
+use briarswitch_core::crash::{ClearReport, CrashReport, IncarnationKey, StoreMillis};
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteArray;
 
@@ -50,9 +50,9 @@
     fn from(doc: SuspectDoc) -> Self {
         let ends = doc.ends.into_iter();
         let ends = ends.map(|EndDoc(print, life, domain, at, chance)| {
-            SuspectRow::End(EndSign {
+            SuspectRow::End(CrashReport {
                 print: print.into_array().into(),
-                life: LifeKey(life),
+                life: IncarnationKey(life),
                 domain,
                 at,
                 chance,
@@ -60,7 +60,7 @@
         });
         let clears = doc.clears.into_iter().map(|ClearDoc(print, at)| {
             let print = print.into_array().into();
-            SuspectRow::Clear(ClearSign { print, at })
+            SuspectRow::Clear(ClearReport { print, at })
         });
         ends.chain(clears).collect()
     }
--- a/crates/fleet/src/suspect_host.rs
+++ b/crates/fleet/src/suspect_host.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use briarswitch_core::fingerprint::RequestFingerprint;
 use briarswitch_core::id::*;
-use briarswitch_core::print::RequestPrint;
 use briarswitch_membership::ThingHolders;
 use futures::future::BoxFuture;
 
@@ -88,7 +88,7 @@
     /// Returns the nodes that add up the ends of a request.
     ///
     /// A node that tells nobody writes each end itself.
-    fn holders_of(&self, print: &RequestPrint, count: usize) -> ThingHolders;
+    fn holders_of(&self, print: &RequestFingerprint, count: usize) -> ThingHolders;
 
     /// Finds out whether the target of a run that broke lives.
     fn life_sign<'a>(
--- a/crates/fleet/src/suspect_keeper.rs
+++ b/crates/fleet/src/suspect_keeper.rs
@@ -9,10 +9,10 @@
 use std::time::Duration;
 
 use briarswitch_core::crash::{
-    ClearSign, CrashVerdict, EndRate, EndSign, EndedTarget, StoreMillis,
+    ClearReport, CrashRate, CrashReport, CrashVerdict, CrashedTarget, StoreMillis,
 };
+use briarswitch_core::fingerprint::RequestFingerprint;
 use briarswitch_core::id::*;
-use briarswitch_core::print::RequestPrint;
 use briarswitch_http::{CallError, CallerClient, Codec};
 use briarswitch_kernel::{Service, ServiceLink};
 use briarswitch_membership::NodeEntry;
@@ -67,13 +67,13 @@
     /// Targets ended with these runs under way.
     Ended(Vec<FatalRun>),
     /// Another node told something of these requests that is news.
-    Told(IndexSet<RequestPrint>),
+    Told(IndexSet<RequestFingerprint>),
     /// A holder was told of these ends, and answered what it knows of the requests, or did not answer.
-    Answered(Vec<EndSign>, Option<Vec<SuspectRow>>),
+    Answered(Vec<CrashReport>, Option<Vec<SuspectRow>>),
     /// A request under which targets had ended was answered as a whole.
-    Completed(RequestPrint),
+    Completed(RequestFingerprint),
     /// The operator takes back what is held of a request.
-    Released(RequestPrint),
+    Released(RequestFingerprint),
     /// Ask for changes of the table.
     Ask,
     /// The table's changes came or not.
@@ -102,7 +102,7 @@
     /// Holders that have not answered yet, by the end that they were told of; no entry once one has.
     untold: IndexMap<SuspectKey, usize>,
     verdicts: VerdictLog,
-    rate: EndRate,
+    rate: CrashRate,
     counted: Moment,
 }
 
@@ -117,7 +117,7 @@
             table: SuspectTable::default(),
             untold: IndexMap::new(),
             verdicts: VerdictLog::default(),
-            rate: EndRate::default(),
+            rate: CrashRate::default(),
             counted: Moment::ZERO,
         }
     }
@@ -130,12 +130,12 @@
             // Dated by when they were noticed, ends that are noticed together would pass for one.
             let since = link.now().saturating_sub(ended).as_millis() as StoreMillis;
             let at = store_now.saturating_sub(since);
-            let target = EndedTarget {
+            let target = CrashedTarget {
                 target: &facts.life.target,
                 incarnation: facts.life.incarnation,
                 domain: &facts.domain,
             };
-            let end = EndSign::of(facts.print, target, at, ran, rate);
+            let end = CrashReport::of(facts.print, target, at, ran, rate);
             if end.chance > USELESS_CHANCE {
                 continue;
             }
@@ -158,8 +158,8 @@
     }
 
     /// Tells the nodes that rank first for each request; where there is nobody, the rows are written at once.
-    fn tell(&mut self, ends: &[EndSign], link: &ServiceLink<SuspectMessage>) {
-        let mut messages: IndexMap<NodeId, (Arc<NodeEntry>, Vec<EndSign>)> = IndexMap::new();
+    fn tell(&mut self, ends: &[CrashReport], link: &ServiceLink<SuspectMessage>) {
+        let mut messages: IndexMap<NodeId, (Arc<NodeEntry>, Vec<CrashReport>)> = IndexMap::new();
         for end in ends {
             let others = self.host.holders_of(&end.print, HOLDERS).others;
             if others.is_empty() {
@@ -180,7 +180,7 @@
     }
 
     /// Takes in a holder's answer; ends that no holder was told of are written.
-    fn take_answer(&mut self, ends: &[EndSign], known: Option<Vec<SuspectRow>>, now: Moment) {
+    fn take_answer(&mut self, ends: &[CrashReport], known: Option<Vec<SuspectRow>>, now: Moment) {
         for end in ends {
             let row = SuspectRow::End(*end);
             let Some(left) = self.untold.get_mut(&row.key()) else {
@@ -198,7 +198,7 @@
         self.take_rows(&known.unwrap_or_default(), true, now);
     }
 
-    fn send(&self, holder: &NodeEntry, ends: Vec<EndSign>, link: &ServiceLink<SuspectMessage>) {
+    fn send(&self, holder: &NodeEntry, ends: Vec<CrashReport>, link: &ServiceLink<SuspectMessage>) {
         let url = format!("http://{}{SUSPECT_PATH}", holder.address);
         let client = self.client.clone();
         self.host.note(SuspectEvent::EndTold);
@@ -217,12 +217,12 @@
     /// Takes rows in; `is_own` where this node is one of those that have to see them written.
     fn take_rows(&mut self, rows: &[SuspectRow], is_own: bool, now: Moment) {
         let news = rows.iter().filter(|row| self.host.suspects().take(row));
-        let prints: IndexSet<RequestPrint> = news.map(|row| row.key().print).collect();
+        let prints: IndexSet<RequestFingerprint> = news.map(|row| row.key().print).collect();
         self.look_at(&prints, is_own, now);
     }
 
     /// Looks at requests of which something new is known: what is held of them, and what is to be written.
-    fn look_at(&mut self, prints: &IndexSet<RequestPrint>, is_own: bool, now: Moment) {
+    fn look_at(&mut self, prints: &IndexSet<RequestFingerprint>, is_own: bool, now: Moment) {
         for print in prints {
             let verdict = self.host.suspects().verdict(print);
             self.verdicts.note(self.host.as_ref(), print, verdict);
@@ -240,18 +240,18 @@
         }
     }
 
-    fn own_place(&self, print: &RequestPrint) -> Option<usize> {
+    fn own_place(&self, print: &RequestFingerprint) -> Option<usize> {
         self.host.holders_of(print, HOLDERS).own_place
     }
 
     /// Takes in that a request is not the cause of what has ended so far.
-    fn clear(&mut self, print: RequestPrint, reason: &'static str, now: Moment) {
+    fn clear(&mut self, print: RequestFingerprint, reason: &'static str, now: Moment) {
         if !self.host.suspects().has_ends(&print) {
             return;
         }
         let is_told = self.verdicts.holds(&print) || self.table.knows(&print);
         let at = self.host.suspects().now();
-        let row = SuspectRow::Clear(ClearSign { print, at });
+        let row = SuspectRow::Clear(ClearReport { print, at });
         self.host.suspects().take(&row);
         log::info!(print:% = print, reason = reason; "request_cleared");
         self.verdicts
@@ -265,7 +265,8 @@
     /// Writes what is due, and drops what counts no more of the requests that this node ranks first for.
     fn write(&mut self, link: &ServiceLink<SuspectMessage>) {
         let host = Arc::clone(&self.host);
-        let is_first = |print: &RequestPrint| host.holders_of(print, HOLDERS).own_place == Some(0);
+        let is_first =
+            |print: &RequestFingerprint| host.holders_of(print, HOLDERS).own_place == Some(0);
         let store_now = host.suspects().now();
         let Some(batch) = self.table.begin_write(link.now(), store_now, is_first) else {
             return;
--- a/crates/fleet/src/suspect_record.rs
+++ b/crates/fleet/src/suspect_record.rs
@@ -1,7 +1,7 @@
 //! Rows on requests under which targets have ended, as tables hold them.
 
-use briarswitch_core::crash::{ClearSign, EndSign, LifeKey, StoreMillis};
-use briarswitch_core::print::RequestPrint;
+use briarswitch_core::crash::{ClearReport, CrashReport, IncarnationKey, StoreMillis};
+use briarswitch_core::fingerprint::RequestFingerprint;
 use serde::{Deserialize, Serialize};
 
 use crate::suspect_row::{SuspectKey, SuspectRow};
@@ -37,16 +37,16 @@
 /// Returns the text of a row's key.
 ///
 /// ```
-/// use briarswitch_core::print::RequestPrint;
+/// use briarswitch_core::fingerprint::RequestFingerprint;
 /// use briarswitch_fleet::ports::SuspectKey;
 /// use briarswitch_fleet::suspect_record::{key_text, read_key};
 ///
-/// let key = SuspectKey { print: RequestPrint::from([1; 16]), life: None };
+/// let key = SuspectKey { print: RequestFingerprint::from([1; 16]), life: None };
 /// assert_eq!(read_key(&key_text(&key)), Ok(key));
 /// ```
 pub fn key_text(key: &SuspectKey) -> String {
     match key.life {
-        Some(LifeKey(life)) => format!("{}-{life:016x}", key.print),
+        Some(IncarnationKey(life)) => format!("{}-{life:016x}", key.print),
         None => format!("{}-{CLEARED}", key.print),
     }
 }
@@ -58,12 +58,12 @@
 /// Returns [`UnreadableRecord`] where it is none.
 pub fn read_key(text: &str) -> Result<SuspectKey, UnreadableRecord> {
     let (print, life) = text.split_once('-').ok_or(UnreadableRecord)?;
-    let print: RequestPrint = print.parse().map_err(|_| UnreadableRecord)?;
+    let print: RequestFingerprint = print.parse().map_err(|_| UnreadableRecord)?;
     let life = if life == CLEARED {
         None
     } else {
         let life = u64::from_str_radix(life, 16).map_err(|_| UnreadableRecord)?;
-        Some(LifeKey(life))
+        Some(IncarnationKey(life))
     };
     Ok(SuspectKey { print, life })
 }
@@ -92,9 +92,9 @@
         let SuspectKey { print, life } = read_key(&record.key)?;
         let SuspectValue { at, domain, chance } = record.value;
         let Some(life) = life else {
-            return Ok(Self::Clear(ClearSign { print, at }));
+            return Ok(Self::Clear(ClearReport { print, at }));
         };
-        Ok(Self::End(EndSign {
+        Ok(Self::End(CrashReport {
             print,
             life,
             domain: domain.ok_or(UnreadableRecord)?,
--- a/crates/fleet/src/suspect_row.rs
+++ b/crates/fleet/src/suspect_row.rs
@@ -1,15 +1,15 @@
 //! Rows on requests under which targets have ended.
 
-use briarswitch_core::crash::{ClearSign, EndSign, LifeKey, StoreMillis};
-use briarswitch_core::print::RequestPrint;
+use briarswitch_core::crash::{ClearReport, CrashReport, IncarnationKey, StoreMillis};
+use briarswitch_core::fingerprint::RequestFingerprint;
 
 /// Names a row in the table of requests under which targets have ended.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct SuspectKey {
     /// Request.
-    pub print: RequestPrint,
+    pub print: RequestFingerprint,
     /// Life that ended; `None` for the word that the request is not the cause.
-    pub life: Option<LifeKey>,
+    pub life: Option<IncarnationKey>,
 }
 
 /// A row in the table of requests under which targets have ended.
@@ -18,9 +18,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SuspectRow {
     /// A target ended.
-    End(EndSign),
+    End(CrashReport),
     /// The request is not the cause of earlier ends.
-    Clear(ClearSign),
+    Clear(ClearReport),
 }
 
 impl SuspectRow {
--- a/crates/fleet/src/suspect_table.rs
+++ b/crates/fleet/src/suspect_table.rs
@@ -1,8 +1,8 @@
 //! What the store's table holds of requests under which targets have ended, and what this node is to write there.
 
 use briarswitch_core::crash::{is_forgotten, StoreMillis};
+use briarswitch_core::fingerprint::RequestFingerprint;
 use briarswitch_core::id::Moment;
-use briarswitch_core::print::RequestPrint;
 use indexmap::IndexMap;
 
 use crate::ports::{SuspectChange, SuspectKey, SuspectRow, MOST_SUSPECT_ROWS};
@@ -46,7 +46,7 @@
     }
 
     /// Returns whether the store holds anything of a request.
-    pub fn knows(&self, print: &RequestPrint) -> bool {
+    pub fn knows(&self, print: &RequestFingerprint) -> bool {
         self.stored.keys().any(|key| key.print == *print)
     }
 
@@ -55,12 +55,12 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use briarswitch_core::crash::ClearSign;
-    /// use briarswitch_core::print::RequestPrint;
+    /// use briarswitch_core::crash::ClearReport;
+    /// use briarswitch_core::fingerprint::RequestFingerprint;
     /// use briarswitch_fleet::ports::SuspectRow;
     /// use briarswitch_fleet::suspect_table::SuspectTable;
     ///
-    /// let row = SuspectRow::Clear(ClearSign { print: RequestPrint::from([1; 16]), at: 5 });
+    /// let row = SuspectRow::Clear(ClearReport { print: RequestFingerprint::from([1; 16]), at: 5 });
     /// let mut table = SuspectTable::default();
     /// table.write_later(row, Duration::from_secs(2));
     /// assert!(table.begin_write(Duration::from_secs(1), 10, |_| true).is_none());
@@ -76,7 +76,7 @@
     }
 
     /// Forgets what was to be written of a request.
-    pub fn forget(&mut self, print: &RequestPrint) {
+    pub fn forget(&mut self, print: &RequestFingerprint) {
         self.unwritten.retain(|key, _| key.print != *print);
     }
 
@@ -86,7 +86,7 @@
         &mut self,
         now: Moment,
         store_now: StoreMillis,
-        drops: impl Fn(&RequestPrint) -> bool,
+        drops: impl Fn(&RequestFingerprint) -> bool,
     ) -> Option<SuspectBatch> {
         if self.is_writing {
             return None;
--- a/crates/fleet/src/suspects.rs
+++ b/crates/fleet/src/suspects.rs
@@ -4,15 +4,15 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use briarswitch_core::crash::{CrashLedger, CrashVerdict, StoreMillis, LEAST_ENDS};
-use briarswitch_core::print::RequestPrint;
+use briarswitch_core::crash::{CrashHistory, CrashVerdict, StoreMillis, MIN_CRASHES};
+use briarswitch_core::fingerprint::RequestFingerprint;
 
 use crate::ports::{StoreClock, SuspectRow};
 
 /// The ledger of ends, shared by the control thread and traffic.
 pub struct SuspectBoard {
     clock: Arc<dyn StoreClock>,
-    ledger: Mutex<CrashLedger>,
+    ledger: Mutex<CrashHistory>,
     /// Whether the ledger holds anything; nearly always it does not.
     is_used: AtomicBool,
 }
@@ -23,7 +23,7 @@
     /// ```
     /// use std::sync::Arc;
     ///
-    /// use briarswitch_core::print::RequestPrint;
+    /// use briarswitch_core::fingerprint::RequestFingerprint;
     /// use briarswitch_fleet::ports::StoreClock;
     /// use briarswitch_fleet::suspects::SuspectBoard;
     ///
@@ -36,7 +36,7 @@
     /// }
     ///
     /// let board = SuspectBoard::open(Arc::new(FixedClock));
-    /// assert!(board.quarantine(&RequestPrint::from([1; 16])).is_none());
+    /// assert!(board.quarantine(&RequestFingerprint::from([1; 16])).is_none());
     /// ```
     pub fn open(clock: Arc<dyn StoreClock>) -> Self {
         Self {
@@ -52,7 +52,7 @@
     }
 
     /// Returns what is held of a request.
-    pub fn verdict(&self, print: &RequestPrint) -> CrashVerdict {
+    pub fn verdict(&self, print: &RequestFingerprint) -> CrashVerdict {
         if !self.is_used.load(Ordering::Relaxed) {
             return CrashVerdict::Clear;
         }
@@ -60,7 +60,7 @@
     }
 
     /// Returns how long a request is not to run, if it is not to.
-    pub fn quarantine(&self, print: &RequestPrint) -> Option<Duration> {
+    pub fn quarantine(&self, print: &RequestFingerprint) -> Option<Duration> {
         match self.verdict(print) {
             CrashVerdict::Quarantined(left) => Some(left),
             CrashVerdict::Clear | CrashVerdict::Suspect => None,
@@ -71,19 +71,19 @@
     ///
     /// A caller's own repeat is decided by what all nodes know. Between two runs of one attempt nobody else can
     /// know yet what the first has done, and going on would end the next target at once.
-    pub fn may_go_on(&self, print: &RequestPrint, broken: usize) -> bool {
+    pub fn may_go_on(&self, print: &RequestFingerprint, broken: usize) -> bool {
         let is_used = self.is_used.load(Ordering::Relaxed);
         let ends = if is_used { self.ends(print) } else { 0 };
-        ends + broken < LEAST_ENDS
+        ends + broken < MIN_CRASHES
     }
 
     /// Returns how many targets have ended with the request under way, as far as they count.
-    pub fn ends(&self, print: &RequestPrint) -> usize {
+    pub fn ends(&self, print: &RequestFingerprint) -> usize {
         self.lock().ends(print, self.now()).len()
     }
 
     /// Returns whether any target has ended with the request under way.
-    pub fn has_ends(&self, print: &RequestPrint) -> bool {
+    pub fn has_ends(&self, print: &RequestFingerprint) -> bool {
         self.is_used.load(Ordering::Relaxed) && self.lock().has_ends(print)
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// Returns all that is known of a request.
-    pub fn rows(&self, print: &RequestPrint) -> Vec<SuspectRow> {
+    pub fn rows(&self, print: &RequestFingerprint) -> Vec<SuspectRow> {
         let ledger = self.lock();
         let ends = ledger.ends(print, self.now());
         let ends = ends.into_iter().map(SuspectRow::End);
@@ -107,7 +107,7 @@
     }
 
     /// Returns the requests that are not clear, and what is held of them.
-    pub fn suspects(&self) -> Vec<(RequestPrint, CrashVerdict)> {
+    pub fn suspects(&self) -> Vec<(RequestFingerprint, CrashVerdict)> {
         let now = self.now();
         let ledger = self.lock();
         let verdicts = ledger
@@ -126,7 +126,7 @@
         self.is_used.store(is_used, Ordering::Relaxed);
     }
 
-    fn lock(&self) -> MutexGuard<'_, CrashLedger> {
+    fn lock(&self) -> MutexGuard<'_, CrashHistory> {
         self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/fleet/src/suspicion.rs
+++ b/crates/fleet/src/suspicion.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use briarswitch_core::id::Moment;
-use briarswitch_core::silence::{silence_limit, GroupWork};
+use briarswitch_core::silence::{silence_limit, GroupActivity};
 use briarswitch_kernel::Mailbox;
 
 use crate::job::RequestJob;
@@ -30,7 +30,7 @@
         return patience(job);
     };
     let gauge = &target.gauge;
-    let work = GroupWork {
+    let work = GroupActivity {
         writers: gauge.writers(),
         own: gauge.own(),
         unread: gauge.unread_requests(),
--- a/crates/fleet/src/table.rs
+++ b/crates/fleet/src/table.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
-use briarswitch_core::engine::EngineModel;
+use briarswitch_core::engine::EngineSpec;
 use briarswitch_core::id::*;
 use briarswitch_core::target::{Membership, MembershipState, TargetBook, TargetRecord};
-use briarswitch_core::traffic::TrafficBook;
+use briarswitch_core::traffic::TrafficConfig;
 use indexmap::{IndexMap, IndexSet};
 use rustc_hash::FxBuildHasher;
 
@@ -55,7 +55,7 @@
 impl TargetTable {
     /// Builds the table that follows the one before.
     pub fn build(
-        book: &TrafficBook,
+        book: &TrafficConfig,
         targets: &TargetBook,
         before: &Self,
         gauges: &GaugeBoard,
@@ -146,7 +146,7 @@
 fn whole_groups<'a>(
     records: impl Iterator<Item = &'a TargetRecord>,
     unlisted: &MemberMap<'a>,
-    engine: &EngineModel,
+    engine: &EngineSpec,
     gauges: &GaugeBoard,
 ) -> IndexMap<ModelId, Vec<Arc<RouteTarget>>> {
     let mut members = unlisted.clone();
@@ -179,7 +179,7 @@
     head: &TargetRecord,
     held: &Membership,
     members: &MemberMap<'_>,
-    engine: &EngineModel,
+    engine: &EngineSpec,
 ) -> Option<RouteGroup> {
     let model = head.models.first()?;
     let size = engine.models.get(model)?.size;
--- a/crates/fleet/src/trace.rs
+++ b/crates/fleet/src/trace.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use briarswitch_core::fingerprint::RequestFingerprint;
 use briarswitch_core::id::*;
-use briarswitch_core::print::RequestPrint;
 use briarswitch_kernel::BootClock;
 
 use crate::metrics::RequestLabels;
@@ -48,7 +48,7 @@
     /// Id that the caller gave the attempt.
     pub request: RequestId,
     /// Fingerprint, once the request was read.
-    pub print: Option<RequestPrint>,
+    pub print: Option<RequestFingerprint>,
     /// When its head was read.
     pub arrived: Moment,
     /// Organisation.
--- a/crates/fleet/src/tracker.rs
+++ b/crates/fleet/src/tracker.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use briarswitch_core::assembly::{TargetFacts, TargetStanding};
-use briarswitch_core::engine::EngineModel;
+use briarswitch_core::engine::EngineSpec;
 use briarswitch_core::id::*;
 use briarswitch_core::order::{OrderResult, TargetAction, TargetOrder};
 use briarswitch_core::target::{MembershipState, TargetRecord};
@@ -191,7 +191,7 @@
         target: &str,
         report: Result<TargetReport, ReportError>,
         is_late: bool,
-        engine: &EngineModel,
+        engine: &EngineSpec,
         now: Moment,
     ) -> bool {
         let Some(tracked) = self.targets.get_mut(target) else {
@@ -331,7 +331,7 @@
         self.joining_since = None;
     }
 
-    fn next_question(&mut self, engine: &EngineModel, now: Moment) -> Moment {
+    fn next_question(&mut self, engine: &EngineSpec, now: Moment) -> Moment {
         let is_joining = self
             .facts
             .membership
--- a/crates/fleet/src/verdict_log.rs
+++ b/crates/fleet/src/verdict_log.rs
@@ -1,7 +1,7 @@
 //! What was last held of each request under which targets have ended, told when it changes.
 
 use briarswitch_core::crash::CrashVerdict;
-use briarswitch_core::print::RequestPrint;
+use briarswitch_core::fingerprint::RequestFingerprint;
 use indexmap::IndexMap;
 use serde_json::{json, Value};
 
@@ -10,22 +10,27 @@
 /// The last verdict on each request that is not clear.
 #[derive(Debug, Default)]
 pub struct VerdictLog {
-    verdicts: IndexMap<RequestPrint, CrashVerdict>,
+    verdicts: IndexMap<RequestFingerprint, CrashVerdict>,
 }
 
 impl VerdictLog {
     /// Returns whether a request is suspected or quarantined.
-    pub fn holds(&self, print: &RequestPrint) -> bool {
+    pub fn holds(&self, print: &RequestFingerprint) -> bool {
         self.verdicts.contains_key(print)
     }
 
     /// Returns the requests that are suspected or quarantined.
-    pub fn prints(&self) -> Vec<RequestPrint> {
+    pub fn prints(&self) -> Vec<RequestFingerprint> {
         self.verdicts.keys().copied().collect()
     }
 
     /// Takes a verdict in, and tells what it changes.
-    pub fn note(&mut self, host: &dyn SuspectHost, print: &RequestPrint, verdict: CrashVerdict) {
+    pub fn note(
+        &mut self,
+        host: &dyn SuspectHost,
+        print: &RequestFingerprint,
+        verdict: CrashVerdict,
+    ) {
         let before = self.verdicts.get(print).copied();
         let ends = host.suspects().ends(print);
         let was_held = matches!(before, Some(CrashVerdict::Quarantined(_)));
--- a/crates/fleet/tests/assembly.rs
+++ b/crates/fleet/tests/assembly.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use briarswitch_core::assembly::{DomainKeeper, DomainView, TargetFacts, TargetStanding};
-use briarswitch_core::engine::{EngineModel, ModelSpec};
+use briarswitch_core::engine::{EngineSpec, ModelSpec};
 use briarswitch_core::id::*;
 use briarswitch_core::layout::DomainLayout;
 use briarswitch_core::order::{OrderResult, TargetAction, TargetOrder};
@@ -132,7 +132,7 @@
     addresses: IndexMap<TargetId, String>,
     ever_ready: Vec<(TargetId, GroupId, Epoch)>,
     controllers: Vec<Controller>,
-    engine: EngineModel,
+    engine: EngineSpec,
     is_faulty: bool,
     naming: Naming,
     asking: Asking,
@@ -144,7 +144,7 @@
     ended_whole: Vec<GroupId>,
 }
 
-fn engine() -> EngineModel {
+fn engine() -> EngineSpec {
     let models = MODELS.map(|(id, size)| {
         let model = ModelSpec {
             id: id.to_owned(),
@@ -156,12 +156,12 @@
         };
         (model.id.clone(), model)
     });
-    EngineModel {
+    EngineSpec {
         slots: 8,
         open_time: Duration::from_millis(300),
         report_lag: REPORT_LAG,
         models: IndexMap::from(models),
-        ..EngineModel::default()
+        ..EngineSpec::default()
     }
 }
 
--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use briarswitch_core::engine::{EngineModel, ModelSpec};
+use briarswitch_core::engine::{EngineSpec, ModelSpec};
 use briarswitch_core::id::*;
 use briarswitch_core::traffic::{
-    AnswerKind, CallerLimits, KeyHolder, RepeatKind, ServiceSpec, SplitShare, TrafficBook,
+    AnswerKind, CallerLimits, KeyHolder, RepeatKind, ServiceSpec, SplitShare, TrafficConfig,
     TrafficRule,
 };
 use briarswitch_fleet::{FleetNode, FleetSettings};
@@ -36,7 +36,7 @@
 
 /// Returns rules for streams of single targets below `/chat/` and of groups below `/model/`, for idempotent calls
 /// below `/look/` and for calls that run at most once below `/bill/`.
-pub fn book() -> TrafficBook {
+pub fn book() -> TrafficConfig {
     let rule = |prefix: &str, service: &str, repeat, answer| TrafficRule {
         name: prefix.to_owned(),
         prefix: prefix.to_owned(),
@@ -81,7 +81,7 @@
         service(SERVICE, None),
         service(GROUP_SERVICE, Some(engine())),
     ];
-    TrafficBook {
+    TrafficConfig {
         version: 1,
         hosts: [(HOST.to_owned(), rules)].into(),
         services: services.into(),
@@ -96,7 +96,7 @@
 }
 
 /// Returns engines whose groups have one member each.
-fn engine() -> EngineModel {
+fn engine() -> EngineSpec {
     let model = ModelSpec {
         id: MODEL.to_owned(),
         size: 1,
@@ -105,7 +105,7 @@
         load_time: Duration::from_secs(60),
         warmup: Duration::from_secs(60),
     };
-    EngineModel {
+    EngineSpec {
         slots: 8,
         stride: 2,
         step: Duration::from_millis(5),
@@ -114,7 +114,7 @@
         loads_per_second: 1.0,
         loads_at_once: 1,
         models: [(MODEL.to_owned(), model)].into(),
-        ..EngineModel::default()
+        ..EngineSpec::default()
     }
 }
 
--- a/crates/fleet/tests/support/platform.rs
+++ b/crates/fleet/tests/support/platform.rs
@@ -7,7 +7,7 @@
 use briarswitch_core::id::*;
 use briarswitch_core::order::{OrderResult, TargetAction};
 use briarswitch_core::target::{Membership, MembershipState, TargetChange, TargetRecord};
-use briarswitch_core::traffic::TrafficBook;
+use briarswitch_core::traffic::TrafficConfig;
 use briarswitch_fleet::ports::*;
 use briarswitch_kernel::BootClock;
 use futures::future::BoxFuture;
@@ -35,7 +35,7 @@
 }
 
 struct StoreShared {
-    book: TrafficBook,
+    book: TrafficConfig,
     state: Mutex<StoreState>,
     changed: Notify,
 }
@@ -47,7 +47,7 @@
 }
 
 impl PlatformStub {
-    pub fn open(book: TrafficBook) -> Self {
+    pub fn open(book: TrafficConfig) -> Self {
         let stub = Self {
             shared: Arc::new(StoreShared {
                 book,
--- a/crates/fleet/tests/suspect_table.rs
+++ b/crates/fleet/tests/suspect_table.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use briarswitch_core::crash::{EndSign, LifeKey, StoreMillis, MEMORY_TIME};
+use briarswitch_core::crash::{CrashReport, IncarnationKey, StoreMillis, CRASH_RETENTION};
+use briarswitch_core::fingerprint::RequestFingerprint;
 use briarswitch_core::id::Moment;
-use briarswitch_core::print::RequestPrint;
 use briarswitch_fleet::ports::{SuspectChange, SuspectRow, MOST_SUSPECT_ROWS};
 use briarswitch_fleet::suspect_table::{SuspectBatch, SuspectTable};
 use googletest::prelude::*;
@@ -13,9 +13,9 @@
 const NOW: StoreMillis = 1_000_000;
 
 fn row(life: u64) -> SuspectRow {
-    SuspectRow::End(EndSign {
-        print: RequestPrint::from([1; 16]),
-        life: LifeKey(life),
+    SuspectRow::End(CrashReport {
+        print: RequestFingerprint::from([1; 16]),
+        life: IncarnationKey(life),
         domain: 1,
         at: NOW,
         chance: 10,
@@ -77,7 +77,7 @@
 fn rows_are_dropped_by_one_node_once_they_count_no_more() {
     let mut table = SuspectTable::default();
     table.take(&[SuspectChange::Put(row(1))], false);
-    let memory = MEMORY_TIME.as_millis() as StoreMillis;
+    let memory = CRASH_RETENTION.as_millis() as StoreMillis;
     expect_true!(table
         .begin_write(at(0), NOW + memory + 29_999, |_| true)
         .is_none());
--- a/crates/fleet/tests/tracker.rs
+++ b/crates/fleet/tests/tracker.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use briarswitch_core::assembly::TargetStanding;
-use briarswitch_core::engine::EngineModel;
+use briarswitch_core::engine::EngineSpec;
 use briarswitch_core::id::*;
 use briarswitch_core::order::{OrderResult, TargetAction, TargetOrder};
 use briarswitch_core::target::TargetRecord;
@@ -42,10 +42,10 @@
     }
 }
 
-fn engine() -> EngineModel {
-    EngineModel {
+fn engine() -> EngineSpec {
+    EngineSpec {
         report_lag: Duration::from_millis(200),
-        ..EngineModel::default()
+        ..EngineSpec::default()
     }
 }
 
--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -1,11 +1,11 @@
 //! Two operators edit one entity; a node applies what it hears in any order.
 //!
-//! The node runs the real [`ConfigBook`]. The store applies writes late and loses answers; operators
+//! The node runs the real [`VersionedConfig`]. The store applies writes late and loses answers; operators
 //! settle what they lost.
 
 use std::hash::{Hash, Hasher};
 
-use briarswitch_core::config::{ConfigBook, ConfigEntry, ConfigValue, EntityKey, EntityKind};
+use briarswitch_core::config::{ConfigEntry, ConfigValue, EntityKey, EntityKind, VersionedConfig};
 
 use crate::search::{Specification, Step};
 
@@ -75,7 +75,7 @@
 /// The node's book, compared and hashed by its version.
 #[derive(Clone, Debug)]
 struct NodeBook {
-    book: ConfigBook,
+    book: VersionedConfig,
 }
 
 impl PartialEq for NodeBook {
@@ -201,7 +201,7 @@
             let mut next = state.clone();
             let entry = entry(*version);
             if self.has(ConfigDefect::LowerAccepted) {
-                next.node.book = ConfigBook::restore(*version, vec![entry]);
+                next.node.book = VersionedConfig::restore(*version, vec![entry]);
             } else {
                 next.node.book.apply(entry);
             }
@@ -235,7 +235,7 @@
             sends: [0; 2],
             late: Vec::new(),
             node: NodeBook {
-                book: ConfigBook::default(),
+                book: VersionedConfig::default(),
             },
             heard: Vec::new(),
             highest: 0,
--- a/crates/model/src/crash.rs
+++ b/crates/model/src/crash.rs
@@ -2,11 +2,13 @@
 //!
 //! Each node tells two others what it sees and follows the store's table. Nodes restart, are cut off from each other
 //! or from the store; writes land late; word is told twice; the store comes back
-//! without its rows. The verdict comes from the real [`CrashLedger`]. A request
+//! without its rows. The verdict comes from the real [`CrashHistory`]. A request
 //! comes only when everything that can be told has been: that is what nodes have had time for.
 
-use briarswitch_core::crash::{CrashLedger, CrashVerdict, EndSign, LifeKey, LEAST_ENDS};
-use briarswitch_core::print::RequestPrint;
+use briarswitch_core::crash::{
+    CrashHistory, CrashReport, CrashVerdict, IncarnationKey, MIN_CRASHES,
+};
+use briarswitch_core::fingerprint::RequestFingerprint;
 
 use crate::search::{Specification, Step};
 
@@ -18,7 +20,7 @@
 /// Ends that may come after those that are enough; one less than the rule allows.
 const MORE_ENDS: u8 = 2;
 /// Ends that somebody could tell of, as many as are looked at; one more than are allowed.
-const MOST_ENDS: u8 = LEAST_ENDS as u8 + MORE_ENDS + 1;
+const MOST_ENDS: u8 = MIN_CRASHES as u8 + MORE_ENDS + 1;
 /// Time between two ends, in milliseconds.
 const END_GAP: u64 = 1_000;
 
@@ -85,12 +87,12 @@
 
 /// Returns whether the request is not to run, for a node that knows of these ends.
 fn is_quarantined(known: EndSet) -> bool {
-    let print = RequestPrint::from([0; 16]);
-    let mut ledger = CrashLedger::default();
+    let print = RequestFingerprint::from([0; 16]);
+    let mut ledger = CrashHistory::default();
     for end in (0..16).filter(|end| known & (1 << end) != 0) {
-        ledger.take_end(EndSign {
+        ledger.take_end(CrashReport {
             print,
-            life: LifeKey(end),
+            life: IncarnationKey(end),
             domain: end,
             at: (end + 1) * END_GAP,
             chance: 10,
@@ -119,7 +121,7 @@
 
     fn holds_back(&self, node: &NodeState) -> bool {
         if self.has(CrashDefect::Summed) {
-            return usize::from(node.sum) >= LEAST_ENDS;
+            return usize::from(node.sum) >= MIN_CRASHES;
         }
         is_quarantined(node.known)
     }
@@ -357,7 +359,7 @@
             }
         }
         let is_hasty = |node: &NodeState| {
-            self.holds_back(node) && (node.known.count_ones() as usize) < LEAST_ENDS
+            self.holds_back(node) && (node.known.count_ones() as usize) < MIN_CRASHES
         };
         let hasty = state.nodes.iter().any(is_hasty);
         hasty.then_some("a request is held back only after three ends")
--- a/crates/model/src/gate.rs
+++ b/crates/model/src/gate.rs
@@ -1,12 +1,12 @@
 //! A node asks two watchers about one member, and sends requests while the evidence is good.
 //!
-//! The evidence is kept by the real [`EvidenceLedger`]. Answers are held up, the member dies, and
+//! The evidence is kept by the real [`EvidenceCache`]. Answers are held up, the member dies, and
 //! the node freezes, which is time passing without a step of it. The property: a request goes out only if the member lived no longer ago than
 //! the evidence is good for.
 
 use std::time::Duration;
 
-use briarswitch_core::evidence::{EvidenceLedger, MemberReport, MemberState};
+use briarswitch_core::evidence::{EvidenceCache, MemberReport, MemberState};
 use briarswitch_core::group::{GroupMember, GroupRecord, GroupState};
 
 use crate::search::{Specification, Step};
@@ -77,13 +77,13 @@
     }
 
     /// Builds the ledger that the node's events lead to.
-    fn ledger(&self, state: &GateState) -> EvidenceLedger {
+    fn ledger(&self, state: &GateState) -> EvidenceCache {
         let ttl = if self.has(GateDefect::NeverExpires) {
             100
         } else {
             TTL
         };
-        let mut ledger = EvidenceLedger::open(ticks(ttl));
+        let mut ledger = EvidenceCache::open(ticks(ttl));
         for event in &state.events {
             match event {
                 Event::Report { asked, generation } => {
@@ -92,7 +92,7 @@
                     ledger.record(report(generation), ticks(*asked));
                 }
                 Event::Revoked { .. } if self.has(GateDefect::OlderUndoesRevocation) => {
-                    ledger = EvidenceLedger::open(ticks(ttl));
+                    ledger = EvidenceCache::open(ticks(ttl));
                 }
                 Event::Revoked { at } => ledger.revoke(VM, ticks(*at)),
             }
--- a/crates/node/src/caller.rs
+++ b/crates/node/src/caller.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
+use briarswitch_core::fingerprint::{FingerprintParts, RequestFingerprint};
 use briarswitch_core::mint::MintedKey;
 use briarswitch_core::prefix::PrefixChain;
 use briarswitch_core::prelude::*;
-use briarswitch_core::print::{PrintParts, RequestPrint};
 use briarswitch_core::rule::first_match;
 use briarswitch_core::stream::json_depth;
 use briarswitch_http::{read_body, reply_json, Body, BodyError, Handler, Request, Response};
@@ -295,7 +295,7 @@
             }
             Asked::Service { path, .. } => (path, false, 1, PrefixChain::default()),
         };
-        let print = RequestPrint::of(&PrintParts {
+        let print = RequestFingerprint::of(&FingerprintParts {
             caller: &input.organisation,
             method: input.head.method.as_str(),
             host: &asked,
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -109,7 +109,7 @@
     }
 
     fn take_snapshot(&mut self, snapshot: SnapshotDoc) {
-        let Ok(book) = ConfigBook::try_from(snapshot) else {
+        let Ok(book) = VersionedConfig::try_from(snapshot) else {
             log::error!("config_snapshot_unreadable");
             return;
         };
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -3,10 +3,10 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
 
+use briarswitch_core::fingerprint::RequestFingerprint;
 use briarswitch_core::limit::RateShare;
 use briarswitch_core::mint::MintedKey;
 use briarswitch_core::prelude::*;
-use briarswitch_core::print::RequestPrint;
 use briarswitch_fleet::run::{RunReports, TargetRun};
 use briarswitch_fleet::run_facts::{RunFacts, TargetLife};
 use briarswitch_fleet::suspect_host::SuspectHost;
@@ -37,7 +37,7 @@
 /// A request that was identified and matched by a rule.
 pub struct MatchedRequest {
     /// Fingerprint, the same for each repeat.
-    pub print: RequestPrint,
+    pub print: RequestFingerprint,
     /// What admission needs.
     pub admit: AdmitAsk,
     /// What targets are sent.
@@ -134,7 +134,7 @@
     }
 
     /// Returns the refusal of a request that is not to run now.
-    fn quarantined(&self, print: &RequestPrint) -> Option<CallerFailure> {
+    fn quarantined(&self, print: &RequestFingerprint) -> Option<CallerFailure> {
         let left = self.suspects().quarantine(print)?;
         let failure = CallerFailure::at(FailurePoint::Quarantined);
         Some(failure.retry_after(left))
@@ -485,7 +485,7 @@
 #[derive(Clone, Debug)]
 pub struct RunSubject {
     request: RequestId,
-    print: RequestPrint,
+    print: RequestFingerprint,
     organisation: OrganisationId,
 }
 
@@ -499,7 +499,7 @@
     }
 
     /// Returns the request's fingerprint.
-    pub fn print(&self) -> &RequestPrint {
+    pub fn print(&self) -> &RequestFingerprint {
         &self.print
     }
 }
--- a/crates/node/src/editor.rs
+++ b/crates/node/src/editor.rs
@@ -179,7 +179,7 @@
             held.book.check_edit(&entry.key, &entry.value)
         } else {
             let snapshot = read_whole(&self.shared).await?;
-            let book = ConfigBook::try_from(snapshot).unwrap_or_default();
+            let book = VersionedConfig::try_from(snapshot).unwrap_or_default();
             book.check_edit(&entry.key, &entry.value)
         };
         Ok(findings.into_iter().map(FindingDoc::from).collect())
--- a/crates/node/src/gate.rs
+++ b/crates/node/src/gate.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use briarswitch_core::prefix::{PrefixBook, PrefixChain};
+use briarswitch_core::prefix::{PrefixChain, PrefixIndex};
 use briarswitch_core::prelude::*;
 use briarswitch_kernel::BootClock;
 use indexmap::IndexMap;
@@ -57,7 +57,7 @@
     sent_since: u32,
     fresh_until: Moment,
     latency: Duration,
-    prefix: PrefixBook,
+    prefix: PrefixIndex,
 }
 
 impl TargetStats {
@@ -67,7 +67,7 @@
             sent_since: 0,
             fresh_until: Moment::ZERO,
             latency: Duration::ZERO,
-            prefix: PrefixBook::open(PREFIX_BLOCKS),
+            prefix: PrefixIndex::open(PREFIX_BLOCKS),
         }
     }
 }
--- a/crates/node/src/routes.rs
+++ b/crates/node/src/routes.rs
@@ -51,10 +51,10 @@
     /// Groups come from the zones' views and the evidence for their members; the targets of plain
     /// services are the machines of their pool that report themselves ready.
     pub fn build(
-        book: &ConfigBook,
+        book: &VersionedConfig,
         views: &IndexMap<ZoneId, ZoneView>,
         service_vms: &IndexMap<VmId, Vm>,
-        ledger: &EvidenceLedger,
+        ledger: &EvidenceCache,
         leaving: &dyn Fn(&str, Incarnation) -> bool,
         now: Moment,
     ) -> Self {
@@ -90,10 +90,10 @@
 
     fn add_group(
         &mut self,
-        book: &ConfigBook,
+        book: &VersionedConfig,
         zone: &str,
         group: &GroupRecord,
-        ledger: &EvidenceLedger,
+        ledger: &EvidenceCache,
         leaving: &dyn Fn(&str, Incarnation) -> bool,
         now: Moment,
     ) {
@@ -135,7 +135,7 @@
         &mut self,
         deployment: &Deployment,
         vms: &IndexMap<VmId, Vm>,
-        ledger: &EvidenceLedger,
+        ledger: &EvidenceCache,
         leaving: &dyn Fn(&str, Incarnation) -> bool,
         now: Moment,
     ) {
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ConfigView {
     /// Configuration.
-    pub book: ConfigBook,
+    pub book: VersionedConfig,
     /// Organisations by the hash of their key.
     pub keys: HashMap<String, OrganisationId>,
     /// Newest entries, for peers that lack them.
--- a/crates/node/src/suspects.rs
+++ b/crates/node/src/suspects.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
+use briarswitch_core::fingerprint::RequestFingerprint;
 use briarswitch_core::prelude::*;
-use briarswitch_core::print::RequestPrint;
 use briarswitch_fleet::ports::{
     FeedAnswer, FeedMark, FeedRow, ReportError, SourceError, SourceFuture, StoreClock,
     SuspectChange, SuspectKey, SuspectRegistry, SuspectRow,
@@ -152,7 +152,7 @@
     }
 
     /// Names nobody: each node writes what it sees to the table, which all follow.
-    fn holders_of(&self, _print: &RequestPrint, _count: usize) -> ThingHolders {
+    fn holders_of(&self, _print: &RequestFingerprint, _count: usize) -> ThingHolders {
         ThingHolders {
             others: Vec::new(),
             own_place: Some(0),
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -84,7 +84,7 @@
 pub struct FleetWatcher {
     shared: Arc<NodeShared>,
     client: CallerClient,
-    ledger: EvidenceLedger,
+    ledger: EvidenceCache,
     fleet: FleetView,
     /// Machines of other zones that peers vouch for are routed to through the views alone.
     views: ViewBook,
@@ -112,7 +112,7 @@
     pub fn open(shared: Arc<NodeShared>) -> Self {
         let incarnation = shared.incarnation;
         Self {
-            ledger: EvidenceLedger::open(shared.settings.gate.evidence_ttl),
+            ledger: EvidenceCache::open(shared.settings.gate.evidence_ttl),
             client: CallerClient::open(Codec::Json, None),
             fleet: FleetView::default(),
             views: ViewBook::default(),
@@ -396,7 +396,7 @@
     }
 }
 
-fn dump_group(view: &ZoneView, group: &GroupRecord, ledger: &EvidenceLedger, now: Moment) -> Value {
+fn dump_group(view: &ZoneView, group: &GroupRecord, ledger: &EvidenceCache, now: Moment) -> Value {
     json!({
         "group": group.id,
         "zone": view.zone,
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -100,8 +100,8 @@
     }
 }
 
-impl From<&ConfigBook> for SnapshotDoc {
-    fn from(book: &ConfigBook) -> Self {
+impl From<&VersionedConfig> for SnapshotDoc {
+    fn from(book: &VersionedConfig) -> Self {
         Self {
             version: book.version(),
             entries: book.entries().into_iter().map(EntryDoc::from).collect(),
@@ -109,7 +109,7 @@
     }
 }
 
-impl TryFrom<SnapshotDoc> for ConfigBook {
+impl TryFrom<SnapshotDoc> for VersionedConfig {
     type Error = KindMismatch;
 
     fn try_from(doc: SnapshotDoc) -> Result<Self, KindMismatch> {
