--- a/crates/core/examples/layout.rs
+++ b/crates/core/examples/layout.rs
@@ -20,9 +20,9 @@
     let model = |id: &str, size: usize| {
         let spec = ModelSpec {
             id: id.to_owned(),
-            size,
-            share: 0.5,
-            pace: 1.0,
+            group_size: size,
+            expected_share: 0.5,
+            time_factor: 1.0,
             load_time: Duration::from_secs(16),
             warmup: Duration::from_millis(1_600),
         };
--- a/crates/core/examples/policies.rs
+++ b/crates/core/examples/policies.rs
@@ -344,7 +344,7 @@
         }
         // A member that came back serves only after it has loaded its weights again.
         let back = absence + Duration::from_secs(LOAD);
-        self.planner.history.returned(back);
+        self.planner.history.record(back);
         machine.has_weights = facts.claimed.is_some();
         if let Some(group) = &facts.claimed {
             let ready = self.ready.entry(group.clone()).or_default();
@@ -502,7 +502,10 @@
 
     /// Wakes when a load ends or a lost member's time is up.
     fn set_wake(&mut self) {
-        let patience = self.planner.history.patience(self.planner.load_time);
+        let patience = self
+            .planner
+            .history
+            .replacement_delay(self.planner.load_time);
         let patience = patience.max(self.planner.grace).as_secs();
         let loads = self.machines.iter().filter_map(|machine| machine.loading);
         let claimed = self
--- a/crates/core/examples/routing.rs
+++ b/crates/core/examples/routing.rs
@@ -143,14 +143,14 @@
         let server = || Server {
             running: 0,
             queue: VecDeque::new(),
-            cache: PrefixIndex::open(CACHE_BLOCKS),
+            cache: PrefixIndex::new(CACHE_BLOCKS),
             reported: 0,
         };
         let known = || Known {
             in_flight: 0,
             sent_since: 0,
             latency: Duration::ZERO,
-            prefix: PrefixIndex::open(CACHE_BLOCKS),
+            prefix: PrefixIndex::new(CACHE_BLOCKS),
         };
         Self {
             policy,
@@ -173,7 +173,7 @@
         let known = &mut self.known[arrival.node][target];
         known.in_flight += 1;
         known.sent_since += 1;
-        known.prefix.note(&arrival.chain);
+        known.prefix.record(&arrival.chain);
         self.servers[target].queue.push_back(arrival);
         self.start(target, now);
     }
@@ -194,16 +194,18 @@
             }
             Policy::Blend => {
                 let names: Vec<String> = (0..TARGETS).map(|index| index.to_string()).collect();
-                let home = arrival.chain.home(names.iter().map(String::as_str));
+                let home = arrival
+                    .chain
+                    .affinity_target(names.iter().map(String::as_str));
                 let known = self.known[arrival.node].iter().zip(&self.servers);
                 let loads: Vec<TargetLoad> = known
                     .enumerate()
                     .map(|(index, (known, server))| TargetLoad {
-                        is_home: home == Some(index),
+                        is_affinity_target: home == Some(index),
                         reported: server.reported,
                         in_flight: known.in_flight,
-                        sent_since: known.sent_since,
-                        prefix: known.prefix.share(&arrival.chain),
+                        sent_since_report: known.sent_since,
+                        cached_share: known.prefix.cached_share(&arrival.chain),
                         latency: known.latency,
                         is_remote: false,
                     })
@@ -222,8 +224,8 @@
                 return;
             };
             server.running += 1;
-            let share = server.cache.share(&arrival.chain);
-            server.cache.note(&arrival.chain);
+            let share = server.cache.cached_share(&arrival.chain);
+            server.cache.record(&arrival.chain);
             let uncached = ((1.0 - share) * PROMPT_BLOCKS as f64) as u64;
             let reading = (uncached + 1) * BLOCK_US * slowness;
             let first = now + reading - arrival.at;
--- a/crates/core/src/assembly.rs
+++ b/crates/core/src/assembly.rs
@@ -517,7 +517,11 @@
                 && !self.giving.contains(group)
         };
         let lacking = view.layout.holders.iter().map(|(model, holders)| {
-            let size = view.engine.models.get(model).map_or(1, |model| model.size);
+            let size = view
+                .engine
+                .models
+                .get(model)
+                .map_or(1, |model| model.group_size);
             let held = groups
                 .iter()
                 .filter(|(group, seen)| seen.model.as_ref() == Some(model) && is_staying(group));
@@ -552,12 +556,12 @@
         let mut ranked: Vec<(Duration, &TargetId)> = idle
             .map(|id| (self.join_time(id, model, view), id))
             .collect();
-        if ranked.len() < model.size || model.size == 0 {
+        if ranked.len() < model.group_size || model.group_size == 0 {
             return None;
         }
         // One that has another model's weights would be missing there, though it could join soonest.
         ranked.sort_by_key(|(time, id)| (view.next_model(id) != Some(&model.id), *time));
-        ranked.truncate(model.size);
+        ranked.truncate(model.group_size);
         let loading = ranked.iter().filter(|(time, _)| *time >= model.load_time);
         let loads = loading.count();
         let is_allowed = loads == 0 || (view.joins_load && loads <= budget);
--- a/crates/core/src/assembly/seen.rs
+++ b/crates/core/src/assembly/seen.rs
@@ -29,7 +29,7 @@
         let Some(model) = model.and_then(|id| view.engine.models.get(id)) else {
             return false;
         };
-        (0..model.size).all(|rank| {
+        (0..model.group_size).all(|rank| {
             let facts = self.members.get(&rank).map(|id| &view.targets[id]);
             facts.is_some_and(|facts| {
                 let held = facts.membership.as_ref();
--- a/crates/core/src/assembly/staging.rs
+++ b/crates/core/src/assembly/staging.rs
@@ -86,7 +86,10 @@
     }
 
     fn size_of(&self, model: &ModelId) -> usize {
-        self.engine.models.get(model).map_or(0, |model| model.size)
+        self.engine
+            .models
+            .get(model)
+            .map_or(0, |model| model.group_size)
     }
 }
 
--- a/crates/core/src/choice.rs
+++ b/crates/core/src/choice.rs
@@ -10,13 +10,13 @@
     /// Requests this node has sent there that are still in flight.
     pub in_flight: u32,
     /// Requests this node has sent there since the last report was made.
-    pub sent_since: u32,
+    pub sent_since_report: u32,
     /// Share of the prompt believed to be cached there, 0 to 1.
-    pub prefix: f64,
+    pub cached_share: f64,
     /// Smoothed time to the first token; zero when nothing is known.
     pub latency: Duration,
     /// Whether it is the target that all nodes send prompts with this beginning to.
-    pub is_home: bool,
+    pub is_affinity_target: bool,
     /// Whether the target stands in another zone.
     pub is_remote: bool,
 }
@@ -29,7 +29,7 @@
     /// Saving of a wholly cached prompt.
     pub prefix_saving: f64,
     /// Share of the prompt taken to be cached at its home at least.
-    pub home_share: f64,
+    pub affinity_cached_share: f64,
     /// Cost of standing in another zone.
     pub remote_cost: f64,
     /// Cost of each multiple of the fastest target's latency.
@@ -41,7 +41,7 @@
         Self {
             queue_cost: 1.0,
             prefix_saving: 8.0,
-            home_share: 1.0,
+            affinity_cached_share: 1.0,
             remote_cost: 2.0,
             straggler_cost: 2.0,
         }
@@ -95,15 +95,15 @@
     }
 
     fn cached_share(&self, load: &TargetLoad) -> f64 {
-        if load.is_home {
-            load.prefix.max(self.home_share)
+        if load.is_affinity_target {
+            load.cached_share.max(self.affinity_cached_share)
         } else {
-            load.prefix
+            load.cached_share
         }
     }
 
     fn cost(&self, load: &TargetLoad, fastest: Duration) -> f64 {
-        let ahead = (load.reported + load.sent_since).max(load.in_flight);
+        let ahead = (load.reported + load.sent_since_report).max(load.in_flight);
         let slowness = if fastest.is_zero() || load.latency.is_zero() {
             0.0
         } else {
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -59,7 +59,7 @@
     organisations: IndexMap<OrganisationId, Organisation>,
     deployments: IndexMap<DeploymentId, Deployment>,
     rules: Vec<Rule>,
-    edited: IndexMap<EntityKey, ConfigVersion>,
+    edit_versions: IndexMap<EntityKey, ConfigVersion>,
 }
 
 impl VersionedConfig {
@@ -67,7 +67,7 @@
     pub fn restore(version: ConfigVersion, entries: Vec<ConfigEntry>) -> Self {
         let mut book = Self::default();
         for entry in entries {
-            book.place(entry);
+            book.insert(entry);
         }
         book.version = version;
         book
@@ -80,7 +80,7 @@
 
     /// Returns the version at which an entity was last edited; zero when it never was.
     pub fn edited_at(&self, key: &EntityKey) -> ConfigVersion {
-        self.edited.get(key).copied().unwrap_or(0)
+        self.edit_versions.get(key).copied().unwrap_or(0)
     }
 
     /// Returns the organisations by name.
@@ -100,7 +100,7 @@
 
     /// Returns the current entities as entries, as a snapshot holds them.
     pub fn entries(&self) -> Vec<ConfigEntry> {
-        self.edited
+        self.edit_versions
             .iter()
             .map(|(key, version)| ConfigEntry {
                 version: *version,
@@ -146,7 +146,7 @@
             return false;
         }
         self.version = entry.version;
-        self.place(entry);
+        self.insert(entry);
         true
     }
 
@@ -162,7 +162,7 @@
     /// Checks what the configuration would be after an edit and reports every fault.
     pub fn check_edit(&self, key: &EntityKey, value: &ConfigValue) -> Vec<Finding> {
         let mut next = self.clone();
-        next.place(ConfigEntry {
+        next.insert(ConfigEntry {
             version: self.version + 1,
             key: key.clone(),
             value: value.clone(),
@@ -175,7 +175,7 @@
         let mut findings = Vec::new();
         for (index, (id, organisation)) in self.organisations.iter().enumerate() {
             findings.extend(organisation.check(&format!("organisations.{id}")));
-            findings.extend(self.check_key(index, organisation));
+            findings.extend(self.check_duplicate_key(index, organisation));
         }
         for (id, deployment) in &self.deployments {
             findings.extend(deployment.check(&format!("deployments.{id}")));
@@ -187,7 +187,7 @@
     }
 
     /// Finds an earlier organisation with the same key, whose calls would be charged to this one.
-    fn check_key(&self, index: usize, organisation: &Organisation) -> Option<Finding> {
+    fn check_duplicate_key(&self, index: usize, organisation: &Organisation) -> Option<Finding> {
         let mut earlier = self.organisations.values().take(index);
         let other = earlier.find(|other| other.key_hash == organisation.key_hash)?;
         Some(Finding::new(
@@ -219,7 +219,7 @@
         findings
     }
 
-    fn place(&mut self, entry: ConfigEntry) {
+    fn insert(&mut self, entry: ConfigEntry) {
         let ConfigEntry {
             version,
             key,
@@ -240,11 +240,11 @@
             ConfigValue::Rules(rules) => self.rules = rules,
             ConfigValue::Deleted => {}
         }
-        self.edited.insert(key, version);
+        self.edit_versions.insert(key, version);
     }
 
     fn remove(&mut self, key: &EntityKey) {
-        self.edited.shift_remove(key);
+        self.edit_versions.shift_remove(key);
         match key.kind {
             EntityKind::Organisation => {
                 self.organisations.shift_remove(&key.id);
--- a/crates/core/src/cover.rs
+++ b/crates/core/src/cover.rs
@@ -34,6 +34,8 @@
         return seen;
     }
     // The declared share is of the targets' work, so a model of large groups fills fewer of them.
-    let declared = models.iter().map(|model| model.share / model.size as f64);
+    let declared = models
+        .iter()
+        .map(|model| model.expected_share / model.group_size as f64);
     declared.collect()
 }
--- a/crates/core/src/crash.rs
+++ b/crates/core/src/crash.rs
@@ -69,15 +69,15 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct CrashReport {
     /// Request.
-    pub print: RequestFingerprint,
+    pub fingerprint: RequestFingerprint,
     /// Life that ended.
-    pub life: IncarnationKey,
+    pub incarnation: IncarnationKey,
     /// Hash of the target's domain.
     pub domain: u64,
     /// When the end was seen.
     pub at: StoreMillis,
     /// Thousandths of the chance that the target ended by coincidence while the request ran.
-    pub chance: u16,
+    pub chance_permille: u16,
 }
 
 impl CrashReport {
@@ -92,7 +92,7 @@
     /// let (target, domain) = ("t".to_owned(), "d".to_owned());
     /// let target = CrashedTarget { target: &target, incarnation: 1, domain: &domain };
     /// let sign = |ran| CrashReport::of(RequestFingerprint::from([1; 16]), target, 5, ran, 0.1);
-    /// assert!(sign(Duration::from_secs(1)).chance < sign(Duration::from_secs(5)).chance);
+    /// assert!(sign(Duration::from_secs(1)).chance_permille < sign(Duration::from_secs(5)).chance_permille);
     /// ```
     pub fn of(
         print: RequestFingerprint,
@@ -103,16 +103,16 @@
     ) -> Self {
         let chance = 1.0 - (-rate * ran.as_secs_f64()).exp();
         Self {
-            print,
-            life: IncarnationKey::of(target.target, target.incarnation),
+            fingerprint: print,
+            incarnation: IncarnationKey::of(target.target, target.incarnation),
             domain: xxh3_64(target.domain.as_bytes()),
             at,
-            chance: (chance.clamp(MIN_CHANCE, 1.0) * 1000.0).ceil() as u16,
+            chance_permille: (chance.clamp(MIN_CHANCE, 1.0) * 1000.0).ceil() as u16,
         }
     }
 
     fn probability(&self) -> f64 {
-        f64::from(self.chance) / 1000.0
+        f64::from(self.chance_permille) / 1000.0
     }
 }
 
@@ -120,7 +120,7 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct ClearReport {
     /// Request.
-    pub print: RequestFingerprint,
+    pub fingerprint: RequestFingerprint,
     /// Ends up to this moment do not count.
     pub at: StoreMillis,
 }
@@ -134,7 +134,7 @@
 
 impl CrashRate {
     /// Notes that `ends` targets have ended so far, and that there are `targets`.
-    pub fn note(&mut self, ends: u64, targets: usize, now: Moment) {
+    pub fn record(&mut self, ends: u64, targets: usize, now: Moment) {
         let since = now.saturating_sub(RATE_WINDOW);
         self.samples.retain(|(at, _)| *at >= since);
         self.samples.push((now, ends));
@@ -149,8 +149,8 @@
     /// use briarswitch_core::crash::CrashRate;
     ///
     /// let mut rate = CrashRate::default();
-    /// rate.note(0, 10, Duration::from_secs(1));
-    /// rate.note(19, 10, Duration::from_secs(21));
+    /// rate.record(0, 10, Duration::from_secs(1));
+    /// rate.record(19, 10, Duration::from_secs(21));
     /// assert_eq!(rate.per_second(), 0.1);
     /// ```
     pub fn per_second(&self) -> f64 {
@@ -176,12 +176,12 @@
 #[derive(Clone, Debug, Default)]
 struct CrashRecord {
     /// By life: the same end is counted once, whoever saw it and however often it is told.
-    ends: IndexMap<IncarnationKey, CrashReport>,
+    crashes: IndexMap<IncarnationKey, CrashReport>,
     cleared: StoreMillis,
 }
 
 /// Ends that speak the same way, in order of time; those of one cause count as one.
-fn causes(ends: &[CrashReport]) -> Vec<CrashReport> {
+fn merge_same_cause(ends: &[CrashReport]) -> Vec<CrashReport> {
     let mut causes: Vec<CrashReport> = Vec::new();
     for end in ends {
         let near = |held: &&mut CrashReport| {
@@ -189,7 +189,7 @@
             held.domain == end.domain && gap < SAME_CAUSE_WINDOW
         };
         match causes.iter_mut().find(near) {
-            Some(held) => held.chance = held.chance.max(end.chance),
+            Some(held) => held.chance_permille = held.chance_permille.max(end.chance_permille),
             None => causes.push(*end),
         }
     }
@@ -200,7 +200,7 @@
 ///
 /// Of many requests some are at several ends early in their runs by luck. The bare product of the chances is below any
 /// bound far more often than the bound says; their combined significance is not.
-fn coincidence(causes: &[CrashReport]) -> f64 {
+fn coincidence_probability(causes: &[CrashReport]) -> f64 {
     let product: f64 = causes.iter().map(CrashReport::probability).product();
     let surprise = -product.ln();
     let mut term = 1.0;
@@ -213,32 +213,32 @@
 }
 
 fn is_quarantined(ends: &[CrashReport]) -> bool {
-    let causes = causes(ends);
+    let causes = merge_same_cause(ends);
     causes.len() >= CERTAIN_CRASHES
-        || (causes.len() >= MIN_CRASHES && coincidence(&causes) <= QUARANTINE_CHANCE)
+        || (causes.len() >= MIN_CRASHES && coincidence_probability(&causes) <= QUARANTINE_CHANCE)
 }
 
 fn is_suspect(ends: &[CrashReport]) -> bool {
-    let causes = causes(ends);
-    causes.len() >= 2 && coincidence(&causes) <= SUSPECT_CHANCE
+    let causes = merge_same_cause(ends);
+    causes.len() >= 2 && coincidence_probability(&causes) <= SUSPECT_CHANCE
 }
 
 impl CrashRecord {
     /// Returns the ends that count at `now`, in order of time.
-    fn ends_at(&self, now: StoreMillis) -> Vec<CrashReport> {
+    fn crashes_at(&self, now: StoreMillis) -> Vec<CrashReport> {
         let mut ends: Vec<CrashReport> = self
-            .ends
+            .crashes
             .values()
-            .filter(|end| end.at > self.cleared && !is_forgotten(end.at, now))
+            .filter(|end| end.at > self.cleared && !is_expired(end.at, now))
             .copied()
             .collect();
-        ends.sort_by_key(|end| (end.at, end.life));
+        ends.sort_by_key(|end| (end.at, end.incarnation));
         ends
     }
 
     /// Returns how long the request is not to run: until enough of its ends are forgotten.
-    fn quarantine_at(&self, now: StoreMillis) -> Option<Duration> {
-        let ends = self.ends_at(now);
+    fn quarantine_remaining(&self, now: StoreMillis) -> Option<Duration> {
+        let ends = self.crashes_at(now);
         if !is_quarantined(&ends) {
             return None;
         }
@@ -252,12 +252,12 @@
 /// Returns whether what was seen at a moment counts no more.
 ///
 /// ```
-/// use briarswitch_core::crash::is_forgotten;
+/// use briarswitch_core::crash::is_expired;
 ///
-/// assert!(!is_forgotten(1_000, 2_000));
-/// assert!(is_forgotten(1_000, 601_000));
+/// assert!(!is_expired(1_000, 2_000));
+/// assert!(is_expired(1_000, 601_000));
 /// ```
-pub fn is_forgotten(at: StoreMillis, now: StoreMillis) -> bool {
+pub fn is_expired(at: StoreMillis, now: StoreMillis) -> bool {
     now >= at + CRASH_RETENTION.as_millis() as StoreMillis
 }
 
@@ -278,29 +278,29 @@
     /// use briarswitch_core::crash::{CrashHistory, CrashVerdict, CrashReport, CrashedTarget};
     /// use briarswitch_core::fingerprint::RequestFingerprint;
     ///
-    /// let print = RequestFingerprint::from([1; 16]);
-    /// let mut ledger = CrashHistory::default();
+    /// let fingerprint = RequestFingerprint::from([1; 16]);
+    /// let mut history = CrashHistory::default();
     /// for (name, at) in [("a", 1_000), ("b", 2_000), ("c", 3_000)] {
     ///     let (target, domain) = (name.to_owned(), String::new());
     ///     let target = CrashedTarget { target: &target, incarnation: 0, domain: &domain };
     ///     let ran = Duration::from_millis(50);
-    ///     ledger.take_end(CrashReport::of(print, target, at, ran, 0.001));
+    ///     history.record_crash(CrashReport::of(fingerprint, target, at, ran, 0.001));
     /// }
-    /// assert!(matches!(ledger.verdict(&print, 3_000), CrashVerdict::Quarantined(_)));
+    /// assert!(matches!(history.verdict(&fingerprint, 3_000), CrashVerdict::Quarantined(_)));
     /// ```
-    pub fn take_end(&mut self, end: CrashReport) -> bool {
-        let record = self.records.entry(end.print).or_default();
-        let is_news = match record.ends.get_mut(&end.life) {
+    pub fn record_crash(&mut self, end: CrashReport) -> bool {
+        let record = self.records.entry(end.fingerprint).or_default();
+        let is_news = match record.crashes.get_mut(&end.incarnation) {
             // Two nodes may have seen one end; what is kept must not hang on whose word came first.
             Some(held) => {
                 let before = *held;
                 held.at = held.at.min(end.at);
-                held.chance = held.chance.max(end.chance);
+                held.chance_permille = held.chance_permille.max(end.chance_permille);
                 *held != before
             }
-            None => record.ends.insert(end.life, end).is_none(),
+            None => record.crashes.insert(end.incarnation, end).is_none(),
         };
-        self.bound();
+        self.evict_excess();
         is_news
     }
 
@@ -310,19 +310,19 @@
     /// use briarswitch_core::crash::{ClearReport, CrashHistory};
     /// use briarswitch_core::fingerprint::RequestFingerprint;
     ///
-    /// let clear = ClearReport { print: RequestFingerprint::from([1; 16]), at: 5 };
-    /// let mut ledger = CrashHistory::default();
-    /// assert!(ledger.take_clear(clear));
-    /// assert!(!ledger.take_clear(clear));
+    /// let clear = ClearReport { fingerprint: RequestFingerprint::from([1; 16]), at: 5 };
+    /// let mut history = CrashHistory::default();
+    /// assert!(history.record_clear(clear));
+    /// assert!(!history.record_clear(clear));
     /// ```
-    pub fn take_clear(&mut self, clear: ClearReport) -> bool {
-        let record = self.records.entry(clear.print).or_default();
+    pub fn record_clear(&mut self, clear: ClearReport) -> bool {
+        let record = self.records.entry(clear.fingerprint).or_default();
         if clear.at <= record.cleared {
             return false;
         }
         // Earlier ends are kept: told once more with a later moment, one would pass for a new one.
         record.cleared = clear.at;
-        self.bound();
+        self.evict_excess();
         true
     }
 
@@ -339,54 +339,57 @@
         let Some(record) = self.records.get(print) else {
             return CrashVerdict::Clear;
         };
-        match record.quarantine_at(now) {
+        match record.quarantine_remaining(now) {
             Some(left) => CrashVerdict::Quarantined(left),
-            None if is_suspect(&record.ends_at(now)) => CrashVerdict::Suspect,
+            None if is_suspect(&record.crashes_at(now)) => CrashVerdict::Suspect,
             None => CrashVerdict::Clear,
         }
     }
 
     /// Returns the ends of targets that a request was under way at, as far as they count.
-    pub fn ends(&self, print: &RequestFingerprint, now: StoreMillis) -> Vec<CrashReport> {
+    pub fn crashes(&self, print: &RequestFingerprint, now: StoreMillis) -> Vec<CrashReport> {
         let record = self.records.get(print);
-        record.map_or_else(Vec::new, |record| record.ends_at(now))
+        record.map_or_else(Vec::new, |record| record.crashes_at(now))
     }
 
     /// Returns the last word that a request is not the cause.
     pub fn cleared(&self, print: &RequestFingerprint) -> Option<ClearReport> {
         let record = self.records.get(print)?;
         let at = record.cleared;
-        (at > 0).then_some(ClearReport { print: *print, at })
+        (at > 0).then_some(ClearReport {
+            fingerprint: *print,
+            at,
+        })
     }
 
     /// Returns the requests that anything is known of.
-    pub fn prints(&self) -> impl Iterator<Item = &RequestFingerprint> {
+    pub fn fingerprints(&self) -> impl Iterator<Item = &RequestFingerprint> {
         self.records.keys()
     }
 
     /// Returns whether any target has ended with the request under way.
-    pub fn has_ends(&self, print: &RequestFingerprint) -> bool {
+    pub fn has_crashes(&self, print: &RequestFingerprint) -> bool {
         let record = self.records.get(print);
-        record.is_some_and(|record| record.ends.values().any(|end| end.at > record.cleared))
+        record.is_some_and(|record| record.crashes.values().any(|end| end.at > record.cleared))
     }
 
     /// Forgets what counts no more.
     pub fn prune(&mut self, now: StoreMillis) {
         self.records.retain(|_, record| {
-            record.ends.retain(|_, end| !is_forgotten(end.at, now));
-            !record.ends.is_empty() || !is_forgotten(record.cleared, now)
+            record.crashes.retain(|_, end| !is_expired(end.at, now));
+            !record.crashes.is_empty() || !is_expired(record.cleared, now)
         });
     }
 
     /// Drops the request with the fewest ends, of those the one that was added first, where there are too many.
     ///
     /// A caller that sends ever new requests to targets that end would fill the memory otherwise.
-    fn bound(&mut self) {
+    fn evict_excess(&mut self) {
         if self.records.len() <= MAX_REQUESTS {
             return;
         }
         let records = self.records.iter().enumerate();
-        let least = records.min_by_key(|(_, (_, record))| record.ends.len());
+        let least = records.min_by_key(|(_, (_, record))| record.crashes.len());
         if let Some(index) = least.map(|(index, _)| index) {
             self.records.shift_remove_index(index);
         }
--- a/crates/core/src/events.rs
+++ b/crates/core/src/events.rs
@@ -13,8 +13,8 @@
 /// another target without repeating or losing a byte.
 #[derive(Clone, Debug, Default)]
 pub struct EventSplitter {
-    held: BytesMut,
-    last: Option<String>,
+    partial: BytesMut,
+    last_id: Option<String>,
     events: u64,
 }
 
@@ -25,35 +25,35 @@
     /// use briarswitch_core::events::EventSplitter;
     ///
     /// let mut splitter = EventSplitter::default();
-    /// let whole = splitter.push(b"id: 7\ndata: a\n\nid: 8\nda");
-    /// assert_eq!(&whole[..], b"id: 7\ndata: a\n\n");
-    /// assert_eq!(splitter.last(), Some("7"));
+    /// let complete = splitter.push(b"id: 7\ndata: a\n\nid: 8\nda");
+    /// assert_eq!(&complete[..], b"id: 7\ndata: a\n\n");
+    /// assert_eq!(splitter.last_id(), Some("7"));
     /// ```
     pub fn push(&mut self, piece: &[u8]) -> Bytes {
         // The separator may straddle the border between two pieces.
-        let from = self.held.len().saturating_sub(SEPARATOR.len() - 1);
-        self.held.extend_from_slice(piece);
-        let Some(end) = memchr::memmem::rfind(&self.held[from..], SEPARATOR) else {
+        let from = self.partial.len().saturating_sub(SEPARATOR.len() - 1);
+        self.partial.extend_from_slice(piece);
+        let Some(end) = memchr::memmem::rfind(&self.partial[from..], SEPARATOR) else {
             return Bytes::new();
         };
-        let whole = self.held.split_to(from + end + SEPARATOR.len()).freeze();
+        let whole = self.partial.split_to(from + end + SEPARATOR.len()).freeze();
         self.note(&whole);
         whole
     }
 
     /// Returns the bytes of an event that has not ended.
-    pub fn held(&self) -> &[u8] {
-        &self.held
+    pub fn partial(&self) -> &[u8] {
+        &self.partial
     }
 
     /// Drops the beginning of an event that broke off.
-    pub fn drop_tail(&mut self) {
-        self.held.clear();
+    pub fn discard_partial(&mut self) {
+        self.partial.clear();
     }
 
     /// Returns the id of the last whole event.
-    pub fn last(&self) -> Option<&str> {
-        self.last.as_deref()
+    pub fn last_id(&self) -> Option<&str> {
+        self.last_id.as_deref()
     }
 
     /// Returns how many whole events were passed on.
@@ -67,7 +67,7 @@
                 continue;
             }
             if let Some(id) = line.strip_prefix(ID_FIELD) {
-                self.last = Some(String::from_utf8_lossy(id).trim().to_owned());
+                self.last_id = Some(String::from_utf8_lossy(id).trim().to_owned());
             }
         }
         self.events += memchr::memmem::find_iter(whole, SEPARATOR).count() as u64;
--- a/crates/core/src/evidence.rs
+++ b/crates/core/src/evidence.rs
@@ -55,7 +55,7 @@
 
 impl MemberReport {
     /// Returns whether two reports say the same of the machine but for its load.
-    pub fn has_same_standing(&self, other: &Self) -> bool {
+    pub fn has_same_state(&self, other: &Self) -> bool {
         self.incarnation == other.incarnation
             && self.state == other.state
             && self.group == other.group
@@ -70,7 +70,7 @@
     /// What was reported.
     pub report: MemberReport,
     /// Local time before which the report was asked for.
-    pub asked: Moment,
+    pub requested_at: Moment,
 }
 
 /// The newest evidence for each machine.
@@ -83,7 +83,7 @@
 
 impl EvidenceCache {
     /// Opens a ledger whose entries are good for `ttl`.
-    pub fn open(ttl: Duration) -> Self {
+    pub fn new(ttl: Duration) -> Self {
         Self {
             ttl,
             entries: IndexMap::new(),
@@ -101,17 +101,25 @@
         let is_older = self
             .entries
             .get(&report.vm)
-            .is_some_and(|held| held.asked >= asked);
+            .is_some_and(|held| held.requested_at >= asked);
         if is_revoked || is_older {
             return;
         }
-        self.entries
-            .insert(report.vm.clone(), Evidence { report, asked });
+        self.entries.insert(
+            report.vm.clone(),
+            Evidence {
+                report,
+                requested_at: asked,
+            },
+        );
     }
 
     /// Drops what is held for a machine that failed at `at`.
     pub fn revoke(&mut self, vm: &str, at: Moment) {
-        let is_newer = self.entries.get(vm).is_some_and(|held| held.asked > at);
+        let is_newer = self
+            .entries
+            .get(vm)
+            .is_some_and(|held| held.requested_at > at);
         if is_newer {
             return;
         }
@@ -123,12 +131,12 @@
     pub fn fresh(&self, vm: &str, now: Moment) -> Option<&Evidence> {
         self.entries
             .get(vm)
-            .filter(|held| now < held.asked + self.ttl)
+            .filter(|held| now < held.requested_at + self.ttl)
     }
 
     /// Returns when a piece of evidence runs out.
-    pub fn until(&self, evidence: &Evidence) -> Moment {
-        evidence.asked + self.ttl
+    pub fn expires_at(&self, evidence: &Evidence) -> Moment {
+        evidence.requested_at + self.ttl
     }
 
     /// Returns when the evidence for a group runs out, or `None` when it is not whole.
@@ -139,18 +147,18 @@
     /// use briarswitch_core::prelude::*;
     /// use std::time::Duration;
     ///
-    /// let ledger = EvidenceCache::open(Duration::from_secs(1));
+    /// let cache = EvidenceCache::new(Duration::from_secs(1));
     /// let group = GroupRecord::forming("g".into(), "d".into(), vec![], 1);
-    /// assert_eq!(ledger.whole_until(&group, Duration::ZERO), None);
+    /// assert_eq!(cache.complete_until(&group, Duration::ZERO), None);
     /// ```
-    pub fn whole_until(&self, group: &GroupRecord, now: Moment) -> Option<Moment> {
+    pub fn complete_until(&self, group: &GroupRecord, now: Moment) -> Option<Moment> {
         let mut until = None;
         for member in &group.members {
             let evidence = self.fresh(&member.vm, now)?;
             if !evidence.report.confirms(group) {
                 return None;
             }
-            let end = evidence.asked + self.ttl;
+            let end = evidence.requested_at + self.ttl;
             until = Some(until.map_or(end, |least: Moment| least.min(end)));
         }
         until
@@ -160,13 +168,13 @@
     pub fn fresh_entries(&self, now: Moment) -> impl Iterator<Item = &Evidence> {
         self.entries
             .values()
-            .filter(move |held| now < held.asked + self.ttl)
+            .filter(move |held| now < held.requested_at + self.ttl)
     }
 
     /// Drops entries and revocations too old to matter at `now`.
-    pub fn trim(&mut self, now: Moment) {
+    pub fn prune(&mut self, now: Moment) {
         let ttl = self.ttl;
-        self.entries.retain(|_, held| now < held.asked + ttl);
+        self.entries.retain(|_, held| now < held.requested_at + ttl);
         self.revoked.retain(|_, at| now < *at + ttl + ttl);
     }
 }
--- a/crates/core/src/fair.rs
+++ b/crates/core/src/fair.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Default)]
 struct PriorityClass<T> {
     virtual_time: u64,
-    finish: IndexMap<OrganisationId, u64>,
+    finish_tags: IndexMap<OrganisationId, u64>,
     heap: BinaryHeap<Reverse<(u64, u64)>>,
     items: IndexMap<u64, T>,
 }
@@ -27,14 +27,14 @@
 #[derive(Clone, Debug)]
 pub struct FairQueue<T> {
     classes: BTreeMap<u8, PriorityClass<T>>,
-    next: u64,
+    next_ticket: u64,
 }
 
 impl<T> Default for FairQueue<T> {
     fn default() -> Self {
         Self {
             classes: BTreeMap::new(),
-            next: 0,
+            next_ticket: 0,
         }
     }
 }
@@ -58,21 +58,23 @@
         tokens: u64,
         item: T,
     ) -> u64 {
-        let ticket = self.next;
-        self.next += 1;
+        let ticket = self.next_ticket;
+        self.next_ticket += 1;
         let class = self
             .classes
             .entry(priority)
             .or_insert_with(|| PriorityClass {
                 virtual_time: 0,
-                finish: IndexMap::new(),
+                finish_tags: IndexMap::new(),
                 heap: BinaryHeap::new(),
                 items: IndexMap::new(),
             });
-        let last = class.finish.get(organisation).copied().unwrap_or(0);
+        let last = class.finish_tags.get(organisation).copied().unwrap_or(0);
         let start = last.max(class.virtual_time);
         let cost = tokens.max(1) * VIRTUAL_SCALE / u64::from(weight.max(1));
-        class.finish.insert(organisation.to_owned(), start + cost);
+        class
+            .finish_tags
+            .insert(organisation.to_owned(), start + cost);
         class.heap.push(Reverse((start, ticket)));
         class.items.insert(ticket, item);
         ticket
--- a/crates/core/src/finding.rs
+++ b/crates/core/src/finding.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Finding {
     /// Where the fault stands, such as `rules[2].when.percent`.
-    pub place: String,
+    pub path: String,
     /// What is wrong and what would be accepted.
     pub message: String,
 }
@@ -22,7 +22,7 @@
     /// ```
     pub fn new(place: impl Into<String>, message: impl Into<String>) -> Self {
         Self {
-            place: place.into(),
+            path: place.into(),
             message: message.into(),
         }
     }
@@ -30,6 +30,6 @@
 
 impl fmt::Display for Finding {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{}: {}", self.place, self.message)
+        write!(formatter, "{}: {}", self.path, self.message)
     }
 }
--- a/crates/core/src/fingerprint.rs
+++ b/crates/core/src/fingerprint.rs
@@ -29,10 +29,10 @@
 /// fingerprint of another caller's, and have that one refused.
 ///
 /// ```
-/// use briarswitch_core::fingerprint::{PrintParts, RequestFingerprint};
+/// use briarswitch_core::fingerprint::{FingerprintParts, RequestFingerprint};
 ///
-/// let parts = PrintParts { caller: "a", method: "POST", host: "h", path: "/x", body: b"text" };
-/// let other = PrintParts { caller: "b", ..parts };
+/// let parts = FingerprintParts { caller: "a", method: "POST", host: "h", path: "/x", body: b"text" };
+/// let other = FingerprintParts { caller: "b", ..parts };
 /// assert_eq!(RequestFingerprint::of(&parts), RequestFingerprint::of(&parts));
 /// assert_ne!(RequestFingerprint::of(&parts), RequestFingerprint::of(&other));
 /// ```
@@ -88,8 +88,8 @@
     /// ```
     /// use briarswitch_core::fingerprint::RequestFingerprint;
     ///
-    /// let print = RequestFingerprint::from([7; 16]);
-    /// assert_eq!(print.to_string().parse(), Ok(print));
+    /// let fingerprint = RequestFingerprint::from([7; 16]);
+    /// assert_eq!(fingerprint.to_string().parse(), Ok(fingerprint));
     /// assert!("7".parse::<RequestFingerprint>().is_err());
     /// ```
     fn from_str(text: &str) -> Result<Self, FingerprintError> {
--- a/crates/core/src/layout.rs
+++ b/crates/core/src/layout.rs
@@ -82,7 +82,7 @@
 ///
 /// let model = |id: &str, size, share| {
 ///     let id = id.to_owned();
-///     (id.clone(), ModelSpec { id, size, share, ..ModelSpec::default() })
+///     (id.clone(), ModelSpec { id, group_size: size, expected_share: share, ..ModelSpec::default() })
 /// };
 /// let models = IndexMap::from([model("large", 4, 0.67), model("small", 2, 0.33)]);
 /// let engine = EngineSpec { models, ..EngineSpec::default() };
@@ -145,7 +145,7 @@
         domains: &'a [DomainStock],
         phase: LayoutPhase,
     ) -> Self {
-        let sized = engine.models.values().filter(|model| model.size > 0);
+        let sized = engine.models.values().filter(|model| model.group_size > 0);
         let models: Vec<&ModelSpec> = sized.collect();
         let mut zones: Vec<&ZoneId> = domains.iter().map(|stock| &stock.zone).collect();
         zones.sort_unstable();
@@ -158,7 +158,7 @@
         let weights = demand.iter().zip(&models);
         let mut draft = Self {
             weights: weights
-                .map(|(demand, model)| model_weight(*demand, model.size))
+                .map(|(demand, model)| model_weight(*demand, model.group_size))
                 .collect(),
             demand,
             domains: drafts.collect(),
@@ -181,7 +181,7 @@
             let left = self.table.left(LossCase {
                 targets: domain.targets,
                 holders: domain.holders[model],
-                size: spec.size,
+                size: spec.group_size,
             });
             self.left[domain.zone][model] += sign * left;
         }
@@ -234,7 +234,7 @@
     /// group that lacks two: domains held 13 to 15 targets of a model whose groups take sixteen for 20 s,
     /// and what came loaded the other model.
     fn best_gain(&mut self, index: usize, model: usize, before: f64) -> f64 {
-        let size = self.models[model].size;
+        let size = self.models[model].group_size;
         let begun = self.domains[index].holders[model] % size;
         let most = match self.phase {
             LayoutPhase::Serving if begun > 0 => size - begun,
@@ -343,7 +343,8 @@
         let mut order: Vec<usize> = (0..self.models.len()).collect();
         let cover = |model: &usize| {
             let groups = self.domains.iter();
-            let groups = groups.map(|domain| domain.holders[*model] / self.models[*model].size);
+            let groups =
+                groups.map(|domain| domain.holders[*model] / self.models[*model].group_size);
             groups.sum::<usize>() as f64 / self.demand[*model].max(f64::MIN_POSITIVE)
         };
         order.sort_by(|left, right| cover(left).total_cmp(&cover(right)));
--- a/crates/core/src/limit.rs
+++ b/crates/core/src/limit.rs
@@ -15,7 +15,7 @@
     ///
     /// The division is by the nodes configured, not by those now seen: a node that is cut off may
     /// still be serving, and counting it out would let the sum pass the limit.
-    pub fn open(per_second: u32, nodes: usize, now: Moment) -> Self {
+    pub fn new(per_second: u32, nodes: usize, now: Moment) -> Self {
         let rate = f64::from(per_second) / nodes.max(1) as f64;
         Self {
             rate,
@@ -39,7 +39,7 @@
     /// use briarswitch_core::limit::RateShare;
     /// use std::time::Duration;
     ///
-    /// let mut share = RateShare::open(6, 6, Duration::ZERO);
+    /// let mut share = RateShare::new(6, 6, Duration::ZERO);
     /// assert!(share.take(Duration::ZERO).is_ok());
     /// assert!(share.take(Duration::ZERO).is_err());
     /// ```
--- a/crates/core/src/outage_history.rs
+++ b/crates/core/src/outage_history.rs
@@ -5,7 +5,7 @@
 /// How long lost machines took to come back, and whether they did.
 #[derive(Clone, Debug, Default)]
 pub struct OutageHistory {
-    delays: Vec<Duration>,
+    outages: Vec<Duration>,
     next: usize,
 }
 
@@ -16,11 +16,11 @@
 
 impl OutageHistory {
     /// Records that a lost machine came back after `delay`.
-    pub fn returned(&mut self, delay: Duration) {
-        if self.delays.len() < HISTORY_LENGTH {
-            self.delays.push(delay);
+    pub fn record(&mut self, delay: Duration) {
+        if self.outages.len() < HISTORY_LENGTH {
+            self.outages.push(delay);
         } else {
-            self.delays[self.next] = delay;
+            self.outages[self.next] = delay;
         }
         self.next = (self.next + 1) % HISTORY_LENGTH;
     }
@@ -37,16 +37,16 @@
     ///
     /// let mut history = OutageHistory::default();
     /// for _ in 0..20 {
-    ///     history.returned(Duration::from_secs(30));
+    ///     history.record(Duration::from_secs(30));
     /// }
-    /// let patience = history.patience(Duration::from_secs(120));
-    /// assert_eq!(patience, Duration::from_secs(30));
+    /// let delay = history.replacement_delay(Duration::from_secs(120));
+    /// assert_eq!(delay, Duration::from_secs(30));
     /// ```
-    pub fn patience(&self, load_time: Duration) -> Duration {
-        if self.delays.len() < MIN_HISTORY {
+    pub fn replacement_delay(&self, load_time: Duration) -> Duration {
+        if self.outages.len() < MIN_HISTORY {
             return Duration::ZERO;
         }
-        let mut sorted = self.delays.clone();
+        let mut sorted = self.outages.clone();
         sorted.sort_unstable();
         let count = sorted.len() as f64;
         let load = load_time.as_secs_f64();
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -21,34 +21,34 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct GroupLoad {
     /// Requests at work there, this node's own and those other nodes told of.
-    pub writers: u32,
+    pub active_requests: u32,
     /// This node's own requests at work there.
-    pub own: u32,
+    pub local_requests: u32,
     /// Requests of this node that other nodes can not know of yet.
-    pub fresh: u32,
+    pub unreported_requests: u32,
     /// Nodes that choose among the same groups.
     pub nodes: u32,
     /// Places of the group that are this node's.
-    pub share: u32,
+    pub slot_share: u32,
     /// Prompt tokens sent there of which no event has come yet.
-    pub unread_tokens: u64,
+    pub prefill_tokens: u64,
     /// One-way delay to the group.
     pub delay: Duration,
     /// Whether requests wait there for a place.
     pub is_queueing: bool,
     /// Whether the request to be placed can not be on time any more.
-    pub is_for_late: bool,
+    pub is_request_late: bool,
 }
 
 /// Returns the expected time to the first event.
-pub fn first_event(
+pub fn first_event_time(
     engine: &EngineSpec,
     model: &ModelSpec,
     load: &GroupLoad,
     prompt: u64,
 ) -> Duration {
-    let pass = engine.pass_time(model, load.writers.min(engine.slots));
-    let read = engine.read_time(model, load.unread_tokens + prompt);
+    let pass = engine.pass_time(model, load.active_requests.min(engine.slots));
+    let read = engine.prefill_time(model, load.prefill_tokens + prompt);
     let work = pass.mul_f64(MEAN_PASS_WAIT + 1.0) + read;
     work + load.delay * 2
 }
@@ -72,18 +72,18 @@
 /// shares the ones wait while places of the others stay empty.
 ///
 /// ```
-/// use briarswitch_core::placement::{place_share, NodeWeight};
+/// use briarswitch_core::placement::{slot_share, NodeWeight};
 ///
 /// let weights = [1.0, 5.0, 2.0];
 /// let mut before = 0.0;
 /// let shares = weights.map(|own| {
-///     let share = place_share(16, NodeWeight { before, own, total: 8.0 });
+///     let share = slot_share(16, NodeWeight { before, own, total: 8.0 });
 ///     before += own;
 ///     share
 /// });
 /// assert_eq!(shares, [2, 10, 4]);
 /// ```
-pub fn place_share(slots: u32, weight: NodeWeight) -> u32 {
+pub fn slot_share(slots: u32, weight: NodeWeight) -> u32 {
     let scale = f64::from(slots) / weight.total.max(f64::MIN_POSITIVE);
     let until = |sum: f64| (sum * scale + ROUNDING).floor() as u32;
     until(weight.before + weight.own) - until(weight.before)
@@ -98,15 +98,18 @@
 ///
 /// A request that is late already takes a place only while half of them are free. Given every place
 /// that comes free, the late ones would always be there first, and those that come next late too.
-pub fn has_room(engine: &EngineSpec, load: &GroupLoad) -> bool {
+pub fn has_free_slot(engine: &EngineSpec, load: &GroupLoad) -> bool {
     let nodes = load.nodes.max(1);
-    if load.is_for_late && !is_free_for_late(engine, load) {
+    if load.is_request_late && !is_free_for_late(engine, load) {
         return false;
     }
-    let others_see = load.writers.saturating_sub(load.fresh);
+    let others_see = load
+        .active_requests
+        .saturating_sub(load.unreported_requests);
     let free = engine.slots.saturating_sub(others_see);
-    let is_far_from_full = f64::from(load.writers) < f64::from(engine.slots) * MAX_UTILIZATION;
-    let may_exceed = is_far_from_full && load.fresh < free / nodes + 1;
+    let is_far_from_full =
+        f64::from(load.active_requests) < f64::from(engine.slots) * MAX_UTILIZATION;
+    let may_exceed = is_far_from_full && load.unreported_requests < free / nodes + 1;
     !load.is_queueing && (is_in_share(engine, load) || may_exceed)
 }
 
@@ -122,28 +125,31 @@
 fn is_free_for_late(engine: &EngineSpec, load: &GroupLoad) -> bool {
     let slots = f64::from(engine.slots);
     if is_crowded(engine, load) {
-        return f64::from(load.writers) < slots * MAX_UTILIZATION_LATE;
+        return f64::from(load.active_requests) < slots * MAX_UTILIZATION_LATE;
     }
-    load.own * 2 < load.share.max(1) || load.writers * 2 < engine.slots
+    load.local_requests * 2 < load.slot_share.max(1) || load.active_requests * 2 < engine.slots
 }
 
 /// Returns whether the groups of a model have room for requests that are late already.
 ///
 /// Where there are more nodes than places, callers that were cut off together come back to all nodes at once, and none
 /// has heard yet of what the others send. What this node has just sent itself tells how much that is.
-fn has_late_room(engine: &EngineSpec, loads: &[GroupLoad]) -> bool {
+fn has_room_for_late(engine: &EngineSpec, loads: &[GroupLoad]) -> bool {
     let is_crowd = loads.iter().any(|load| is_crowded(engine, load));
     if !is_crowd {
         return true;
     }
-    let writers: u32 = loads.iter().map(|load| load.writers).sum();
-    let unseen: u32 = loads.iter().map(|load| load.fresh * load.nodes).sum();
+    let writers: u32 = loads.iter().map(|load| load.active_requests).sum();
+    let unseen: u32 = loads
+        .iter()
+        .map(|load| load.unreported_requests * load.nodes)
+        .sum();
     let places = f64::from(engine.slots) * loads.len() as f64;
     f64::from(writers + unseen) < places * MAX_UTILIZATION_LATE
 }
 
 fn is_in_share(engine: &EngineSpec, load: &GroupLoad) -> bool {
-    load.own < load.share && load.writers < engine.slots
+    load.local_requests < load.slot_share && load.active_requests < engine.slots
 }
 
 /// Returns the part of the nodes that may use places beyond their shares at a time.
@@ -155,17 +161,17 @@
 ///
 /// ```
 /// use briarswitch_core::engine::EngineSpec;
-/// use briarswitch_core::placement::{exceed_chance, GroupLoad};
+/// use briarswitch_core::placement::{exceed_probability, GroupLoad};
 ///
 /// let engine = EngineSpec { slots: 20, ..EngineSpec::default() };
-/// let load = GroupLoad { nodes: 300, writers: 14, ..GroupLoad::default() };
+/// let load = GroupLoad { nodes: 300, active_requests: 14, ..GroupLoad::default() };
 /// // Five of 20 places may be used, and ten requests are on their way.
-/// assert_eq!(exceed_chance(&engine, &[load], 10.0), 0.5);
+/// assert_eq!(exceed_probability(&engine, &[load], 10.0), 0.5);
 /// ```
-pub fn exceed_chance(engine: &EngineSpec, loads: &[GroupLoad], unseen: f64) -> f64 {
+pub fn exceed_probability(engine: &EngineSpec, loads: &[GroupLoad], unseen: f64) -> f64 {
     let rooms = loads.iter().filter(|load| !load.is_queueing);
     let room: f64 = rooms
-        .map(|load| (usable_places(engine, load) - f64::from(load.writers)).max(0.0))
+        .map(|load| (usable_slots(engine, load) - f64::from(load.active_requests)).max(0.0))
         .sum();
     if room >= unseen {
         1.0
@@ -178,7 +184,7 @@
 ///
 /// Where there are more nodes than places a share is one place or none, and most callers come to nodes that
 /// have none; turns alone keep the group from being sent too much.
-fn usable_places(engine: &EngineSpec, load: &GroupLoad) -> f64 {
+fn usable_slots(engine: &EngineSpec, load: &GroupLoad) -> f64 {
     let part = if is_crowded(engine, load) {
         MAX_UTILIZATION_CROWDED
     } else {
@@ -189,11 +195,11 @@
 
 /// Returns whether a request may go to a group, from a node whose turn it is to go beyond its share or not.
 fn is_open_to(engine: &EngineSpec, load: &GroupLoad, may_exceed: bool) -> bool {
-    if !is_crowded(engine, load) || load.is_for_late {
-        return has_room(engine, load) && (may_exceed || is_in_share(engine, load));
+    if !is_crowded(engine, load) || load.is_request_late {
+        return has_free_slot(engine, load) && (may_exceed || is_in_share(engine, load));
     }
-    let is_free = f64::from(load.writers) < usable_places(engine, load);
-    let is_beyond = may_exceed && is_free && load.fresh == 0;
+    let is_free = f64::from(load.active_requests) < usable_slots(engine, load);
+    let is_beyond = may_exceed && is_free && load.unreported_requests == 0;
     !load.is_queueing && (is_in_share(engine, load) || is_beyond)
 }
 
@@ -201,9 +207,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PlacementParams {
     /// Tokens of the request's prompt.
-    pub prompt: u64,
+    pub prompt_tokens: u64,
     /// Requests that other nodes have sent since this node heard of their load.
-    pub unseen: f64,
+    pub unseen_requests: f64,
     /// A number from 0 to 1, drawn anew for each request.
     pub draw: f64,
     /// A number from 0 to 1 that a node keeps for the time in which others do not know of its requests.
@@ -223,23 +229,25 @@
     loads: &[GroupLoad],
     terms: &PlacementParams,
 ) -> Option<usize> {
-    let is_late = loads.iter().any(|load| load.is_for_late);
-    if is_late && !has_late_room(engine, loads) {
+    let is_late = loads.iter().any(|load| load.is_request_late);
+    if is_late && !has_room_for_late(engine, loads) {
         return None;
     }
-    let may_exceed = terms.turn < exceed_chance(engine, loads, terms.unseen);
+    let may_exceed = terms.turn < exceed_probability(engine, loads, terms.unseen_requests);
     let mut times: Vec<(usize, f64)> = loads
         .iter()
         .enumerate()
         .filter(|(_, load)| is_open_to(engine, load, may_exceed))
         .map(|(index, load)| {
-            let time = first_event(engine, model, load, terms.prompt);
+            let time = first_event_time(engine, model, load, terms.prompt_tokens);
             (index, time.as_secs_f64())
         })
         .collect();
     times.sort_by(|left, right| left.1.total_cmp(&right.1));
-    let each = engine.read_time(model, terms.prompt.max(1)).as_secs_f64();
-    let level = fill_level(&times, terms.unseen * each);
+    let each = engine
+        .prefill_time(model, terms.prompt_tokens.max(1))
+        .as_secs_f64();
+    let level = fill_level(&times, terms.unseen_requests * each);
     let rooms = times
         .iter()
         .map(|(index, time)| (*index, (level - time).max(0.0)));
--- a/crates/core/src/planner.rs
+++ b/crates/core/src/planner.rs
@@ -43,7 +43,9 @@
     /// assert!(planner.plan(&FleetState::default(), Duration::ZERO).is_empty());
     /// ```
     pub fn plan(&self, fleet: &FleetState, now: Moment) -> Vec<PlanStep> {
-        let patience = self.grace.max(self.history.patience(self.load_time));
+        let patience = self
+            .grace
+            .max(self.history.replacement_delay(self.load_time));
         let mut draft = PlanDraft::open(fleet, now, patience, self.grace);
         draft.drop_unwanted();
         draft.mend_broken();
--- a/crates/core/src/prefix.rs
+++ b/crates/core/src/prefix.rs
@@ -46,9 +46,9 @@
     /// use briarswitch_core::prefix::PrefixChain;
     ///
     /// let chain = PrefixChain::of(&[7; 300]);
-    /// assert_eq!(chain.home(["a", "b"].into_iter()), chain.home(["a", "b"].into_iter()));
+    /// assert_eq!(chain.affinity_target(["a", "b"].into_iter()), chain.affinity_target(["a", "b"].into_iter()));
     /// ```
-    pub fn home<'a>(&self, targets: impl Iterator<Item = &'a str>) -> Option<usize> {
+    pub fn affinity_target<'a>(&self, targets: impl Iterator<Item = &'a str>) -> Option<usize> {
         let first = *self.hashes.first()?;
         let scores = targets.map(|target| xxh3_64_with_seed(target.as_bytes(), first));
         let ranked = scores.enumerate().max_by_key(|(_, score)| *score);
@@ -70,7 +70,7 @@
 
 impl PrefixIndex {
     /// Opens a book of at most `capacity` blocks.
-    pub fn open(capacity: usize) -> Self {
+    pub fn new(capacity: usize) -> Self {
         Self {
             capacity,
             blocks: IndexSet::new(),
@@ -78,7 +78,7 @@
     }
 
     /// Returns the share of a prompt's blocks that the target has likely cached, 0 to 1.
-    pub fn share(&self, chain: &PrefixChain) -> f64 {
+    pub fn cached_share(&self, chain: &PrefixChain) -> f64 {
         if chain.is_empty() {
             return 0.0;
         }
@@ -91,7 +91,7 @@
     }
 
     /// Notes that a prompt was sent to the target.
-    pub fn note(&mut self, chain: &PrefixChain) {
+    pub fn record(&mut self, chain: &PrefixChain) {
         for hash in &chain.hashes {
             self.blocks.shift_remove(hash);
             self.blocks.insert(*hash);
@@ -104,10 +104,10 @@
 /// Hashes bytes the same way on every node and in every life of a node.
 ///
 /// ```
-/// use briarswitch_core::prefix::hash_of;
+/// use briarswitch_core::prefix::stable_hash;
 ///
-/// assert_eq!(hash_of(b"a"), hash_of(b"a"));
+/// assert_eq!(stable_hash(b"a"), stable_hash(b"a"));
 /// ```
-pub fn hash_of(bytes: &[u8]) -> u64 {
+pub fn stable_hash(bytes: &[u8]) -> u64 {
     xxh3_64_with_seed(bytes, 0)
 }
--- a/crates/core/src/rebalance.rs
+++ b/crates/core/src/rebalance.rs
@@ -42,7 +42,7 @@
     /// What each domain holds.
     pub domains: &'a [DomainStock],
     /// Targets that are loading each model's weights where the stock does not show it.
-    pub coming: &'a IndexMap<ModelId, usize>,
+    pub loading: &'a IndexMap<ModelId, usize>,
 }
 
 /// Returns what each domain should hold, once targets of models that have more than they need were moved.
@@ -51,33 +51,33 @@
 ///
 /// ```
 /// use briarswitch_core::engine::{EngineSpec, ModelSpec};
-/// use briarswitch_core::rebalance::{plan_exchange, RebalanceParams};
+/// use briarswitch_core::rebalance::{plan_rebalance, RebalanceParams};
 /// use briarswitch_core::layout::DomainStock;
 /// use indexmap::IndexMap;
 ///
 /// let model = |id: &str, size| {
 ///     let id = id.to_owned();
-///     (id.clone(), ModelSpec { id, size, ..ModelSpec::default() })
+///     (id.clone(), ModelSpec { id, group_size: size, ..ModelSpec::default() })
 /// };
 /// let models = IndexMap::from([model("large", 4), model("small", 2)]);
 /// let engine = EngineSpec { models, ..EngineSpec::default() };
 /// let holders = IndexMap::from([("large".to_owned(), 24), ("small".to_owned(), 4)]);
 /// let domain = DomainStock { holders, ..DomainStock::default() };
 /// let demand = IndexMap::from([("large".to_owned(), 1.0), ("small".to_owned(), 3.0)]);
-/// let layouts = plan_exchange(RebalanceParams {
+/// let layouts = plan_rebalance(RebalanceParams {
 ///     engine: &engine,
 ///     demand: &demand,
 ///     domains: &[domain],
-///     coming: &IndexMap::new(),
+///     loading: &IndexMap::new(),
 /// });
 /// assert!(layouts[""].holders["small"] > 4);
 /// ```
-pub fn plan_exchange(terms: RebalanceParams<'_>) -> IndexMap<DomainId, DomainLayout> {
+pub fn plan_rebalance(terms: RebalanceParams<'_>) -> IndexMap<DomainId, DomainLayout> {
     let phase = LayoutPhase::Serving;
     let mut draft = LayoutDraft::open(terms.engine, terms.demand, terms.domains, phase);
     let unseen = draft.fill_empty();
-    draft.note_coming(terms.coming, &unseen);
-    draft.exchange();
+    draft.count_loading(terms.loading, &unseen);
+    draft.rebalance();
     draft.finish()
 }
 
@@ -87,7 +87,7 @@
     domain: usize,
     holders: HolderCounts,
     /// Gain for each target that has to load; loads are what is short.
-    rate: f64,
+    gain_per_target: f64,
 }
 
 /// Targets of one domain that would go from one model to another.
@@ -103,22 +103,22 @@
     /// Counts the groups of targets that load weights unseen, less those taken for empty ones of other domains.
     ///
     /// Whose weights they leave is not told, so they are taken from the model that is covered best.
-    fn note_coming(&mut self, coming: &IndexMap<ModelId, usize>, unseen: &[usize]) {
+    fn count_loading(&mut self, coming: &IndexMap<ModelId, usize>, unseen: &[usize]) {
         for (model, unseen) in unseen.iter().enumerate() {
             let loading = coming.get(&self.models[model].id).copied().unwrap_or(0);
             let moving = loading.saturating_sub(*unseen) as f64;
             let others = (0..self.models.len()).filter(|other| *other != model);
             let giver =
-                others.max_by(|left, right| self.cover(*left).total_cmp(&self.cover(*right)));
+                others.max_by(|left, right| self.coverage(*left).total_cmp(&self.coverage(*right)));
             if let Some(giver) = giver {
-                self.coming[giver] -= moving / self.models[giver].size as f64;
+                self.coming[giver] -= moving / self.models[giver].group_size as f64;
             }
-            self.coming[model] += moving / self.models[model].size as f64;
+            self.coming[model] += moving / self.models[model].group_size as f64;
         }
     }
 
     /// Takes the best exchange, as long as there is one that gains enough.
-    fn exchange(&mut self) {
+    fn rebalance(&mut self) {
         let (least, most) = STEPS_PER_DECISION;
         let looks = MAX_DOMAIN_EVALUATIONS / self.domains.len().max(1);
         for _ in 0..looks.clamp(least, most) {
@@ -134,7 +134,10 @@
         let mut best: Option<RebalanceStep> = None;
         for domain in 0..self.domains.len() {
             for step in self.steps_of(domain, before) {
-                if best.as_ref().is_none_or(|best| step.rate > best.rate) {
+                if best
+                    .as_ref()
+                    .is_none_or(|best| step.gain_per_target > best.gain_per_target)
+                {
                     best = Some(step);
                 }
             }
@@ -168,7 +171,7 @@
             to,
             count,
         } = tried;
-        let cover_before = self.cover(to);
+        let cover_before = self.coverage(to);
         let held = self.domains[domain].holders.clone();
         let mut holders = held.clone();
         holders[from] -= count;
@@ -178,20 +181,20 @@
         let gain = (self.worth() - before) / self.weights.iter().sum::<f64>();
         // A model is never left with less than the one that it gave to had.
         // By the square, a model that lacks little takes little, and one that lacks half takes what there is.
-        let has = (self.cover(to) / ENOUGH_COVERAGE).min(1.0);
+        let has = (self.coverage(to) / ENOUGH_COVERAGE).min(1.0);
         let kept = cover_before.max(DONOR_MIN_COVERAGE * has.powi(2));
-        let keeps_enough = self.cover(from) >= kept && self.groups_left(from) >= MIN_GROUPS;
+        let keeps_enough = self.coverage(from) >= kept && self.groups_left(from) >= MIN_GROUPS;
         self.change(domain, |domain| domain.holders = held);
         let is_worth_it = gain >= MIN_GAIN + MIN_GAIN_PER_TARGET * count as f64;
         (keeps_enough && is_worth_it).then_some(RebalanceStep {
             domain,
             holders,
-            rate: gain / count as f64,
+            gain_per_target: gain / count as f64,
         })
     }
 
     /// Returns the groups that a model is expected to have left for each that its callers fill.
-    fn cover(&self, model: usize) -> f64 {
+    fn coverage(&self, model: usize) -> f64 {
         self.groups_left(model) / self.demand[model].max(f64::MIN_POSITIVE)
     }
 }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -21,7 +21,7 @@
 impl RetryBudget {
     /// Opens a budget that earns `permille` thousandths of a retry for each success and holds at
     /// most `burst` retries; it starts full.
-    pub fn open(permille: u64, burst: u64) -> Self {
+    pub fn new(permille: u64, burst: u64) -> Self {
         let ceiling = burst * RETRY_COST;
         Self {
             permille,
@@ -31,7 +31,7 @@
     }
 
     /// Credits one success.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.balance = (self.balance + self.permille).min(self.ceiling);
     }
 
@@ -40,11 +40,11 @@
     /// ```
     /// use briarswitch_core::retry::RetryBudget;
     ///
-    /// let mut budget = RetryBudget::open(100, 1);
-    /// assert!(budget.spend());
-    /// assert!(!budget.spend());
+    /// let mut budget = RetryBudget::new(100, 1);
+    /// assert!(budget.withdraw());
+    /// assert!(!budget.withdraw());
     /// ```
-    pub fn spend(&mut self) -> bool {
+    pub fn withdraw(&mut self) -> bool {
         if self.balance < RETRY_COST {
             return false;
         }
@@ -85,7 +85,7 @@
 
 impl RetryWindow {
     /// Opens a budget of `ratio` retries for each request in windows of `length`.
-    pub fn open(ratio: f64, length: Duration, now: Moment) -> Self {
+    pub fn new(ratio: f64, length: Duration, now: Moment) -> Self {
         let slot = (length / WINDOW_SLOTS as u32).max(Duration::from_millis(1));
         Self {
             ratio: ratio * EARNED_SHARE,
@@ -97,7 +97,7 @@
     }
 
     /// Counts a request.
-    pub fn earn(&mut self, now: Moment) {
+    pub fn deposit(&mut self, now: Moment) {
         self.newest_slot(now).requests += 1;
     }
 
@@ -109,12 +109,12 @@
     /// use briarswitch_core::retry::RetryWindow;
     ///
     /// let now = Duration::from_secs(1);
-    /// let mut window = RetryWindow::open(0.2, Duration::from_secs(10), now);
-    /// assert!(!window.has_any(5, now));
-    /// (0..10).for_each(|_| window.earn(now));
-    /// assert!(window.has_any(0, now));
+    /// let mut window = RetryWindow::new(0.2, Duration::from_secs(10), now);
+    /// assert!(!window.can_withdraw(5, now));
+    /// (0..10).for_each(|_| window.deposit(now));
+    /// assert!(window.can_withdraw(0, now));
     /// ```
-    pub fn has_any(&mut self, burst: u32, now: Moment) -> bool {
+    pub fn can_withdraw(&mut self, burst: u32, now: Moment) -> bool {
         self.advance(now);
         let requests = self.slots[1..].iter().map(|slot| slot.requests);
         let retries = self.slots.iter().map(|slot| slot.retries);
@@ -126,8 +126,8 @@
     }
 
     /// Takes one retry if there is one.
-    pub fn spend(&mut self, burst: u32, now: Moment) -> bool {
-        let is_left = self.has_any(burst, now);
+    pub fn withdraw(&mut self, burst: u32, now: Moment) -> bool {
+        let is_left = self.can_withdraw(burst, now);
         if is_left {
             self.newest_slot(now).retries += 1;
         }
@@ -135,7 +135,7 @@
     }
 
     /// Gives a retry back that was just taken and not sent.
-    pub fn give_back(&mut self, now: Moment) {
+    pub fn refund(&mut self, now: Moment) {
         self.advance(now);
         let mut slots = self.slots.iter_mut().rev();
         if let Some(slot) = slots.find(|slot| slot.retries > 0) {
--- a/crates/core/src/rule.rs
+++ b/crates/core/src/rule.rs
@@ -46,7 +46,7 @@
 
 impl RuleMatch {
     /// Returns the first condition that does not hold, or `None` when all hold.
-    pub fn failing(&self, facts: &RequestFacts) -> Option<&'static str> {
+    pub fn first_mismatch(&self, facts: &RequestFacts) -> Option<&'static str> {
         let wants = |wanted: &Option<String>, found: &str| {
             wanted.as_deref().is_none_or(|value| value == found)
         };
@@ -151,5 +151,7 @@
 /// assert!(first_match(&[], &RequestFacts::default()).is_none());
 /// ```
 pub fn first_match<'a>(rules: &'a [Rule], facts: &RequestFacts) -> Option<&'a Rule> {
-    rules.iter().find(|rule| rule.when.failing(facts).is_none())
+    rules
+        .iter()
+        .find(|rule| rule.when.first_mismatch(facts).is_none())
 }
--- a/crates/core/src/silence.rs
+++ b/crates/core/src/silence.rs
@@ -22,15 +22,15 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct GroupActivity {
     /// Requests at work there, of all nodes.
-    pub writers: u32,
+    pub active_requests: u32,
     /// This node's own requests among them.
-    pub own: u32,
+    pub local_requests: u32,
     /// This node's requests of which no event has come yet.
-    pub unread: u32,
+    pub prefill_requests: u32,
     /// Prompt tokens of those.
-    pub unread_tokens: u64,
+    pub prefill_tokens: u64,
     /// Longest of the last intervals between events that this node saw.
-    pub interval: Duration,
+    pub max_interval: Duration,
 }
 
 /// Returns the silence after which a group has lost a member or is cut off.
@@ -38,11 +38,15 @@
 /// A node that has a running stream there hears of every pass. One that has only sent requests hears
 /// nothing until the pass under way is over and the next one, which reads its prompt, as well.
 pub fn silence_limit(engine: &EngineSpec, model: &ModelSpec, work: &GroupActivity) -> Duration {
-    let pass = engine.pass_time(model, work.writers);
-    let read = engine.read_time(model, work.unread_tokens);
-    let usual = work.interval.min(MAX_USUAL_INTERVAL);
-    let passes = if work.unread < work.own { 1 } else { 2 };
-    let longest = engine.longest_pass(model, work.writers) * passes;
+    let pass = engine.pass_time(model, work.active_requests);
+    let read = engine.prefill_time(model, work.prefill_tokens);
+    let usual = work.max_interval.min(MAX_USUAL_INTERVAL);
+    let passes = if work.prefill_requests < work.local_requests {
+        1
+    } else {
+        2
+    };
+    let longest = engine.max_pass_time(model, work.active_requests) * passes;
     (pass.mul_f64(SILENT_PASSES) + read)
         .max(usual.mul_f64(INTERVAL_FACTOR))
         .max(longest.mul_f64(MAX_PASS_FACTOR))
--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -11,7 +11,7 @@
 /// number of them; half an event passed on would be doubled or torn by the resumption.
 #[derive(Clone, Debug, Default)]
 pub struct EventScanner {
-    tail: Vec<u8>,
+    partial: Vec<u8>,
     events: usize,
     is_ended: bool,
 }
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ScannedPiece {
     /// Bytes of the piece that belong to whole events.
-    pub whole: usize,
+    pub complete_bytes: usize,
 }
 
 impl EventScanner {
@@ -35,8 +35,8 @@
     }
 
     /// Forgets half an event, as before a resumption.
-    pub fn drop_tail(&mut self) {
-        self.tail.clear();
+    pub fn discard_partial(&mut self) {
+        self.partial.clear();
     }
 
     /// Takes a piece and returns the bytes held back from earlier pieces that are now whole, and
@@ -47,23 +47,28 @@
     ///
     /// let mut scanner = EventScanner::default();
     /// let (held, piece) = scanner.scan(b"data: a\n\ndata: b");
-    /// assert_eq!((held.len(), piece.whole, scanner.events()), (0, 9, 1));
+    /// assert_eq!((held.len(), piece.complete_bytes, scanner.events()), (0, 9, 1));
     /// ```
     pub fn scan(&mut self, piece: &[u8]) -> (Vec<u8>, ScannedPiece) {
-        if !self.tail.is_empty() {
+        if !self.partial.is_empty() {
             return self.scan_joined(piece);
         }
         let whole = self.count(piece);
-        self.tail.extend_from_slice(&piece[whole..]);
-        (Vec::new(), ScannedPiece { whole })
+        self.partial.extend_from_slice(&piece[whole..]);
+        (
+            Vec::new(),
+            ScannedPiece {
+                complete_bytes: whole,
+            },
+        )
     }
 
     fn scan_joined(&mut self, piece: &[u8]) -> (Vec<u8>, ScannedPiece) {
-        let mut joined = std::mem::take(&mut self.tail);
+        let mut joined = std::mem::take(&mut self.partial);
         joined.extend_from_slice(piece);
         let whole = self.count(&joined);
-        self.tail = joined.split_off(whole);
-        (joined, ScannedPiece { whole: 0 })
+        self.partial = joined.split_off(whole);
+        (joined, ScannedPiece { complete_bytes: 0 })
     }
 
     fn count(&mut self, bytes: &[u8]) -> usize {
--- a/crates/core/src/waiting.rs
+++ b/crates/core/src/waiting.rs
@@ -30,13 +30,13 @@
     /// When it came.
     pub arrived: Moment,
     /// Last moment at which a place would still give an answer on time.
-    pub useful_until: Moment,
+    pub on_time_until: Moment,
     /// Moment at which it is given up and refused.
-    pub refused_at: Moment,
+    pub refuse_at: Moment,
     /// Rank; zero goes first.
     pub priority: u8,
     /// Whether part of its answer was delivered before its target was lost.
-    pub is_begun: bool,
+    pub is_resumption: bool,
 }
 
 /// What is known of a request when it begins to wait.
@@ -49,13 +49,13 @@
     /// Time to the first event that callers were promised.
     pub objective: Duration,
     /// Time that usually passes from a place to the first event.
-    pub first: Duration,
+    pub first_event_time: Duration,
     /// When the answer has to be there.
     pub deadline: Moment,
     /// Rank; zero goes first.
     pub priority: u8,
     /// Whether part of its answer was delivered before its target was lost.
-    pub is_begun: bool,
+    pub is_resumption: bool,
 }
 
 /// What to do with a waiting request.
@@ -72,12 +72,12 @@
     ///
     /// A place is useful as long as the first event can come within the objective, counted from the
     /// caller's first attempt.
-    pub fn open(terms: WaitParams) -> Self {
+    pub fn new(terms: WaitParams) -> Self {
         let slack = terms
             .objective
-            .saturating_sub(terms.first + terms.waited_before);
+            .saturating_sub(terms.first_event_time + terms.waited_before);
         let useful_until = terms.arrived + slack;
-        let late = if terms.is_begun {
+        let late = if terms.is_resumption {
             RESUMPTION_MAX_WAIT
         } else if terms.waited_before.is_zero() {
             terms.objective + LATE_MAX_WAIT
@@ -87,21 +87,21 @@
         };
         Self {
             arrived: terms.arrived,
-            useful_until,
-            refused_at: (terms.arrived + late).min(terms.deadline),
+            on_time_until: useful_until,
+            refuse_at: (terms.arrived + late).min(terms.deadline),
             priority: terms.priority,
-            is_begun: terms.is_begun,
+            is_resumption: terms.is_resumption,
         }
     }
 
     /// Returns whether it can not be on time any more; one that has begun is not held to that.
     pub fn is_late(&self, now: Moment) -> bool {
-        !self.is_begun && now > self.useful_until
+        !self.is_resumption && now > self.on_time_until
     }
 
     /// Returns whether the request still waits at `now`.
     pub fn verdict(&self, now: Moment) -> WaitVerdict {
-        if now >= self.refused_at {
+        if now >= self.refuse_at {
             WaitVerdict::Refuse
         } else {
             WaitVerdict::Wait
@@ -119,10 +119,10 @@
         let is_late = self.is_late(now);
         let arrival = self.arrived.as_nanos() as i128;
         (
-            !self.is_begun,
+            !self.is_resumption,
             is_late,
             self.priority,
-            if is_late || self.is_begun {
+            if is_late || self.is_resumption {
                 arrival
             } else {
                 -arrival
@@ -136,16 +136,16 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use briarswitch_core::waiting::{next_waiting, WaitTerms, WaitingRequest};
+/// use briarswitch_core::waiting::{next_waiting, WaitParams, WaitingRequest};
 ///
 /// let at = Duration::from_millis;
 /// let open = |arrived| {
-///     WaitingRequest::open(WaitTerms {
+///     WaitingRequest::new(WaitParams {
 ///         arrived: at(arrived),
 ///         objective: at(300),
-///         first: at(100),
+///         first_event_time: at(100),
 ///         deadline: at(9_000),
-///         ..WaitTerms::default()
+///         ..WaitParams::default()
 ///     })
 /// };
 /// // At 250 ms the first can not be on time any more and the second can.
--- a/crates/core/tests/broken_streams.rs
+++ b/crates/core/tests/broken_streams.rs
@@ -66,12 +66,12 @@
     }
 
     fn wait(&mut self, stream: PlayStream, is_begun: bool) {
-        let request = WaitingRequest::open(WaitParams {
+        let request = WaitingRequest::new(WaitParams {
             arrived: self.now,
             objective: Duration::from_millis(300),
-            first: Duration::from_millis(100),
+            first_event_time: Duration::from_millis(100),
             deadline: self.now + DEADLINE,
-            is_begun,
+            is_resumption: is_begun,
             ..WaitParams::default()
         });
         self.waiting.push(PlayWaiter { request, stream });
--- a/crates/core/tests/crash.rs
+++ b/crates/core/tests/crash.rs
@@ -29,7 +29,7 @@
 fn ledger_of(ends: &[CrashReport]) -> CrashHistory {
     let mut ledger = CrashHistory::default();
     for end in ends {
-        ledger.take_end(*end);
+        ledger.record_crash(*end);
     }
     ledger
 }
@@ -154,15 +154,15 @@
 fn a_whole_answer_clears_what_was_before_and_nothing_later() {
     let mut ledger = ledger_of(&ends(3, CALM));
     let clear = ClearReport {
-        print: print(),
+        fingerprint: print(),
         at: 5_000,
     };
-    expect_true!(ledger.take_clear(clear));
+    expect_true!(ledger.record_clear(clear));
     expect_that!(ledger.verdict(&print(), 10_000), eq(CrashVerdict::Clear));
-    ledger.take_end(ends(1, CALM)[0]);
-    expect_false!(ledger.has_ends(&print()), "told late");
+    ledger.record_crash(ends(1, CALM)[0]);
+    expect_false!(ledger.has_crashes(&print()), "told late");
     for index in 0..3 {
-        ledger.take_end(end(&format!("u{index}"), "d", 6_000 + 1_000 * index, CALM));
+        ledger.record_crash(end(&format!("u{index}"), "d", 6_000 + 1_000 * index, CALM));
     }
     expect_true!(is_quarantined(ledger.verdict(&print(), 10_000)));
 }
@@ -182,7 +182,7 @@
     let over = 4_000 + left.as_millis() as StoreMillis;
     expect_true!(is_quarantined(ledger.verdict(&print(), over - 1)));
     expect_false!(is_quarantined(ledger.verdict(&print(), over)));
-    ledger.take_end(end("later", "d", over + 100, CALM));
+    ledger.record_crash(end("later", "d", over + 100, CALM));
     expect_true!(is_quarantined(ledger.verdict(&print(), over + 100)));
 }
 
@@ -195,15 +195,15 @@
         let mut bytes = [0; 16];
         bytes[..8].copy_from_slice(&(index + 1).to_le_bytes());
         let other = CrashReport {
-            print: RequestFingerprint::from(bytes),
+            fingerprint: RequestFingerprint::from(bytes),
             ..end("t", "d", 4_000, CALM)
         };
-        ledger.take_end(other);
+        ledger.record_crash(other);
     }
-    expect_that!(ledger.prints().count(), le(4_096));
+    expect_that!(ledger.fingerprints().count(), le(4_096));
     expect_true!(is_quarantined(ledger.verdict(&print(), 10_000)));
     ledger.prune(4_000 + CRASH_RETENTION.as_millis() as StoreMillis);
-    expect_that!(ledger.prints().count(), eq(0));
+    expect_that!(ledger.fingerprints().count(), eq(0));
 }
 
 #[gtest]
@@ -211,11 +211,11 @@
     let mut rate = CrashRate::default();
     let at = Duration::from_secs;
     for second in 0..20 {
-        rate.note(10 * second, 100, at(second));
+        rate.record(10 * second, 100, at(second));
     }
     expect_that!(rate.per_second(), gt(0.05));
     for second in 20..60 {
-        rate.note(190, 100, at(second));
+        rate.record(190, 100, at(second));
     }
     expect_that!(rate.per_second(), lt(0.001));
     expect_that!(rate.per_second(), gt(0.0));
@@ -231,16 +231,16 @@
 fn told() -> impl Strategy<Value = Told> {
     let ends = (0..4_u64, 1..60_u64, 10..400_u16).prop_map(|(life, at, chance)| {
         Told::End(CrashReport {
-            print: print(),
-            life: IncarnationKey(life),
+            fingerprint: print(),
+            incarnation: IncarnationKey(life),
             domain: life % 2,
             at: at * 100,
-            chance,
+            chance_permille: chance,
         })
     });
     let clears = (1..60_u64).prop_map(|at| {
         Told::Clear(ClearReport {
-            print: print(),
+            fingerprint: print(),
             at: at * 100,
         })
     });
@@ -249,8 +249,8 @@
 
 fn take(ledger: &mut CrashHistory, told: Told) {
     match told {
-        Told::End(end) => ledger.take_end(end),
-        Told::Clear(clear) => ledger.take_clear(clear),
+        Told::End(end) => ledger.record_crash(end),
+        Told::Clear(clear) => ledger.record_clear(clear),
     };
 }
 
@@ -275,7 +275,7 @@
         }));
         let mut second = CrashHistory::default();
         other.iter().for_each(|one| take(&mut second, *one));
-        prop_assert_eq!(first.ends(&print(), 10_000), second.ends(&print(), 10_000));
+        prop_assert_eq!(first.crashes(&print(), 10_000), second.crashes(&print(), 10_000));
         prop_assert_eq!(first.verdict(&print(), 10_000), second.verdict(&print(), 10_000));
     }
 }
--- a/crates/core/tests/crash_play.rs
+++ b/crates/core/tests/crash_play.rs
@@ -147,7 +147,7 @@
                 domain: &domain,
             };
             let end = CrashReport::of(request.print, target, millis(self.now), ran, rate);
-            self.ledger.take_end(end);
+            self.ledger.record_crash(end);
             // The second run of an attempt follows at once, the next attempt after a while.
             let pause = if request.runs % 2 == 1 { 0.0 } else { 0.4 };
             self.waiting.push((self.now + pause, request));
@@ -193,9 +193,12 @@
                 self.requests.push(request.clone());
                 self.end.deadly_ends += 1;
                 self.end_head(request.head);
-            } else if self.ledger.has_ends(&request.print) {
+            } else if self.ledger.has_crashes(&request.print) {
                 let (print, at) = (request.print, millis(now));
-                self.ledger.take_clear(ClearReport { print, at });
+                self.ledger.record_clear(ClearReport {
+                    fingerprint: print,
+                    at,
+                });
             }
         }
         let all = std::mem::take(&mut self.waiting);
@@ -208,7 +211,7 @@
         }
         let ended = self.lapses.iter().filter(|at| **at <= now).count();
         self.rate
-            .note(ended as u64, HEADS, Duration::from_secs_f64(now));
+            .record(ended as u64, HEADS, Duration::from_secs_f64(now));
         self.now += STEP;
     }
 
--- a/crates/core/tests/crowd.rs
+++ b/crates/core/tests/crowd.rs
@@ -5,9 +5,7 @@
 use std::time::Duration;
 
 use briarswitch_core::engine::{EngineSpec, ModelSpec};
-use briarswitch_core::placement::{
-    pick_group, place_share, GroupLoad, NodeWeight, PlacementParams,
-};
+use briarswitch_core::placement::{pick_group, slot_share, GroupLoad, NodeWeight, PlacementParams};
 use googletest::prelude::*;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -25,17 +23,17 @@
 fn engine() -> EngineSpec {
     let large = ModelSpec {
         id: "large".to_owned(),
-        size: 32,
-        share: 0.5,
-        pace: 1.0,
+        group_size: 32,
+        expected_share: 0.5,
+        time_factor: 1.0,
         ..ModelSpec::default()
     };
     EngineSpec {
         slots: SLOTS,
-        stride: 11,
-        step: Duration::from_micros(5_950),
-        step_per_request: Duration::from_nanos(44_500),
-        read_per_second: 50_700.0,
+        steps_per_pass: 11,
+        step_time: Duration::from_micros(5_950),
+        step_time_per_request: Duration::from_nanos(44_500),
+        prefill_tokens_per_second: 50_700.0,
         models: [(large.id.clone(), large)].into_iter().collect(),
         ..EngineSpec::default()
     }
@@ -96,11 +94,11 @@
                     total: NODES as f64,
                 };
                 GroupLoad {
-                    writers: known[group].max(own),
-                    own,
-                    fresh: own,
+                    active_requests: known[group].max(own),
+                    local_requests: own,
+                    unreported_requests: own,
                     nodes: NODES as u32,
-                    share: place_share(SLOTS, weight),
+                    slot_share: slot_share(SLOTS, weight),
                     ..GroupLoad::default()
                 }
             })
@@ -108,8 +106,8 @@
         let window = (tick / LATE_TICKS) as u64;
         let mut turn = StdRng::seed_from_u64(window * 1_000 + node as u64);
         let terms = PlacementParams {
-            prompt: 1_600,
-            unseen: per_second * LATE_TICKS as f64 / SECOND as f64,
+            prompt_tokens: 1_600,
+            unseen_requests: per_second * LATE_TICKS as f64 / SECOND as f64,
             draw: self.rng.random(),
             turn: if self.takes_turns { turn.random() } else { 0.0 },
         };
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -6,7 +6,7 @@
 use briarswitch_core::events::EventSplitter;
 use briarswitch_core::id::*;
 use briarswitch_core::placement::{
-    has_room, pick_group, place_share, GroupLoad, NodeWeight, PlacementParams,
+    has_free_slot, pick_group, slot_share, GroupLoad, NodeWeight, PlacementParams,
 };
 use briarswitch_core::target::{
     LapseWindow, Membership, MembershipState, TargetBook, TargetChange, TargetRecord,
@@ -18,9 +18,9 @@
 fn model(id: &str, size: usize, share: f64, pace: f64) -> ModelSpec {
     ModelSpec {
         id: id.to_owned(),
-        size,
-        share,
-        pace,
+        group_size: size,
+        expected_share: share,
+        time_factor: pace,
         load_time: Duration::from_secs(16),
         warmup: Duration::from_millis(1_600),
     }
@@ -30,10 +30,10 @@
     let models = [model("large", 4, 0.57, 1.0), model("small", 3, 0.43, 0.6)];
     EngineSpec {
         slots: 26,
-        stride: 7,
-        step: Duration::from_micros(5_950),
-        step_per_request: Duration::from_nanos(44_500),
-        read_per_second: 50_700.0,
+        steps_per_pass: 7,
+        step_time: Duration::from_micros(5_950),
+        step_time_per_request: Duration::from_nanos(44_500),
+        prefill_tokens_per_second: 50_700.0,
         models: models
             .map(|spec| (spec.id.clone(), spec))
             .into_iter()
@@ -73,7 +73,7 @@
             own: *own,
             total,
         };
-        shares.push(place_share(30, weight));
+        shares.push(slot_share(30, weight));
         before += own;
     }
     expect_that!(shares.iter().sum::<u32>(), eq(30));
@@ -88,14 +88,14 @@
     for rank in 0..nodes {
         let mut load = GroupLoad {
             nodes,
-            share: place_share(engine.slots, equal_weight(nodes, rank)),
-            writers,
+            slot_share: slot_share(engine.slots, equal_weight(nodes, rank)),
+            active_requests: writers,
             ..GroupLoad::default()
         };
-        while has_room(&engine, &load) {
-            load.own += 1;
-            load.fresh += 1;
-            load.writers += 1;
+        while has_free_slot(&engine, &load) {
+            load.local_requests += 1;
+            load.unreported_requests += 1;
+            load.active_requests += 1;
             sent += 1;
         }
     }
@@ -114,18 +114,18 @@
 #[gtest]
 fn late_requests_leave_half_of_a_full_group_to_the_others() {
     let load = GroupLoad {
-        own: 2,
-        writers: 14,
+        local_requests: 2,
+        active_requests: 14,
         nodes: 6,
-        share: 4,
+        slot_share: 4,
         ..GroupLoad::default()
     };
     let late = GroupLoad {
-        is_for_late: true,
+        is_request_late: true,
         ..load
     };
-    expect_true!(has_room(&engine(), &load));
-    expect_false!(has_room(&engine(), &late));
+    expect_true!(has_free_slot(&engine(), &load));
+    expect_false!(has_free_slot(&engine(), &late));
 }
 
 #[gtest]
@@ -133,9 +133,9 @@
     let engine = engine();
     let spec = &engine.models["large"];
     let load = |writers| GroupLoad {
-        writers,
+        active_requests: writers,
         nodes: 1,
-        share: 26,
+        slot_share: 26,
         ..GroupLoad::default()
     };
     let loads = [load(26), load(20), load(2)];
@@ -149,8 +149,8 @@
 
 fn place_terms(unseen: f64, draw: f64) -> PlacementParams {
     PlacementParams {
-        prompt: 1_460,
-        unseen,
+        prompt_tokens: 1_460,
+        unseen_requests: unseen,
         draw,
         turn: 0.0,
     }
@@ -165,9 +165,9 @@
     let engine = engine();
     let spec = &engine.models["large"];
     let loads = [4, 9, 12, 14, 17, 19].map(|writers| GroupLoad {
-        writers,
+        active_requests: writers,
         nodes: 71,
-        share: 1,
+        slot_share: 1,
         ..GroupLoad::default()
     });
     let mut sent = [0; 6];
@@ -199,7 +199,7 @@
             rest = &rest[cut..];
         }
         assert_eq!(passed, stream.as_bytes());
-        assert_eq!(splitter.last(), Some("40"));
+        assert_eq!(splitter.last_id(), Some("40"));
         assert_eq!(splitter.events(), 40);
     }
 }
--- a/crates/core/tests/layout.rs
+++ b/crates/core/tests/layout.rs
@@ -17,9 +17,9 @@
     let model = |id: &str, size: usize, share| {
         let spec = ModelSpec {
             id: id.to_owned(),
-            size,
-            share,
-            pace: 1.0,
+            group_size: size,
+            expected_share: share,
+            time_factor: 1.0,
             load_time: Duration::from_secs(16),
             warmup: Duration::from_millis(1_600),
         };
--- a/crates/core/tests/losses.rs
+++ b/crates/core/tests/losses.rs
@@ -77,9 +77,9 @@
         let models = models.map(|(index, id)| {
             let spec = ModelSpec {
                 id: id.to_owned(),
-                size: self.sizes[index],
-                share: self.shares[index],
-                pace: 1.0,
+                group_size: self.sizes[index],
+                expected_share: self.shares[index],
+                time_factor: 1.0,
                 load_time: Duration::from_secs(LOAD_TIME),
                 warmup: Duration::from_millis(1_600),
             };
--- a/crates/core/tests/properties.rs
+++ b/crates/core/tests/properties.rs
@@ -139,7 +139,7 @@
             let (piece, after) = rest.split_at(size);
             let (held, scanned) = scanner.scan(piece);
             passed.extend_from_slice(&held);
-            passed.extend_from_slice(&piece[..scanned.whole]);
+            passed.extend_from_slice(&piece[..scanned.complete_bytes]);
             prop_assert!(passed.is_empty() || passed.ends_with(b"\n\n"));
             rest = after;
         }
@@ -151,14 +151,14 @@
     /// Retries never pass the share of successes plus what was saved up.
     #[test]
     fn retries_stay_within_their_share(outcomes in prop::collection::vec(any::<bool>(), 1..500)) {
-        let mut budget = RetryBudget::open(100, 5);
+        let mut budget = RetryBudget::new(100, 5);
         let (mut successes, mut retries) = (0_u64, 0_u64);
         for is_success in outcomes {
             if is_success {
                 successes += 1;
-                budget.earn();
+                budget.deposit();
             } else {
-                retries += u64::from(budget.spend());
+                retries += u64::from(budget.withdraw());
             }
             prop_assert!(retries <= 5 + successes / 10);
         }
--- a/crates/core/tests/exchange.rs
+++ b/crates/core/tests/rebalance.rs
@@ -5,7 +5,7 @@
 use briarswitch_core::engine::{EngineSpec, ModelSpec};
 use briarswitch_core::id::*;
 use briarswitch_core::layout::{DomainLayout, DomainStock};
-use briarswitch_core::rebalance::{plan_exchange, RebalanceParams};
+use briarswitch_core::rebalance::{plan_rebalance, RebalanceParams};
 use googletest::prelude::*;
 use indexmap::IndexMap;
 
@@ -26,9 +26,9 @@
     let models = [LARGE, SMALL].into_iter().zip(sizes).map(|(id, size)| {
         let spec = ModelSpec {
             id: id.to_owned(),
-            size,
-            share: 0.5,
-            pace: 1.0,
+            group_size: size,
+            expected_share: 0.5,
+            time_factor: 1.0,
             load_time: Duration::from_secs(LOAD_TIME),
             warmup: Duration::from_millis(1_600),
         };
@@ -65,11 +65,11 @@
     domains: &[DomainStock],
     rates: [f64; 2],
 ) -> IndexMap<DomainId, DomainLayout> {
-    plan_exchange(RebalanceParams {
+    plan_rebalance(RebalanceParams {
         engine: &engine(sizes),
         demand: &demand(rates),
         domains,
-        coming: &IndexMap::new(),
+        loading: &IndexMap::new(),
     })
 }
 
@@ -165,11 +165,11 @@
     let domains = stock(&[[27, 0], [15, 12], [27, 0], [15, 12], [15, 12], [15, 12]]);
     let alone = moved(&domains, &plan([12, 6], &domains, [2.2, 9.0]));
     let coming = IndexMap::from([(SMALL.to_owned(), alone)]);
-    let told = plan_exchange(RebalanceParams {
+    let told = plan_rebalance(RebalanceParams {
         engine: &engine([12, 6]),
         demand: &demand([2.2, 9.0]),
         domains: &domains,
-        coming: &coming,
+        loading: &coming,
     });
     expect_that!(moved(&domains, &told), le(alone / 3));
 }
--- a/crates/core/tests/retry_window.rs
+++ b/crates/core/tests/retry_window.rs
@@ -26,34 +26,34 @@
 /// Guards against streams that are broken off, with budget left in the window, when a group ends after quiet seconds.
 #[gtest]
 fn what_quiet_seconds_have_earned_is_there_when_a_group_ends() {
-    let mut budget = RetryWindow::open(RATIO, LENGTH, step_time(0));
+    let mut budget = RetryWindow::new(RATIO, LENGTH, step_time(0));
     // Thirty requests a second for twelve seconds.
     for step in 0..240 {
         let requests = if step % 2 == 0 { 2 } else { 1 };
-        (0..requests).for_each(|_| budget.earn(step_time(step)));
+        (0..requests).for_each(|_| budget.deposit(step_time(step)));
     }
     let now = step_time(240);
-    let sent = (0..100).filter(|_| budget.spend(BURST, now)).count();
+    let sent = (0..100).filter(|_| budget.withdraw(BURST, now)).count();
     expect_that!(sent, ge(60));
 }
 
 /// Guards against a burst that a node finds anew each time it is started.
 #[gtest]
 fn a_node_that_has_just_started_has_no_burst() {
-    let mut budget = RetryWindow::open(RATIO, LENGTH, step_time(0));
-    expect_false!(budget.spend(BURST, step_time(1)));
-    expect_true!(budget.spend(BURST, step_time(WINDOW)));
+    let mut budget = RetryWindow::new(RATIO, LENGTH, step_time(0));
+    expect_false!(budget.withdraw(BURST, step_time(1)));
+    expect_true!(budget.withdraw(BURST, step_time(WINDOW)));
 }
 
 /// Guards against a retry that is counted although it was not sent.
 #[gtest]
 fn a_retry_that_was_not_sent_is_given_back() {
-    let mut budget = RetryWindow::open(RATIO, LENGTH, step_time(0));
+    let mut budget = RetryWindow::new(RATIO, LENGTH, step_time(0));
     let now = step_time(WINDOW);
-    expect_true!(budget.spend(1, now));
-    expect_false!(budget.has_any(1, now));
-    budget.give_back(now);
-    expect_true!(budget.has_any(1, now));
+    expect_true!(budget.withdraw(1, now));
+    expect_false!(budget.can_withdraw(1, now));
+    budget.refund(now);
+    expect_true!(budget.can_withdraw(1, now));
 }
 
 /// Requests and retries of all nodes, step by step.
@@ -65,7 +65,7 @@
 /// Plays nodes that send every retry they may, while callers come, go and crowd in.
 fn play(seed: u64) -> PlayedTraffic {
     let mut rng = StdRng::seed_from_u64(seed);
-    let open = || RetryWindow::open(RATIO, LENGTH, step_time(0));
+    let open = || RetryWindow::new(RATIO, LENGTH, step_time(0));
     let mut budgets: Vec<RetryWindow> = (0..NODES).map(|_| open()).collect();
     let mut rates = [1.5; NODES];
     let mut played = PlayedTraffic {
@@ -84,9 +84,9 @@
         let (mut requests, mut retries) = (0, 0);
         for (budget, rate) in budgets.iter_mut().zip(rates) {
             let come = (rate + rng.random::<f64>()) as u32;
-            (0..come).for_each(|_| budget.earn(now));
+            (0..come).for_each(|_| budget.deposit(now));
             requests += come;
-            while is_failing && budget.spend(BURST, now) {
+            while is_failing && budget.withdraw(BURST, now) {
                 retries += 1;
             }
         }
--- a/crates/core/tests/silence.rs
+++ b/crates/core/tests/silence.rs
@@ -9,19 +9,19 @@
 fn engine() -> EngineSpec {
     EngineSpec {
         slots: 30,
-        stride: 8,
-        step: Duration::from_micros(5_950),
-        step_per_request: Duration::from_nanos(44_500),
-        read_per_second: 50_700.0,
-        read_per_step: 2_048,
+        steps_per_pass: 8,
+        step_time: Duration::from_micros(5_950),
+        step_time_per_request: Duration::from_nanos(44_500),
+        prefill_tokens_per_second: 50_700.0,
+        prefill_tokens_per_step: 2_048,
         ..EngineSpec::default()
     }
 }
 
 fn model() -> ModelSpec {
     ModelSpec {
-        size: 16,
-        pace: 1.0,
+        group_size: 16,
+        time_factor: 1.0,
         ..ModelSpec::default()
     }
 }
@@ -34,11 +34,11 @@
 fn a_group_that_reads_other_nodes_prompts_is_not_silent() {
     let (engine, model) = (engine(), model());
     let work = GroupActivity {
-        writers: 10,
-        own: 1,
+        active_requests: 10,
+        local_requests: 1,
         ..GroupActivity::default()
     };
-    let longest = engine.longest_pass(&model, work.writers);
+    let longest = engine.max_pass_time(&model, work.active_requests);
     expect_that!(longest, gt(Duration::from_millis(370)));
     expect_that!(silence_limit(&engine, &model, &work), gt(longest));
 }
@@ -51,14 +51,17 @@
 fn a_node_without_a_running_stream_waits_for_two_passes() {
     let (engine, model) = (engine(), model());
     let work = GroupActivity {
-        writers: 24,
-        own: 2,
-        unread: 2,
+        active_requests: 24,
+        local_requests: 2,
+        prefill_requests: 2,
         ..GroupActivity::default()
     };
-    let longest = engine.longest_pass(&model, work.writers);
+    let longest = engine.max_pass_time(&model, work.active_requests);
     expect_that!(silence_limit(&engine, &model, &work), gt(longest * 2));
-    let hears = GroupActivity { unread: 1, ..work };
+    let hears = GroupActivity {
+        prefill_requests: 1,
+        ..work
+    };
     expect_that!(silence_limit(&engine, &model, &hears), lt(longest * 2));
 }
 
@@ -69,11 +72,11 @@
 fn a_group_that_has_stalled_before_is_not_waited_for_longer() {
     let (engine, model) = (engine(), model());
     let work = GroupActivity {
-        writers: 30,
-        own: 5,
-        unread: 1,
-        unread_tokens: 1_460,
-        interval: Duration::from_secs(4),
+        active_requests: 30,
+        local_requests: 5,
+        prefill_requests: 1,
+        prefill_tokens: 1_460,
+        max_interval: Duration::from_secs(4),
     };
     expect_that!(
         silence_limit(&engine, &model, &work),
--- a/crates/core/tests/staging.rs
+++ b/crates/core/tests/staging.rs
@@ -30,7 +30,7 @@
         let models = [(LARGE, 4), (SMALL, 2)].map(|(id, size)| {
             let spec = ModelSpec {
                 id: id.to_owned(),
-                size,
+                group_size: size,
                 load_time: Duration::from_secs(16),
                 warmup: Duration::from_millis(1_600),
                 ..ModelSpec::default()
--- a/crates/core/tests/waiting.rs
+++ b/crates/core/tests/waiting.rs
@@ -25,7 +25,7 @@
     WaitParams {
         arrived,
         objective: OBJECTIVE,
-        first: FIRST,
+        first_event_time: FIRST,
         deadline: arrived + Duration::from_secs(8),
         ..WaitParams::default()
     }
@@ -49,7 +49,7 @@
         if now >= next_caller {
             next_caller += ARRIVALS;
             load.asked += 1;
-            waiting.push(WaitingRequest::open(terms(now)));
+            waiting.push(WaitingRequest::new(terms(now)));
         }
         waiting.retain(|request| {
             let is_kept = request.verdict(now) == WaitVerdict::Wait;
@@ -94,8 +94,8 @@
 
 #[gtest]
 fn urgent_requests_go_first_among_those_that_can_be_on_time() {
-    let urgent = WaitingRequest::open(terms(at(0)));
-    let newer = WaitingRequest::open(WaitParams {
+    let urgent = WaitingRequest::new(terms(at(0)));
+    let newer = WaitingRequest::new(WaitParams {
         priority: 2,
         ..terms(at(50))
     });
@@ -108,13 +108,13 @@
 /// Cause guarded against: counting a returning caller's objective from its return.
 #[gtest]
 fn a_caller_that_comes_back_counts_from_its_first_attempt() {
-    let returned = WaitingRequest::open(WaitParams {
+    let returned = WaitingRequest::new(WaitParams {
         waited_before: Duration::from_millis(700),
         ..terms(at(1_000))
     });
-    let new = WaitingRequest::open(terms(at(990)));
+    let new = WaitingRequest::new(terms(at(990)));
     expect_true!(returned.is_late(at(1_001)));
     expect_that!(next_waiting(&[returned, new], at(1_001)), some(eq(1)));
     // It comes back only once, so it is kept longer than a new one that is late.
-    expect_that!(returned.refused_at, gt(new.refused_at));
+    expect_that!(returned.refuse_at, gt(new.refuse_at));
 }
--- a/crates/core/tests/wave.rs
+++ b/crates/core/tests/wave.rs
@@ -4,9 +4,7 @@
 use std::time::Duration;
 
 use briarswitch_core::engine::{EngineSpec, ModelSpec};
-use briarswitch_core::placement::{
-    pick_group, place_share, GroupLoad, NodeWeight, PlacementParams,
-};
+use briarswitch_core::placement::{pick_group, slot_share, GroupLoad, NodeWeight, PlacementParams};
 use googletest::prelude::*;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -60,16 +58,16 @@
     fn open(seed: u64, knows_who_is_back: bool) -> Self {
         let small = ModelSpec {
             id: "small".to_owned(),
-            size: 6,
-            pace: 0.6,
+            group_size: 6,
+            time_factor: 0.6,
             ..ModelSpec::default()
         };
         let engine = EngineSpec {
             slots: SLOTS,
-            stride: 5,
-            step: Duration::from_micros(6_450),
-            step_per_request: Duration::from_nanos(96_700),
-            read_per_second: 56_100.0,
+            steps_per_pass: 5,
+            step_time: Duration::from_micros(6_450),
+            step_time_per_request: Duration::from_nanos(96_700),
+            prefill_tokens_per_second: 56_100.0,
             models: [(small.id.clone(), small)].into_iter().collect(),
             ..EngineSpec::default()
         };
@@ -107,12 +105,12 @@
                     total: NODES as f64,
                 };
                 GroupLoad {
-                    writers: self.known[0][group] + fresh,
-                    own: self.own[node][group],
-                    fresh,
+                    active_requests: self.known[0][group] + fresh,
+                    local_requests: self.own[node][group],
+                    unreported_requests: fresh,
                     nodes: NODES as u32,
-                    share: place_share(SLOTS, weight),
-                    is_for_late: is_late && (self.knows_who_is_back || !caller.is_back),
+                    slot_share: slot_share(SLOTS, weight),
+                    is_request_late: is_late && (self.knows_who_is_back || !caller.is_back),
                     ..GroupLoad::default()
                 }
             })
@@ -120,8 +118,8 @@
         let window = (tick / LATE_TICKS) as u64;
         let mut turn = StdRng::seed_from_u64(window * 1_000 + node as u64);
         let terms = PlacementParams {
-            prompt: 714,
-            unseen: CALLERS * LATE_TICKS as f64 / SECOND as f64,
+            prompt_tokens: 714,
+            unseen_requests: CALLERS * LATE_TICKS as f64 / SECOND as f64,
             draw: self.rng.random(),
             turn: turn.random(),
         };
--- a/crates/fleet/src/budget.rs
+++ b/crates/fleet/src/budget.rs
@@ -31,13 +31,13 @@
 
     /// Counts a request towards the retries that may be sent to its service.
     pub fn earn(&self, service: &str) {
-        self.with_budget(service, |budget, now| budget.earn(now));
+        self.with_budget(service, |budget, now| budget.deposit(now));
     }
 
     /// Takes one retry from the service's budget.
     pub fn spend(&self, service: &str) -> bool {
         let burst = self.burst();
-        let is_left = self.with_budget(service, |budget, now| budget.spend(burst, now));
+        let is_left = self.with_budget(service, |budget, now| budget.withdraw(burst, now));
         if !is_left {
             log::info!(service = service; "retry_budget_empty");
         }
@@ -46,13 +46,13 @@
 
     /// Gives a retry back that reached no target.
     pub fn give_back(&self, service: &str) {
-        self.with_budget(service, |budget, now| budget.give_back(now));
+        self.with_budget(service, |budget, now| budget.refund(now));
     }
 
     /// Returns whether a retry could be taken now.
     pub fn has_any(&self, service: &str) -> bool {
         let burst = self.burst();
-        self.with_budget(service, |budget, now| budget.has_any(burst, now))
+        self.with_budget(service, |budget, now| budget.can_withdraw(burst, now))
     }
 
     /// Returns this node's part of the retries beyond those that requests earn.
@@ -70,7 +70,7 @@
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
         if !budgets.contains_key(service) {
             let settings = &self.shared.settings;
-            let budget = RetryWindow::open(settings.retry_ratio, settings.retry_window, now);
+            let budget = RetryWindow::new(settings.retry_ratio, settings.retry_window, now);
             budgets.insert(service.to_owned(), budget);
         }
         act(&mut budgets[service], now)
--- a/crates/fleet/src/controller.rs
+++ b/crates/fleet/src/controller.rs
@@ -414,7 +414,7 @@
         }
         let elsewhere = self.shared.elsewhere.read().all_loading();
         let own: u32 = self.shared.loading.read().values().sum();
-        let limit = engine.loads_at_once + EXTRA_LOADS;
+        let limit = engine.parallel_loads + EXTRA_LOADS;
         limit.saturating_sub((own + elsewhere) as usize)
     }
 
--- a/crates/fleet/src/layouts.rs
+++ b/crates/fleet/src/layouts.rs
@@ -5,7 +5,7 @@
 use briarswitch_core::engine::EngineSpec;
 use briarswitch_core::id::*;
 use briarswitch_core::layout::{plan_layout, DomainLayout, DomainStock, LayoutPhase};
-use briarswitch_core::rebalance::{plan_exchange, RebalanceParams};
+use briarswitch_core::rebalance::{plan_rebalance, RebalanceParams};
 use indexmap::IndexMap;
 
 /// Time between two decisions on what all domains should hold.
@@ -72,10 +72,10 @@
         if !self.is_exchange {
             return budget;
         }
-        let kept = engine.loads_at_once as f64 * (1.0 - EXCHANGE_PART);
+        let kept = engine.parallel_loads as f64 * (1.0 - EXCHANGE_PART);
         let left = budget.saturating_sub(kept.round() as usize);
         let domains = self.of_domain.len().max(1);
-        left.min((engine.loads_at_once / domains).max(1))
+        left.min((engine.parallel_loads / domains).max(1))
     }
 
     /// Decides anew.
@@ -93,11 +93,11 @@
         let trend = basis.trend.filter(|_| !basis.is_start);
         let trend = trend.filter(|_| basis.now >= self.exchanged + EXCHANGE_INTERVAL);
         let exchanged = trend.map(|demand| {
-            plan_exchange(RebalanceParams {
+            plan_rebalance(RebalanceParams {
                 engine: basis.engine,
                 demand,
                 domains: basis.stock,
-                coming: basis.coming,
+                loading: basis.coming,
             })
         });
         let phase = if basis.is_start {
--- a/crates/fleet/src/placer.rs
+++ b/crates/fleet/src/placer.rs
@@ -6,7 +6,7 @@
 use briarswitch_core::engine::EngineSpec;
 use briarswitch_core::id::*;
 use briarswitch_core::outcome::FailurePoint;
-use briarswitch_core::placement::{pick_group, place_share, GroupLoad, PlacementParams};
+use briarswitch_core::placement::{pick_group, slot_share, GroupLoad, PlacementParams};
 use briarswitch_core::waiting::{WaitParams, WaitingRequest};
 use briarswitch_kernel::BootClock;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
@@ -87,7 +87,7 @@
     ) -> Result<PlacedTarget, FailurePoint> {
         let terms = WaitParams {
             arrived: BootClock::now(),
-            is_begun,
+            is_resumption: is_begun,
             ..WaitParams::default()
         };
         self.place_on(job, tried, terms).await
@@ -101,9 +101,9 @@
         terms: WaitParams,
     ) -> Result<PlacedTarget, FailurePoint> {
         let mut ask = job.place_ask(tried);
-        let request = WaitingRequest::open(WaitParams {
+        let request = WaitingRequest::new(WaitParams {
             objective: job.rule.objective,
-            first: self.queue.usual_first(&ask.key),
+            first_event_time: self.queue.usual_first(&ask.key),
             deadline: job.deadline,
             priority: job.priority,
             ..terms
@@ -158,15 +158,15 @@
                 let loads: Vec<GroupLoad> = open
                     .iter()
                     .map(|group| GroupLoad {
-                        is_for_late: ask.is_late,
+                        is_request_late: ask.is_late,
                         ..self.load_of(engine, group, now)
                     })
                     .collect();
                 let elsewhere = self.shared.elsewhere.read();
                 let arrivals = elsewhere.arrivals.get(&model.id).copied();
                 let terms = PlacementParams {
-                    prompt: ask.prompt_tokens,
-                    unseen: arrivals.unwrap_or_default() * KNOWN_TIME.as_secs_f64(),
+                    prompt_tokens: ask.prompt_tokens,
+                    unseen_requests: arrivals.unwrap_or_default() * KNOWN_TIME.as_secs_f64(),
                     draw: rand::random(),
                     turn: self.turn(&model.id, now),
                 };
@@ -194,17 +194,17 @@
                 || (&delay.to == own && delay.from == group.zone)
         });
         // Whatever the zone: one that lost its own groups lives on the shares of others'.
-        let share = || place_share(engine.slots, self.shared.weight_for(&group.id, now));
+        let share = || slot_share(engine.slots, self.shared.weight_for(&group.id, now));
         GroupLoad {
-            share: group.gauge.share(now, share),
-            writers: group.gauge.load_at(now),
-            own: group.gauge.own(),
-            fresh: group.gauge.fresh(),
+            slot_share: group.gauge.share(now, share),
+            active_requests: group.gauge.load_at(now),
+            local_requests: group.gauge.own(),
+            unreported_requests: group.gauge.fresh(),
             nodes: self.shared.live.read().live_nodes(),
-            unread_tokens: group.gauge.unread(),
+            prefill_tokens: group.gauge.unread(),
             delay: delay.map_or(Duration::ZERO, |delay| delay.delay),
             is_queueing: group.gauge.is_queueing(now),
-            is_for_late: false,
+            is_request_late: false,
         }
     }
 
--- a/crates/fleet/src/relay.rs
+++ b/crates/fleet/src/relay.rs
@@ -176,7 +176,7 @@
             .run
             .complete(&self.dispatcher.shared().suspects);
         self.trace.end(RequestEnd::Answered);
-        let rest = Bytes::copy_from_slice(self.splitter.held());
+        let rest = Bytes::copy_from_slice(self.splitter.partial());
         (!rest.is_empty()).then_some(Ok(rest))
     }
 
@@ -205,7 +205,7 @@
         self.current.place = None;
         while self.may_resume() {
             let placer = self.dispatcher.placer();
-            let is_begun = self.splitter.last().is_some();
+            let is_begun = self.splitter.last_id().is_some();
             let placing = placer.place_again(&self.job, &self.tried, is_begun);
             let Ok(placed) = placing.await else {
                 return false;
@@ -224,7 +224,7 @@
             return GoOnEnd::Failed;
         }
         self.trace.sent += 1;
-        let last = self.splitter.last().map(str::to_owned);
+        let last = self.splitter.last_id().map(str::to_owned);
         let last = last.or_else(|| self.job.ask.last_event.clone());
         self.tried.push(target.id.clone());
         log::info!(
@@ -248,7 +248,7 @@
                     .count_resume(&self.job.service);
                 self.trace.target.clone_from(&begun.target.id);
                 self.current = begun;
-                self.splitter.drop_tail();
+                self.splitter.discard_partial();
                 GoOnEnd::Begun
             }
             Err(failed) => {
--- a/crates/fleet/src/surface.rs
+++ b/crates/fleet/src/surface.rs
@@ -142,8 +142,10 @@
             return;
         };
         if let Some(spec) = engine.models.get(model) {
-            let answer = ask.expected_tokens.unwrap_or(engine.usual_answer as u64);
-            let work = engine.work_time(spec, ask.prompt_tokens, answer);
+            let answer = ask
+                .expected_tokens
+                .unwrap_or(engine.mean_answer_tokens as u64);
+            let work = engine.occupancy_time(spec, ask.prompt_tokens, answer);
             self.shared.demand.count(model, work, now);
         }
     }
--- a/crates/fleet/src/suspect_doc.rs
+++ b/crates/fleet/src/suspect_doc.rs
@@ -30,14 +30,14 @@
         for row in rows {
             match row {
                 SuspectRow::End(end) => doc.ends.push(EndDoc(
-                    PrintDoc::new(end.print.into()),
-                    end.life.0,
+                    PrintDoc::new(end.fingerprint.into()),
+                    end.incarnation.0,
                     end.domain,
                     end.at,
-                    end.chance,
+                    end.chance_permille,
                 )),
                 SuspectRow::Clear(clear) => {
-                    let print = PrintDoc::new(clear.print.into());
+                    let print = PrintDoc::new(clear.fingerprint.into());
                     doc.clears.push(ClearDoc(print, clear.at));
                 }
             }
@@ -51,16 +51,19 @@
         let ends = doc.ends.into_iter();
         let ends = ends.map(|EndDoc(print, life, domain, at, chance)| {
             SuspectRow::End(CrashReport {
-                print: print.into_array().into(),
-                life: IncarnationKey(life),
+                fingerprint: print.into_array().into(),
+                incarnation: IncarnationKey(life),
                 domain,
                 at,
-                chance,
+                chance_permille: chance,
             })
         });
         let clears = doc.clears.into_iter().map(|ClearDoc(print, at)| {
             let print = print.into_array().into();
-            SuspectRow::Clear(ClearReport { print, at })
+            SuspectRow::Clear(ClearReport {
+                fingerprint: print,
+                at,
+            })
         });
         ends.chain(clears).collect()
     }
--- a/crates/fleet/src/suspect_keeper.rs
+++ b/crates/fleet/src/suspect_keeper.rs
@@ -136,7 +136,7 @@
                 domain: &facts.domain,
             };
             let end = CrashReport::of(facts.print, target, at, ran, rate);
-            if end.chance > USELESS_CHANCE {
+            if end.chance_permille > USELESS_CHANCE {
                 continue;
             }
             self.host.suspects().take(&SuspectRow::End(end));
@@ -146,14 +146,14 @@
                 organisation = facts.organisation.as_str(),
                 target_id = facts.life.target.as_str(),
                 ran_ms = ran.as_millis() as u64,
-                chance_permille = end.chance,
+                chance_permille = end.chance_permille,
                 ends = self.host.suspects().ends(&facts.print);
                 "end_counted"
             );
             ends.push(end);
         }
         self.tell(&ends, link);
-        let prints = ends.iter().map(|end| end.print).collect();
+        let prints = ends.iter().map(|end| end.fingerprint).collect();
         self.look_at(&prints, true, link.now());
     }
 
@@ -161,7 +161,7 @@
     fn tell(&mut self, ends: &[CrashReport], link: &ServiceLink<SuspectMessage>) {
         let mut messages: IndexMap<NodeId, (Arc<NodeEntry>, Vec<CrashReport>)> = IndexMap::new();
         for end in ends {
-            let others = self.host.holders_of(&end.print, HOLDERS).others;
+            let others = self.host.holders_of(&end.fingerprint, HOLDERS).others;
             if others.is_empty() {
                 self.table.write_later(SuspectRow::End(*end), link.now());
             } else {
@@ -251,7 +251,10 @@
         }
         let is_told = self.verdicts.holds(&print) || self.table.knows(&print);
         let at = self.host.suspects().now();
-        let row = SuspectRow::Clear(ClearReport { print, at });
+        let row = SuspectRow::Clear(ClearReport {
+            fingerprint: print,
+            at,
+        });
         self.host.suspects().take(&row);
         log::info!(print:% = print, reason = reason; "request_cleared");
         self.verdicts
@@ -325,7 +328,7 @@
         if now >= self.counted + RATE_INTERVAL {
             self.counted = now;
             let count = self.host.end_count();
-            self.rate.note(count.ends, count.targets, now);
+            self.rate.record(count.ends, count.targets, now);
             self.host.suspects().prune();
             self.end_quarantines();
         }
--- a/crates/fleet/src/suspect_record.rs
+++ b/crates/fleet/src/suspect_record.rs
@@ -71,7 +71,7 @@
 impl From<&SuspectRow> for SuspectRecord {
     fn from(row: &SuspectRow) -> Self {
         let (domain, chance) = match row {
-            SuspectRow::End(end) => (Some(end.domain), Some(end.chance)),
+            SuspectRow::End(end) => (Some(end.domain), Some(end.chance_permille)),
             SuspectRow::Clear(_) => (None, None),
         };
         Self {
@@ -92,14 +92,17 @@
         let SuspectKey { print, life } = read_key(&record.key)?;
         let SuspectValue { at, domain, chance } = record.value;
         let Some(life) = life else {
-            return Ok(Self::Clear(ClearReport { print, at }));
+            return Ok(Self::Clear(ClearReport {
+                fingerprint: print,
+                at,
+            }));
         };
         Ok(Self::End(CrashReport {
-            print,
-            life,
+            fingerprint: print,
+            incarnation: life,
             domain: domain.ok_or(UnreadableRecord)?,
             at,
-            chance: chance.ok_or(UnreadableRecord)?,
+            chance_permille: chance.ok_or(UnreadableRecord)?,
         }))
     }
 }
--- a/crates/fleet/src/suspect_row.rs
+++ b/crates/fleet/src/suspect_row.rs
@@ -27,8 +27,8 @@
     /// Returns the row's name.
     pub fn key(&self) -> SuspectKey {
         let (print, life) = match self {
-            Self::End(end) => (end.print, Some(end.life)),
-            Self::Clear(clear) => (clear.print, None),
+            Self::End(end) => (end.fingerprint, Some(end.incarnation)),
+            Self::Clear(clear) => (clear.fingerprint, None),
         };
         SuspectKey { print, life }
     }
--- a/crates/fleet/src/suspect_table.rs
+++ b/crates/fleet/src/suspect_table.rs
@@ -1,6 +1,6 @@
 //! What the store's table holds of requests under which targets have ended, and what this node is to write there.
 
-use briarswitch_core::crash::{is_forgotten, StoreMillis};
+use briarswitch_core::crash::{is_expired, StoreMillis};
 use briarswitch_core::fingerprint::RequestFingerprint;
 use briarswitch_core::id::Moment;
 use indexmap::IndexMap;
@@ -60,7 +60,7 @@
     /// use briarswitch_fleet::ports::SuspectRow;
     /// use briarswitch_fleet::suspect_table::SuspectTable;
     ///
-    /// let row = SuspectRow::Clear(ClearReport { print: RequestFingerprint::from([1; 16]), at: 5 });
+    /// let row = SuspectRow::Clear(ClearReport { fingerprint: RequestFingerprint::from([1; 16]), at: 5 });
     /// let mut table = SuspectTable::default();
     /// table.write_later(row, Duration::from_secs(2));
     /// assert!(table.begin_write(Duration::from_secs(1), 10, |_| true).is_none());
@@ -94,7 +94,7 @@
         let due = self.unwritten.values().filter(|due| now >= due.at);
         let rows: Vec<SuspectRow> = due.map(|due| due.row).take(MOST_SUSPECT_ROWS).collect();
         let old = self.stored.iter();
-        let old = old.filter(|(_, at)| is_forgotten(**at + DROP_SLACK, store_now));
+        let old = old.filter(|(_, at)| is_expired(**at + DROP_SLACK, store_now));
         let dropped: Vec<SuspectKey> = old
             .map(|(key, _)| *key)
             .filter(|key| drops(&key.print))
--- a/crates/fleet/src/suspects.rs
+++ b/crates/fleet/src/suspects.rs
@@ -79,12 +79,12 @@
 
     /// Returns how many targets have ended with the request under way, as far as they count.
     pub fn ends(&self, print: &RequestFingerprint) -> usize {
-        self.lock().ends(print, self.now()).len()
+        self.lock().crashes(print, self.now()).len()
     }
 
     /// Returns whether any target has ended with the request under way.
     pub fn has_ends(&self, print: &RequestFingerprint) -> bool {
-        self.is_used.load(Ordering::Relaxed) && self.lock().has_ends(print)
+        self.is_used.load(Ordering::Relaxed) && self.lock().has_crashes(print)
     }
 
     /// Takes in what was seen or told; returns whether it is news.
@@ -92,15 +92,15 @@
         let mut ledger = self.lock();
         self.is_used.store(true, Ordering::Relaxed);
         match row {
-            SuspectRow::End(end) => ledger.take_end(*end),
-            SuspectRow::Clear(clear) => ledger.take_clear(*clear),
+            SuspectRow::End(end) => ledger.record_crash(*end),
+            SuspectRow::Clear(clear) => ledger.record_clear(*clear),
         }
     }
 
     /// Returns all that is known of a request.
     pub fn rows(&self, print: &RequestFingerprint) -> Vec<SuspectRow> {
         let ledger = self.lock();
-        let ends = ledger.ends(print, self.now());
+        let ends = ledger.crashes(print, self.now());
         let ends = ends.into_iter().map(SuspectRow::End);
         let clear = ledger.cleared(print).map(SuspectRow::Clear);
         ends.chain(clear).collect()
@@ -111,7 +111,7 @@
         let now = self.now();
         let ledger = self.lock();
         let verdicts = ledger
-            .prints()
+            .fingerprints()
             .map(|print| (*print, ledger.verdict(print, now)));
         verdicts
             .filter(|(_, verdict)| *verdict != CrashVerdict::Clear)
@@ -122,7 +122,7 @@
     pub fn prune(&self) {
         let mut ledger = self.lock();
         ledger.prune(self.now());
-        let is_used = ledger.prints().next().is_some();
+        let is_used = ledger.fingerprints().next().is_some();
         self.is_used.store(is_used, Ordering::Relaxed);
     }
 
--- a/crates/fleet/src/suspicion.rs
+++ b/crates/fleet/src/suspicion.rs
@@ -31,11 +31,11 @@
     };
     let gauge = &target.gauge;
     let work = GroupActivity {
-        writers: gauge.writers(),
-        own: gauge.own(),
-        unread: gauge.unread_requests(),
-        unread_tokens: gauge.unread(),
-        interval: gauge.interval(),
+        active_requests: gauge.writers(),
+        local_requests: gauge.own(),
+        prefill_requests: gauge.unread_requests(),
+        prefill_tokens: gauge.unread(),
+        max_interval: gauge.interval(),
     };
     silence_limit(engine, model, &work)
 }
--- a/crates/fleet/src/table.rs
+++ b/crates/fleet/src/table.rs
@@ -182,7 +182,7 @@
     engine: &EngineSpec,
 ) -> Option<RouteGroup> {
     let model = head.models.first()?;
-    let size = engine.models.get(model)?.size;
+    let size = engine.models.get(model)?.group_size;
     let member = |rank| members.get(&(&held.group, held.epoch, rank));
     let ranks = std::iter::once(Some(&head.id)).chain((1..size).map(|rank| member(rank).copied()));
     Some(RouteGroup {
--- a/crates/fleet/tests/assembly.rs
+++ b/crates/fleet/tests/assembly.rs
@@ -148,9 +148,9 @@
     let models = MODELS.map(|(id, size)| {
         let model = ModelSpec {
             id: id.to_owned(),
-            size,
-            share: 1.0,
-            pace: 1.0,
+            group_size: size,
+            expected_share: 1.0,
+            time_factor: 1.0,
             load_time: LOAD_TIME,
             warmup: Duration::from_millis(800),
         };
--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -99,20 +99,20 @@
 fn engine() -> EngineSpec {
     let model = ModelSpec {
         id: MODEL.to_owned(),
-        size: 1,
-        share: 1.0,
-        pace: 1.0,
+        group_size: 1,
+        expected_share: 1.0,
+        time_factor: 1.0,
         load_time: Duration::from_secs(60),
         warmup: Duration::from_secs(60),
     };
     EngineSpec {
         slots: 8,
-        stride: 2,
-        step: Duration::from_millis(5),
-        read_per_second: 100_000.0,
-        usual_answer: 20.0,
+        steps_per_pass: 2,
+        step_time: Duration::from_millis(5),
+        prefill_tokens_per_second: 100_000.0,
+        mean_answer_tokens: 20.0,
         loads_per_second: 1.0,
-        loads_at_once: 1,
+        parallel_loads: 1,
         models: [(MODEL.to_owned(), model)].into(),
         ..EngineSpec::default()
     }
--- a/crates/fleet/tests/suspect_table.rs
+++ b/crates/fleet/tests/suspect_table.rs
@@ -14,11 +14,11 @@
 
 fn row(life: u64) -> SuspectRow {
     SuspectRow::End(CrashReport {
-        print: RequestFingerprint::from([1; 16]),
-        life: IncarnationKey(life),
+        fingerprint: RequestFingerprint::from([1; 16]),
+        incarnation: IncarnationKey(life),
         domain: 1,
         at: NOW,
-        chance: 10,
+        chance_permille: 10,
     })
 }
 
--- a/crates/model/src/crash.rs
+++ b/crates/model/src/crash.rs
@@ -90,12 +90,12 @@
     let print = RequestFingerprint::from([0; 16]);
     let mut ledger = CrashHistory::default();
     for end in (0..16).filter(|end| known & (1 << end) != 0) {
-        ledger.take_end(CrashReport {
-            print,
-            life: IncarnationKey(end),
+        ledger.record_crash(CrashReport {
+            fingerprint: print,
+            incarnation: IncarnationKey(end),
             domain: end,
             at: (end + 1) * END_GAP,
-            chance: 10,
+            chance_permille: 10,
         });
     }
     let now = 16 * END_GAP;
--- a/crates/model/src/gate.rs
+++ b/crates/model/src/gate.rs
@@ -83,7 +83,7 @@
         } else {
             TTL
         };
-        let mut ledger = EvidenceCache::open(ticks(ttl));
+        let mut ledger = EvidenceCache::new(ticks(ttl));
         for event in &state.events {
             match event {
                 Event::Report { asked, generation } => {
@@ -92,7 +92,7 @@
                     ledger.record(report(generation), ticks(*asked));
                 }
                 Event::Revoked { .. } if self.has(GateDefect::OlderUndoesRevocation) => {
-                    ledger = EvidenceCache::open(ticks(ttl));
+                    ledger = EvidenceCache::new(ticks(ttl));
                 }
                 Event::Revoked { at } => ledger.revoke(VM, ticks(*at)),
             }
@@ -102,7 +102,7 @@
 
     fn is_open(&self, state: &GateState) -> bool {
         let now = ticks(state.now);
-        let until = self.ledger(state).whole_until(&group(), now);
+        let until = self.ledger(state).complete_until(&group(), now);
         until.is_some_and(|until| now < until)
     }
 
--- a/crates/node/src/board.rs
+++ b/crates/node/src/board.rs
@@ -157,5 +157,5 @@
 /// Returns whether two reports differ in nothing worth sending.
 fn is_alike(left: &MemberReport, right: &MemberReport) -> bool {
     let bucket = |report: &MemberReport| (report.running + report.queued).max(1).ilog2();
-    left.has_same_standing(right) && bucket(left) == bucket(right)
+    left.has_same_state(right) && bucket(left) == bucket(right)
 }
--- a/crates/node/src/controller.rs
+++ b/crates/node/src/controller.rs
@@ -299,7 +299,7 @@
         if let Some(since) = self.lost.swap_remove(vm) {
             // What counts is when its group could serve again, which is after it has loaded anew.
             let absence = now.saturating_sub(since) + self.planner.load_time;
-            self.planner.history.returned(absence);
+            self.planner.history.record(absence);
         }
     }
 
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -93,7 +93,7 @@
             suspects,
             reports,
             keys: Arc::new(Mutex::new(ClaimBook::open(settings.keys, KEY_MEMORY))),
-            budget: Mutex::new(RetryBudget::open(
+            budget: Mutex::new(RetryBudget::new(
                 settings.retry_permille,
                 settings.retry_burst,
             )),
@@ -207,9 +207,9 @@
         let mut rates = self.rates.lock().unwrap_or_else(PoisonError::into_inner);
         let entry = rates
             .entry(organisation.to_owned())
-            .or_insert_with(|| (limit, RateShare::open(limit, nodes, now)));
+            .or_insert_with(|| (limit, RateShare::new(limit, nodes, now)));
         if entry.0 != limit {
-            *entry = (limit, RateShare::open(limit, nodes, now));
+            *entry = (limit, RateShare::new(limit, nodes, now));
         }
         entry.1.take(now).map_err(|seconds| {
             let failure = CallerFailure::refused(
@@ -330,7 +330,7 @@
             .budget
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .spend();
+            .withdraw();
         if is_left {
             self.shared.metrics.count_retry(&trace.deployment);
         }
@@ -383,7 +383,7 @@
         self.budget
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .earn();
+            .deposit();
     }
 
     fn whole(&self, head: &http::response::Parts, bytes: Bytes, trace: &RequestTrace) -> Response {
--- a/crates/node/src/gate.rs
+++ b/crates/node/src/gate.rs
@@ -67,7 +67,7 @@
             sent_since: 0,
             fresh_until: Moment::ZERO,
             latency: Duration::ZERO,
-            prefix: PrefixIndex::open(PREFIX_BLOCKS),
+            prefix: PrefixIndex::new(PREFIX_BLOCKS),
         }
     }
 }
@@ -180,7 +180,9 @@
         }
         let mut roomy = Vec::with_capacity(open.len());
         let mut loads = Vec::with_capacity(open.len());
-        let home = ask.chain.home(open.iter().map(|target| target.id.as_str()));
+        let home = ask
+            .chain
+            .affinity_target(open.iter().map(|target| target.id.as_str()));
         for (index, target) in open.into_iter().enumerate() {
             let is_home = home == Some(index);
             let load = self.load_of(&mut state, target, &ask.chain, is_home);
@@ -200,7 +202,7 @@
         if let Some(stats) = state.targets.get_mut(&target.id) {
             stats.in_flight += 1;
             stats.sent_since += 1;
-            stats.prefix.note(&ask.chain);
+            stats.prefix.record(&ask.chain);
         }
         PickResult::Picked(Arc::clone(target))
     }
@@ -223,10 +225,10 @@
         TargetLoad {
             reported: target.reported,
             in_flight: stats.in_flight,
-            sent_since: stats.sent_since,
-            prefix: stats.prefix.share(chain),
+            sent_since_report: stats.sent_since,
+            cached_share: stats.prefix.cached_share(chain),
             latency: stats.latency,
-            is_home,
+            is_affinity_target: is_home,
             is_remote: target.zone != self.shared.settings.zone,
         }
     }
--- a/crates/node/src/headers.rs
+++ b/crates/node/src/headers.rs
@@ -101,6 +101,6 @@
     let mut text = organisation.as_bytes().to_vec();
     text.push(0);
     text.extend_from_slice(caller);
-    let hash = briarswitch_core::prefix::hash_of(&text);
+    let hash = briarswitch_core::prefix::stable_hash(&text);
     u8::try_from(hash % PERCENT).unwrap_or(0)
 }
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -117,7 +117,7 @@
         let mut passed_over = Vec::new();
         let mut found = None;
         for rule in config.book.rules() {
-            match rule.when.failing(&facts) {
+            match rule.when.first_mismatch(&facts) {
                 Some(failing) => passed_over.push(PassedRule {
                     rule: rule.name.clone(),
                     failing: failing.to_owned(),
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -174,7 +174,7 @@
     fn take_piece(&mut self, piece: &Bytes) -> Option<Bytes> {
         let before = self.scanner.events();
         let (held, scanned) = self.scanner.scan(piece);
-        let fresh = piece.slice(..scanned.whole);
+        let fresh = piece.slice(..scanned.complete_bytes);
         let events = self.scanner.events();
         if before == 0 && events > 0 {
             self.trace.note_first_token(&self.permit);
@@ -206,7 +206,7 @@
     /// Asks the target to go on after the events already passed on.
     async fn resume(&mut self) -> bool {
         self.body = None;
-        self.scanner.drop_tail();
+        self.scanner.discard_partial();
         let print = self.run.subject.print();
         let may_go_on = self.dispatcher.suspects().may_go_on(print, self.broken);
         if self.resumes >= RESUMES || !may_go_on {
--- a/crates/node/src/routes.rs
+++ b/crates/node/src/routes.rs
@@ -101,7 +101,7 @@
         if group.state != GroupState::Serving || !is_known {
             return;
         }
-        let Some(fresh_until) = ledger.whole_until(group, now) else {
+        let Some(fresh_until) = ledger.complete_until(group, now) else {
             return;
         };
         let Some(leader) = group.leader() else {
@@ -158,7 +158,7 @@
                     incarnation: vm.incarnation,
                 },
                 vm: vm.id.clone(),
-                fresh_until: ledger.until(evidence),
+                fresh_until: ledger.expires_at(evidence),
                 reported: evidence.report.running + evidence.report.queued,
                 is_leaving,
             };
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -112,7 +112,7 @@
     pub fn open(shared: Arc<NodeShared>) -> Self {
         let incarnation = shared.incarnation;
         Self {
-            ledger: EvidenceCache::open(shared.settings.gate.evidence_ttl),
+            ledger: EvidenceCache::new(shared.settings.gate.evidence_ttl),
             client: CallerClient::open(Codec::Json, None),
             fleet: FleetView::default(),
             views: ViewBook::default(),
@@ -212,7 +212,7 @@
 
     fn expire(&mut self, now: Moment) {
         let ttl = self.shared.settings.gate.evidence_ttl;
-        self.ledger.trim(now);
+        self.ledger.prune(now);
         self.own.expire(now, ttl);
         self.zone.expire(now, ttl);
         self.note(WatchNews::Renewed);
@@ -238,7 +238,7 @@
     fn learn(&mut self, report: MemberReport, asked: Moment) {
         let now = BootClock::now();
         let held = self.ledger.fresh(&report.vm, now).map(|held| &held.report);
-        let is_same = held.is_some_and(|held| held.has_same_standing(&report));
+        let is_same = held.is_some_and(|held| held.has_same_state(&report));
         self.note(if is_same {
             WatchNews::Renewed
         } else {
@@ -315,7 +315,12 @@
         self.fleet.reports = self
             .ledger
             .fresh_entries(now)
-            .map(|held| (held.report.vm.clone(), (held.report.clone(), held.asked)))
+            .map(|held| {
+                (
+                    held.report.vm.clone(),
+                    (held.report.clone(), held.requested_at),
+                )
+            })
             .collect();
         let mut fleet = self.fleet.clone();
         for (vm, _) in leaving {
@@ -378,7 +383,7 @@
         let evidence: IndexMap<&VmId, u128> = self
             .ledger
             .fresh_entries(now)
-            .map(|held| (&held.report.vm, (now - held.asked).as_millis()))
+            .map(|held| (&held.report.vm, (now - held.requested_at).as_millis()))
             .collect();
         let groups: Vec<Value> = self
             .views
@@ -405,7 +410,7 @@
         "epoch": group.epoch,
         "state": format!("{:?}", group.state).to_lowercase(),
         "members": group.members.iter().map(|member| &member.vm).collect::<Vec<_>>(),
-        "whole": ledger.whole_until(group, now).is_some(),
+        "whole": ledger.complete_until(group, now).is_some(),
     })
 }
 
--- a/crates/wire/src/operator.rs
+++ b/crates/wire/src/operator.rs
@@ -78,7 +78,7 @@
 impl From<Finding> for FindingDoc {
     fn from(finding: Finding) -> Self {
         Self {
-            place: finding.place,
+            place: finding.path,
             message: finding.message,
         }
     }
