--- a/crates/core/src/choice.rs
+++ b/crates/core/src/choice.rs
@@ -1,36 +1,36 @@
-//! Choice of a target from what is known of each.
+//! Selection of a target by estimated cost.
 
 use std::time::Duration;
 
-/// What is known of one target when a request is placed.
+/// What a node knows of a target when it places a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TargetLoad {
-    /// Requests running and queued there by its last report.
+    /// Requests running and queued according to the last report.
     pub reported: u32,
-    /// Requests this node has sent there that are still in flight.
+    /// Requests that this node has sent and that are still in flight.
     pub in_flight: u32,
-    /// Requests this node has sent there since the last report was made.
+    /// Requests that this node has sent since the last report was made.
     pub sent_since_report: u32,
-    /// Share of the prompt believed to be cached there, 0 to 1.
+    /// Estimated share of the prompt that is cached there, 0 to 1.
     pub cached_share: f64,
-    /// Smoothed time to the first token; zero when nothing is known.
+    /// Smoothed time to the first token; zero if unknown.
     pub latency: Duration,
-    /// Whether it is the target that all nodes send prompts with this beginning to.
+    /// Whether all nodes prefer this target for prompts with the same prefix.
     pub is_affinity_target: bool,
-    /// Whether the target stands in another zone.
+    /// Whether the target is in another zone.
     pub is_remote: bool,
 }
 
-/// Weights of the blend.
+/// Weights of the cost function.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TargetPicker {
-    /// Cost of one request ahead in the queue.
+    /// Cost of each request ahead in the queue.
     pub queue_cost: f64,
-    /// Saving of a wholly cached prompt.
+    /// Reduction for a fully cached prompt.
     pub prefix_saving: f64,
-    /// Share of the prompt taken to be cached at its home at least.
+    /// Minimum share of the prompt that is assumed to be cached at its affinity target.
     pub affinity_cached_share: f64,
-    /// Cost of standing in another zone.
+    /// Cost of a target in another zone.
     pub remote_cost: f64,
     /// Cost of each multiple of the fastest target's latency.
     pub straggler_cost: f64,
@@ -49,14 +49,14 @@
 }
 
 impl TargetPicker {
-    /// Returns the index of the better of two candidates drawn by `draws`, or `None` when there are
-    /// no loads.
+    /// Returns the index of the target with the lowest cost among two random candidates and the one
+    /// with the longest cached prefix, or `None` if `loads` is empty.
     ///
-    /// Power of two choices (Mitzenmacher, 2001) over the blend: taking the best of all would make
-    /// every node herd to the same target while reports lag. The target with the longest cached
-    /// prefix is a candidate as well, since two random draws would mostly miss it, and the first draw
-    /// is from the near zone's targets where there are any, since among many zones two draws from
-    /// all would mostly miss those too.
+    /// This is the power of two choices (Mitzenmacher, 2001). Taking the best of all targets would
+    /// send the requests of all nodes to the same target until its next report. The target with the
+    /// longest cached prefix is always a candidate, since two random draws would mostly miss it.
+    /// The first draw is made among the targets of the node's own zone if there are any: with many
+    /// zones, two draws from all targets would mostly miss those too.
     ///
     /// ```
     /// use briarswitch_core::choice::{TargetLoad, TargetPicker};
@@ -78,12 +78,12 @@
             self.cached_share(&loads[*left])
                 .total_cmp(&self.cached_share(&loads[*right]))
         })?;
-        let near: Vec<usize> = (0..loads.len())
+        let in_zone: Vec<usize> = (0..loads.len())
             .filter(|index| !loads[*index].is_remote)
             .collect();
-        let first = match near.len() {
+        let first = match in_zone.len() {
             0 => draws[0] % loads.len(),
-            count => near[draws[0] % count],
+            count => in_zone[draws[0] % count],
         };
         [first, draws[1] % loads.len(), cached]
             .into_iter()
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,4 +1,4 @@
-//! The accepted configuration: entities, the log that builds them, and its version.
+//! The accepted configuration: its entities, its version and the log of edits that builds it.
 
 use indexmap::IndexMap;
 
@@ -19,7 +19,7 @@
     Rules,
 }
 
-/// Names one entity.
+/// Identifies one entity.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct EntityKey {
     /// Kind of the entity.
@@ -28,27 +28,27 @@
     pub id: String,
 }
 
-/// What one edit leaves behind.
+/// State of an entity after an edit.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigValue {
-    /// An organisation's new text.
+    /// The new definition of an organisation.
     Organisation(Organisation),
-    /// A deployment's new text.
+    /// The new definition of a deployment.
     Deployment(Deployment),
-    /// The whole rule list.
+    /// The complete rule list.
     Rules(Vec<Rule>),
-    /// The entity is gone.
+    /// The entity was deleted.
     Deleted,
 }
 
 /// One accepted edit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigEntry {
-    /// Version that the edit made.
+    /// Version created by the edit.
     pub version: ConfigVersion,
     /// Entity edited.
     pub key: EntityKey,
-    /// Its text after the edit.
+    /// State of the entity after the edit.
     pub value: ConfigValue,
 }
 
@@ -63,22 +63,22 @@
 }
 
 impl VersionedConfig {
-    /// Rebuilds a book from the current entities of a snapshot.
+    /// Restores a configuration from the current entities of a snapshot.
     pub fn restore(version: ConfigVersion, entries: Vec<ConfigEntry>) -> Self {
-        let mut book = Self::default();
+        let mut config = Self::default();
         for entry in entries {
-            book.insert(entry);
+            config.insert(entry);
         }
-        book.version = version;
-        book
+        config.version = version;
+        config
     }
 
-    /// Returns the version in force.
+    /// Returns the current version.
     pub fn version(&self) -> ConfigVersion {
         self.version
     }
 
-    /// Returns the version at which an entity was last edited; zero when it never was.
+    /// Returns the version at which an entity was last edited, or zero if it is not present.
     pub fn edited_at(&self, key: &EntityKey) -> ConfigVersion {
         self.edit_versions.get(key).copied().unwrap_or(0)
     }
@@ -98,7 +98,7 @@
         &self.rules
     }
 
-    /// Returns the current entities as entries, as a snapshot holds them.
+    /// Returns the current entities as entries, the form that a snapshot stores.
     pub fn entries(&self) -> Vec<ConfigEntry> {
         self.edit_versions
             .iter()
@@ -110,7 +110,7 @@
             .collect()
     }
 
-    /// Returns an entity's current text.
+    /// Returns the current state of an entity.
     pub fn value(&self, key: &EntityKey) -> Option<ConfigValue> {
         match key.kind {
             EntityKind::Organisation => self
@@ -129,10 +129,11 @@
         }
     }
 
-    /// Applies the entry that follows the version in force; any other is ignored.
+    /// Applies the entry that directly follows the current version and ignores any other.
     ///
-    /// Refusing both lower and skipping entries keeps a node from going back to an older
-    /// configuration and from holding one with a hole in it, whatever order entries arrive in.
+    /// Rejecting both older entries and entries that skip a version prevents a node from returning
+    /// to an older configuration and from using one with a missing edit, whatever order entries
+    /// arrive in.
     ///
     /// ```
     /// use briarswitch_core::prelude::*;
@@ -150,7 +151,7 @@
         true
     }
 
-    /// Takes over a whole book if it is newer than this one.
+    /// Replaces this configuration with `other` if that is newer.
     pub fn adopt(&mut self, other: Self) -> bool {
         if other.version <= self.version {
             return false;
@@ -159,7 +160,7 @@
         true
     }
 
-    /// Checks what the configuration would be after an edit and reports every fault.
+    /// Validates the configuration that would result from an edit and returns all errors.
     pub fn check_edit(&self, key: &EntityKey, value: &ConfigValue) -> Vec<Finding> {
         let mut next = self.clone();
         next.insert(ConfigEntry {
@@ -170,7 +171,7 @@
         next.check()
     }
 
-    /// Checks the configuration as a whole.
+    /// Validates the whole configuration.
     pub fn check(&self) -> Vec<Finding> {
         let mut findings = Vec::new();
         for (index, (id, organisation)) in self.organisations.iter().enumerate() {
@@ -186,7 +187,7 @@
         findings
     }
 
-    /// Finds an earlier organisation with the same key, whose calls would be charged to this one.
+    /// Finds an earlier organisation with the same key, to which this one's calls would be charged.
     fn check_duplicate_key(&self, index: usize, organisation: &Organisation) -> Option<Finding> {
         let mut earlier = self.organisations.values().take(index);
         let other = earlier.find(|other| other.key_hash == organisation.key_hash)?;
@@ -197,12 +198,12 @@
     }
 
     fn check_rule(&self, index: usize, rule: &Rule) -> Vec<Finding> {
-        let place = format!("rules[{index}]");
-        let mut findings = rule.check(&place);
+        let path = format!("rules[{index}]");
+        let mut findings = rule.check(&path);
         if let RuleAction::Route { deployment, .. } = &rule.then {
             if !self.deployments.contains_key(deployment) {
                 findings.push(Finding::new(
-                    format!("{place}.then.deployment"),
+                    format!("{path}.then.deployment"),
                     format!("no deployment is named {deployment}"),
                 ));
             }
@@ -212,7 +213,7 @@
             .any(|other| other.name == rule.name);
         if is_repeated {
             findings.push(Finding::new(
-                format!("{place}.name"),
+                format!("{path}.name"),
                 format!("an earlier rule is also named {}", rule.name),
             ));
         }
--- a/crates/core/src/crash.rs
+++ b/crates/core/src/crash.rs
@@ -1,8 +1,8 @@
-//! Which requests end the targets that run them.
+//! Detects requests that crash the targets that run them.
 //!
-//! A request that was under way at a target when it ended may be the cause or may only have been there. Each end is
-//! weighed by how likely the target was to end by chance while the request ran; a request under which several ends
-//! would be too much of a coincidence is quarantined.
+//! A request that was running at a target when it crashed may be the cause or may only have been
+//! present. Each crash is weighted by the probability that the target crashed by coincidence while
+//! the request ran. A request with too many crashes for a coincidence is quarantined.
 
 use std::time::Duration;
 
@@ -12,37 +12,38 @@
 use crate::fingerprint::RequestFingerprint;
 use crate::id::{DomainId, Incarnation, Moment, TargetId};
 
-/// Ends after which a request may be quarantined.
+/// Minimum number of crashes for a quarantine.
 pub const MIN_CRASHES: usize = 3;
-/// Ends after which a request is quarantined however often targets end otherwise.
+/// Number of crashes after which a request is quarantined regardless of the crash rate of targets.
 const CERTAIN_CRASHES: usize = 5;
-/// Chance of coincidence below which a request is quarantined: so many of those that were there at as many ends are
-/// quarantined for nothing.
+/// Probability of coincidence below which a request is quarantined; this is the expected share of
+/// harmless requests, among those present at as many crashes, that are quarantined wrongly.
 const QUARANTINE_CHANCE: f64 = 1e-3;
-/// Chance of coincidence below which two ends are worth telling all nodes.
+/// Probability of coincidence below which two crashes are reported to all nodes.
 const SUSPECT_CHANCE: f64 = 1e-2;
-/// Least chance that one end counts with; what is declared impossible would need no second one.
+/// Lower bound on the probability counted for one crash; with zero, a single crash would be proof.
 const MIN_CHANCE: f64 = 1e-2;
-/// Time for which an end is remembered; a request can end this many targets less one in that time.
+/// Time for which a crash is remembered; within it, a request that is not quarantined can crash at
+/// most `MIN_CRASHES` less one targets.
 pub const CRASH_RETENTION: Duration = Duration::from_secs(600);
-/// Time within which ends in one domain have one cause.
+/// Crashes in one domain within this time have the same cause.
 const SAME_CAUSE_WINDOW: Duration = Duration::from_millis(100);
-/// Time over which the rate of ends is taken.
+/// Period over which the crash rate is computed.
 const RATE_WINDOW: Duration = Duration::from_secs(30);
-/// Least time over which the rate of ends is taken, by a node that has just started.
+/// Minimum period over which the crash rate is computed, for a node that has just started.
 const MIN_RATE_WINDOW: Duration = Duration::from_secs(10);
-/// Requests that are remembered at most.
+/// Maximum number of requests that are remembered.
 const MAX_REQUESTS: usize = 4_096;
 
-/// Reading of the store's clock in milliseconds, the same at all nodes.
+/// Reading of the store's clock in milliseconds, the same on all nodes.
 pub type StoreMillis = u64;
 
-/// One life of a target, as a hash.
+/// Hash of a target's name and incarnation.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct IncarnationKey(pub u64);
 
 impl IncarnationKey {
-    /// Returns the key of one life.
+    /// Returns the key of one incarnation of a target.
     ///
     /// ```
     /// use briarswitch_core::crash::IncarnationKey;
@@ -54,34 +55,35 @@
     }
 }
 
-/// A target and its place, at whose end a request was under way.
+/// A crashed target at which a request was running.
 #[derive(Clone, Copy, Debug)]
 pub struct CrashedTarget<'a> {
-    /// Target.
+    /// Name of the target.
     pub target: &'a TargetId,
-    /// Life that ended.
+    /// Incarnation that crashed.
     pub incarnation: Incarnation,
-    /// Its domain.
+    /// Domain of the target.
     pub domain: &'a DomainId,
 }
 
-/// One end of a target with a request under way.
+/// A crash of a target with a request running there.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct CrashReport {
-    /// Request.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// Life that ended.
+    /// Incarnation that crashed.
     pub incarnation: IncarnationKey,
     /// Hash of the target's domain.
     pub domain: u64,
-    /// When the end was seen.
+    /// When the crash was detected.
     pub at: StoreMillis,
-    /// Thousandths of the chance that the target ended by coincidence while the request ran.
+    /// Probability, in thousandths, that the target crashed by coincidence while the request ran.
     pub chance_permille: u16,
 }
 
 impl CrashReport {
-    /// Returns the sign of an end during which a request had run for `ran`, where targets end at `rate` a second.
+    /// Returns the report of a crash at which a request had run for `ran`, if each target crashes
+    /// `rate` times per second.
     ///
     /// ```
     /// use std::time::Duration;
@@ -91,11 +93,11 @@
     ///
     /// let (target, domain) = ("t".to_owned(), "d".to_owned());
     /// let target = CrashedTarget { target: &target, incarnation: 1, domain: &domain };
-    /// let sign = |ran| CrashReport::of(RequestFingerprint::from([1; 16]), target, 5, ran, 0.1);
-    /// assert!(sign(Duration::from_secs(1)).chance_permille < sign(Duration::from_secs(5)).chance_permille);
+    /// let report = |ran| CrashReport::of(RequestFingerprint::from([1; 16]), target, 5, ran, 0.1);
+    /// assert!(report(Duration::from_secs(1)).chance_permille < report(Duration::from_secs(5)).chance_permille);
     /// ```
     pub fn of(
-        print: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         target: CrashedTarget<'_>,
         at: StoreMillis,
         ran: Duration,
@@ -103,7 +105,7 @@
     ) -> Self {
         let chance = 1.0 - (-rate * ran.as_secs_f64()).exp();
         Self {
-            fingerprint: print,
+            fingerprint,
             incarnation: IncarnationKey::of(target.target, target.incarnation),
             domain: xxh3_64(target.domain.as_bytes()),
             at,
@@ -116,16 +118,16 @@
     }
 }
 
-/// Word that a request is not the cause of what ended before.
+/// Report that a request did not cause earlier crashes.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct ClearReport {
-    /// Request.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// Ends up to this moment do not count.
+    /// Crashes up to this time do not count.
     pub at: StoreMillis,
 }
 
-/// How often targets end, whatever they run.
+/// Rate at which targets crash, whatever they run.
 #[derive(Clone, Debug, Default)]
 pub struct CrashRate {
     samples: Vec<(Moment, u64)>,
@@ -133,15 +135,16 @@
 }
 
 impl CrashRate {
-    /// Notes that `ends` targets have ended so far, and that there are `targets`.
-    pub fn record(&mut self, ends: u64, targets: usize, now: Moment) {
+    /// Records the total number of crashes so far and the current number of targets.
+    pub fn record(&mut self, crashes: u64, targets: usize, now: Moment) {
         let since = now.saturating_sub(RATE_WINDOW);
         self.samples.retain(|(at, _)| *at >= since);
-        self.samples.push((now, ends));
+        self.samples.push((now, crashes));
         self.targets = targets;
     }
 
-    /// Returns the ends of one target in a second; one more than were seen, so that it is never zero.
+    /// Returns the crashes per target and second. One crash is added, so that the rate is never
+    /// zero.
     ///
     /// ```
     /// use std::time::Duration;
@@ -156,50 +159,52 @@
     pub fn per_second(&self) -> f64 {
         let first = self.samples.first().copied().unwrap_or_default();
         let last = self.samples.last().copied().unwrap_or_default();
-        let ends = last.1.saturating_sub(first.1) + 1;
+        let crashes = last.1.saturating_sub(first.1) + 1;
         let time = last.0.saturating_sub(first.0).max(MIN_RATE_WINDOW);
-        ends as f64 / (self.targets.max(1) as f64 * time.as_secs_f64())
+        crashes as f64 / (self.targets.max(1) as f64 * time.as_secs_f64())
     }
 }
 
-/// What is held of a request.
+/// Assessment of a request by its crashes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CrashVerdict {
-    /// Nothing that speaks against it.
+    /// No significant evidence against it.
     Clear,
-    /// More ends than coincidence explains well; it is run, and all nodes are told.
+    /// More crashes than coincidence explains well; it still runs, and all nodes are informed.
     Suspect,
-    /// It is not to run for so long.
+    /// It must not run for this time.
     Quarantined(Duration),
 }
 
 #[derive(Clone, Debug, Default)]
 struct CrashRecord {
-    /// By life: the same end is counted once, whoever saw it and however often it is told.
+    /// Keyed by incarnation, so that a crash counts once, whoever saw it and however often it is
+    /// reported.
     crashes: IndexMap<IncarnationKey, CrashReport>,
     cleared: StoreMillis,
 }
 
-/// Ends that speak the same way, in order of time; those of one cause count as one.
-fn merge_same_cause(ends: &[CrashReport]) -> Vec<CrashReport> {
+/// Merges crashes that have the same cause; `crashes` must be in order of time.
+fn merge_same_cause(crashes: &[CrashReport]) -> Vec<CrashReport> {
     let mut causes: Vec<CrashReport> = Vec::new();
-    for end in ends {
-        let near = |held: &&mut CrashReport| {
-            let gap = Duration::from_millis(end.at.saturating_sub(held.at));
-            held.domain == end.domain && gap < SAME_CAUSE_WINDOW
+    for crash in crashes {
+        let near = |known: &&mut CrashReport| {
+            let gap = Duration::from_millis(crash.at.saturating_sub(known.at));
+            known.domain == crash.domain && gap < SAME_CAUSE_WINDOW
         };
         match causes.iter_mut().find(near) {
-            Some(held) => held.chance_permille = held.chance_permille.max(end.chance_permille),
-            None => causes.push(*end),
+            Some(known) => known.chance_permille = known.chance_permille.max(crash.chance_permille),
+            None => causes.push(*crash),
         }
     }
     causes
 }
 
-/// Returns the chance that all of these ends are coincidences, by Fisher's method.
+/// Returns the probability that all of these crashes are coincidences, by Fisher's method.
 ///
-/// Of many requests some are at several ends early in their runs by luck. The bare product of the chances is below any
-/// bound far more often than the bound says; their combined significance is not.
+/// Among many requests, some are present by chance at several crashes early in their runs. The
+/// plain product of the probabilities falls below a threshold far more often than the threshold
+/// says; the combined significance does not.
 fn coincidence_probability(causes: &[CrashReport]) -> f64 {
     let product: f64 = causes.iter().map(CrashReport::probability).product();
     let surprise = -product.ln();
@@ -212,44 +217,44 @@
     product * sum
 }
 
-fn is_quarantined(ends: &[CrashReport]) -> bool {
-    let causes = merge_same_cause(ends);
+fn is_quarantined(crashes: &[CrashReport]) -> bool {
+    let causes = merge_same_cause(crashes);
     causes.len() >= CERTAIN_CRASHES
         || (causes.len() >= MIN_CRASHES && coincidence_probability(&causes) <= QUARANTINE_CHANCE)
 }
 
-fn is_suspect(ends: &[CrashReport]) -> bool {
-    let causes = merge_same_cause(ends);
+fn is_suspect(crashes: &[CrashReport]) -> bool {
+    let causes = merge_same_cause(crashes);
     causes.len() >= 2 && coincidence_probability(&causes) <= SUSPECT_CHANCE
 }
 
 impl CrashRecord {
-    /// Returns the ends that count at `now`, in order of time.
+    /// Returns the crashes that count at `now`, in order of time.
     fn crashes_at(&self, now: StoreMillis) -> Vec<CrashReport> {
-        let mut ends: Vec<CrashReport> = self
+        let mut crashes: Vec<CrashReport> = self
             .crashes
             .values()
-            .filter(|end| end.at > self.cleared && !is_expired(end.at, now))
+            .filter(|crash| crash.at > self.cleared && !is_expired(crash.at, now))
             .copied()
             .collect();
-        ends.sort_by_key(|end| (end.at, end.incarnation));
-        ends
+        crashes.sort_by_key(|crash| (crash.at, crash.incarnation));
+        crashes
     }
 
-    /// Returns how long the request is not to run: until enough of its ends are forgotten.
+    /// Returns how long the request stays quarantined: until enough of its crashes have expired.
     fn quarantine_remaining(&self, now: StoreMillis) -> Option<Duration> {
-        let ends = self.crashes_at(now);
-        if !is_quarantined(&ends) {
+        let crashes = self.crashes_at(now);
+        if !is_quarantined(&crashes) {
             return None;
         }
-        let last = (0..ends.len()).take_while(|first| is_quarantined(&ends[*first..]));
-        let at = ends[last.last()?].at;
+        let last = (0..crashes.len()).take_while(|first| is_quarantined(&crashes[*first..]));
+        let at = crashes[last.last()?].at;
         let until = at + CRASH_RETENTION.as_millis() as StoreMillis;
         Some(Duration::from_millis(until.saturating_sub(now)))
     }
 }
 
-/// Returns whether what was seen at a moment counts no more.
+/// Returns whether a report made at `at` no longer counts at `now`.
 ///
 /// ```
 /// use briarswitch_core::crash::is_expired;
@@ -261,16 +266,16 @@
     now >= at + CRASH_RETENTION.as_millis() as StoreMillis
 }
 
-/// The ends of targets by the requests that were under way there.
+/// Crashes of targets by the requests that were running there.
 ///
-/// Two ledgers that have taken the same signs in, in any order and however often, hold the same.
+/// Two histories that have recorded the same reports, in any order and any number of times, agree.
 #[derive(Clone, Debug, Default)]
 pub struct CrashHistory {
     records: IndexMap<RequestFingerprint, CrashRecord>,
 }
 
 impl CrashHistory {
-    /// Takes an end in; returns whether it is news.
+    /// Records a crash; returns whether this changed the history.
     ///
     /// ```
     /// use std::time::Duration;
@@ -288,23 +293,25 @@
     /// }
     /// assert!(matches!(history.verdict(&fingerprint, 3_000), CrashVerdict::Quarantined(_)));
     /// ```
-    pub fn record_crash(&mut self, end: CrashReport) -> bool {
-        let record = self.records.entry(end.fingerprint).or_default();
-        let is_news = match record.crashes.get_mut(&end.incarnation) {
-            // Two nodes may have seen one end; what is kept must not hang on whose word came first.
-            Some(held) => {
-                let before = *held;
-                held.at = held.at.min(end.at);
-                held.chance_permille = held.chance_permille.max(end.chance_permille);
-                *held != before
+    pub fn record_crash(&mut self, crash: CrashReport) -> bool {
+        let record = self.records.entry(crash.fingerprint).or_default();
+        let is_changed = match record.crashes.get_mut(&crash.incarnation) {
+            // Two nodes may report the same crash; the result must not depend on which report came
+            // first.
+            Some(known) => {
+                let before = *known;
+                known.at = known.at.min(crash.at);
+                known.chance_permille = known.chance_permille.max(crash.chance_permille);
+                *known != before
             }
-            None => record.crashes.insert(end.incarnation, end).is_none(),
+            None => record.crashes.insert(crash.incarnation, crash).is_none(),
         };
         self.evict_excess();
-        is_news
+        is_changed
     }
 
-    /// Takes in that a request is not the cause of earlier ends; returns whether that is news.
+    /// Records that a request did not cause earlier crashes; returns whether this changed the
+    /// history.
     ///
     /// ```
     /// use briarswitch_core::crash::{ClearReport, CrashHistory};
@@ -320,13 +327,14 @@
         if clear.at <= record.cleared {
             return false;
         }
-        // Earlier ends are kept: told once more with a later moment, one would pass for a new one.
+        // Earlier crashes are kept: if one were reported again with a later time, it would count as
+        // new.
         record.cleared = clear.at;
         self.evict_excess();
         true
     }
 
-    /// Returns what is held of a request.
+    /// Returns the assessment of a request.
     ///
     /// ```
     /// use briarswitch_core::crash::{CrashHistory, CrashVerdict};
@@ -335,8 +343,8 @@
     /// let verdict = CrashHistory::default().verdict(&RequestFingerprint::from([1; 16]), 5);
     /// assert_eq!(verdict, CrashVerdict::Clear);
     /// ```
-    pub fn verdict(&self, print: &RequestFingerprint, now: StoreMillis) -> CrashVerdict {
-        let Some(record) = self.records.get(print) else {
+    pub fn verdict(&self, fingerprint: &RequestFingerprint, now: StoreMillis) -> CrashVerdict {
+        let Some(record) = self.records.get(fingerprint) else {
             return CrashVerdict::Clear;
         };
         match record.quarantine_remaining(now) {
@@ -346,44 +354,51 @@
         }
     }
 
-    /// Returns the ends of targets that a request was under way at, as far as they count.
-    pub fn crashes(&self, print: &RequestFingerprint, now: StoreMillis) -> Vec<CrashReport> {
-        let record = self.records.get(print);
+    /// Returns the crashes of targets that ran the request, as far as they still count.
+    pub fn crashes(&self, fingerprint: &RequestFingerprint, now: StoreMillis) -> Vec<CrashReport> {
+        let record = self.records.get(fingerprint);
         record.map_or_else(Vec::new, |record| record.crashes_at(now))
     }
 
-    /// Returns the last word that a request is not the cause.
-    pub fn cleared(&self, print: &RequestFingerprint) -> Option<ClearReport> {
-        let record = self.records.get(print)?;
+    /// Returns the latest report that cleared the request.
+    pub fn cleared(&self, fingerprint: &RequestFingerprint) -> Option<ClearReport> {
+        let record = self.records.get(fingerprint)?;
         let at = record.cleared;
         (at > 0).then_some(ClearReport {
-            fingerprint: *print,
+            fingerprint: *fingerprint,
             at,
         })
     }
 
-    /// Returns the requests that anything is known of.
+    /// Returns the fingerprints of all requests in the history.
     pub fn fingerprints(&self) -> impl Iterator<Item = &RequestFingerprint> {
         self.records.keys()
     }
 
-    /// Returns whether any target has ended with the request under way.
-    pub fn has_crashes(&self, print: &RequestFingerprint) -> bool {
-        let record = self.records.get(print);
-        record.is_some_and(|record| record.crashes.values().any(|end| end.at > record.cleared))
+    /// Returns whether any target has crashed with the request running since it was last cleared.
+    pub fn has_crashes(&self, fingerprint: &RequestFingerprint) -> bool {
+        let record = self.records.get(fingerprint);
+        record.is_some_and(|record| {
+            record
+                .crashes
+                .values()
+                .any(|crash| crash.at > record.cleared)
+        })
     }
 
-    /// Forgets what counts no more.
+    /// Removes expired reports.
     pub fn prune(&mut self, now: StoreMillis) {
         self.records.retain(|_, record| {
-            record.crashes.retain(|_, end| !is_expired(end.at, now));
+            record.crashes.retain(|_, crash| !is_expired(crash.at, now));
             !record.crashes.is_empty() || !is_expired(record.cleared, now)
         });
     }
 
-    /// Drops the request with the fewest ends, of those the one that was added first, where there are too many.
+    /// If there are too many requests, drops the one with the fewest crashes, the oldest of those
+    /// first.
     ///
-    /// A caller that sends ever new requests to targets that end would fill the memory otherwise.
+    /// Otherwise a caller that keeps sending new requests to crashing targets would exhaust the
+    /// memory.
     fn evict_excess(&mut self) {
         if self.records.len() <= MAX_REQUESTS {
             return;
--- a/crates/core/src/engine.rs
+++ b/crates/core/src/engine.rs
@@ -1,4 +1,4 @@
-//! How fast a model engine works, as its operator declares it.
+//! Speeds and limits of model engines, as declared by their operator.
 
 use std::time::Duration;
 
@@ -6,83 +6,85 @@
 
 use crate::id::{ModelId, ZoneId};
 
-/// One model that an engine's targets can be joined to serve.
+/// A model that groups of the engine's targets can serve.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ModelSpec {
     /// Name.
     pub id: ModelId,
-    /// Targets in one group.
+    /// Number of targets in a group.
     pub group_size: usize,
-    /// Share of the work that was expected of it; a guess until demand is seen.
+    /// Expected share of the total work, used until demand has been measured.
     pub expected_share: f64,
-    /// Factor on all times of its groups; less is faster.
+    /// Factor on all computation times of its groups; a smaller value means faster.
     pub time_factor: f64,
     /// Time to load the weights from the weight store.
     pub load_time: Duration,
-    /// Time to join when the weights are on the host.
+    /// Time to join a group if the host already holds the weights.
     pub warmup: Duration,
 }
 
 /// Speeds and limits of one service's engines.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineSpec {
-    /// Requests a group works on at once.
+    /// Maximum number of requests that a group runs concurrently.
     pub slots: u32,
-    /// Token steps in one pass.
+    /// Decode steps per pass; a pass produces one event for each active stream.
     pub steps_per_pass: u32,
-    /// Time of a token step without any request.
+    /// Duration of a decode step without any request.
     pub step_time: Duration,
-    /// Time that each writing request adds to a step.
+    /// Time that each active request adds to a decode step.
     pub step_time_per_request: Duration,
-    /// Prompt tokens read in a second.
+    /// Prompt tokens processed per second.
     pub prefill_tokens_per_second: f64,
-    /// Most prompt tokens read in one step; zero if the operator does not say.
+    /// Maximum number of prompt tokens processed in one step; zero if the operator does not declare
+    /// it.
     pub prefill_tokens_per_step: u64,
-    /// Mean tokens of an answer.
+    /// Mean number of tokens in a response.
     pub mean_answer_tokens: f64,
-    /// Age of what a target reports about its load.
+    /// Age of the load that a target reports.
     pub report_lag: Duration,
-    /// Loads from the weight store that may begin in a second.
+    /// Loads from the weight store that may start per second.
     pub loads_per_second: f64,
-    /// Loads beyond which each takes longer.
+    /// Number of concurrent loads above which each load takes longer.
     pub parallel_loads: usize,
-    /// Time from an order to open until the group serves.
+    /// Time from the order to open a group until the group serves.
     pub open_time: Duration,
     /// Models by name.
     pub models: IndexMap<ModelId, ModelSpec>,
-    /// Delay between two zones, where it is known.
+    /// Delays between zones, where known.
     pub delays: Vec<ZoneDelay>,
 }
 
 /// One-way delay between two zones.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ZoneDelay {
-    /// One zone.
+    /// One of the zones.
     pub from: ZoneId,
-    /// The other.
+    /// The other zone.
     pub to: ZoneId,
     /// One-way delay.
     pub delay: Duration,
 }
 
 impl EngineSpec {
-    /// Returns the expected time from one event of a stream to the next with `writers` at work.
-    pub fn pass_time(&self, model: &ModelSpec, writers: u32) -> Duration {
-        let step = self.step_time + self.step_time_per_request * writers;
+    /// Returns the expected time between two events of a stream with `active_requests` running.
+    pub fn pass_time(&self, model: &ModelSpec, active_requests: u32) -> Duration {
+        let step = self.step_time + self.step_time_per_request * active_requests;
         step.mul_f64(f64::from(self.steps_per_pass) * model.time_factor)
     }
 
-    /// Returns the time from one event to the next while prompts are read in every step of a pass.
+    /// Returns the duration of a pass in which every step also processes prompts.
     ///
-    /// No pass of a sound group takes longer, however many prompts wait there.
-    pub fn max_pass_time(&self, model: &ModelSpec, writers: u32) -> Duration {
+    /// No pass of a healthy group takes longer, however many prompts are waiting.
+    pub fn max_pass_time(&self, model: &ModelSpec, active_requests: u32) -> Duration {
         let tokens = self.prefill_tokens_per_step * u64::from(self.steps_per_pass);
-        self.pass_time(model, writers) + self.prefill_time(model, tokens)
+        self.pass_time(model, active_requests) + self.prefill_time(model, tokens)
     }
 
-    /// Returns the time for which a request occupies a whole group that has every slot taken.
+    /// Returns the time for which a request would occupy a whole group if all slots were in use.
     ///
-    /// The sum over a second's requests is the number of groups that the demand fills.
+    /// The sum over all requests that arrive in one second is the number of groups needed for the
+    /// demand.
     ///
     /// ```
     /// use std::time::Duration;
@@ -98,14 +100,19 @@
     /// };
     /// assert_eq!(engine.occupancy_time(&model, 100, 20), Duration::from_millis(110));
     /// ```
-    pub fn occupancy_time(&self, model: &ModelSpec, prompt: u64, answer: u64) -> Duration {
+    pub fn occupancy_time(
+        &self,
+        model: &ModelSpec,
+        prompt_tokens: u64,
+        answer_tokens: u64,
+    ) -> Duration {
         let slots = self.slots.max(1);
         let step = self.step_time + self.step_time_per_request * slots;
-        let write = step.mul_f64(answer as f64 * model.time_factor / f64::from(slots));
-        self.prefill_time(model, prompt) + write
+        let decode = step.mul_f64(answer_tokens as f64 * model.time_factor / f64::from(slots));
+        self.prefill_time(model, prompt_tokens) + decode
     }
 
-    /// Returns the time to read a prompt of `tokens` with nothing else to do.
+    /// Returns the time to process a prompt of `tokens` tokens on an otherwise idle group.
     pub fn prefill_time(&self, model: &ModelSpec, tokens: u64) -> Duration {
         let seconds = tokens as f64 / self.prefill_tokens_per_second.max(1.0) * model.time_factor;
         Duration::from_secs_f64(seconds)
--- a/crates/core/src/events.rs
+++ b/crates/core/src/events.rs
@@ -1,16 +1,16 @@
-//! Cuts a stream into whole events and remembers the id of the last one.
+//! Splits a stream into complete events and records the id of the last one.
 
 use bytes::{Bytes, BytesMut};
 
-/// Blank line that ends an event.
+/// Blank line that terminates an event.
 const SEPARATOR: &[u8] = b"\n\n";
-/// Field that carries an event's id.
+/// Field that holds an event's id.
 const ID_FIELD: &[u8] = b"id:";
 
-/// Passes whole events on and holds back the beginning of the next.
+/// Passes on complete events and buffers the beginning of the next one.
 ///
-/// Only whole events are passed on, so that a stream that breaks in the middle of one can go on at
-/// another target without repeating or losing a byte.
+/// Because only complete events are passed on, a stream that breaks within an event can continue at
+/// another target without duplicated or lost bytes.
 #[derive(Clone, Debug, Default)]
 pub struct EventSplitter {
     partial: BytesMut,
@@ -19,7 +19,7 @@
 }
 
 impl EventSplitter {
-    /// Takes in a piece and returns the whole events that it completes.
+    /// Adds a chunk and returns the complete events that are now available.
     ///
     /// ```
     /// use briarswitch_core::events::EventSplitter;
@@ -29,40 +29,40 @@
     /// assert_eq!(&complete[..], b"id: 7\ndata: a\n\n");
     /// assert_eq!(splitter.last_id(), Some("7"));
     /// ```
-    pub fn push(&mut self, piece: &[u8]) -> Bytes {
-        // The separator may straddle the border between two pieces.
+    pub fn push(&mut self, chunk: &[u8]) -> Bytes {
+        // The separator may be split between two chunks.
         let from = self.partial.len().saturating_sub(SEPARATOR.len() - 1);
-        self.partial.extend_from_slice(piece);
+        self.partial.extend_from_slice(chunk);
         let Some(end) = memchr::memmem::rfind(&self.partial[from..], SEPARATOR) else {
             return Bytes::new();
         };
-        let whole = self.partial.split_to(from + end + SEPARATOR.len()).freeze();
-        self.note(&whole);
-        whole
+        let complete = self.partial.split_to(from + end + SEPARATOR.len()).freeze();
+        self.record(&complete);
+        complete
     }
 
-    /// Returns the bytes of an event that has not ended.
+    /// Returns the buffered bytes of the incomplete event.
     pub fn partial(&self) -> &[u8] {
         &self.partial
     }
 
-    /// Drops the beginning of an event that broke off.
+    /// Discards the bytes of an incomplete event.
     pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
-    /// Returns the id of the last whole event.
+    /// Returns the id of the last complete event.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Returns how many whole events were passed on.
+    /// Returns the number of complete events passed on.
     pub fn events(&self) -> u64 {
         self.events
     }
 
-    fn note(&mut self, whole: &[u8]) {
-        for line in whole.split(|byte| *byte == b'\n') {
+    fn record(&mut self, complete: &[u8]) {
+        for line in complete.split(|byte| *byte == b'\n') {
             if line.is_empty() {
                 continue;
             }
@@ -70,6 +70,6 @@
                 self.last_id = Some(String::from_utf8_lossy(id).trim().to_owned());
             }
         }
-        self.events += memchr::memmem::find_iter(whole, SEPARATOR).count() as u64;
+        self.events += memchr::memmem::find_iter(complete, SEPARATOR).count() as u64;
     }
 }
--- a/crates/core/src/evidence.rs
+++ b/crates/core/src/evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence that a machine is up and serves its group, good for a short time only.
+//! Evidence that a machine is up and serves its group, valid for a limited time.
 
 use std::time::Duration;
 
@@ -7,42 +7,43 @@
 use crate::group::GroupRecord;
 use crate::id::{DeploymentId, Epoch, Generation, GroupId, Incarnation, Moment, VmId};
 
-/// What an engine says it is doing.
+/// State of an engine as reported by itself.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MemberState {
     /// It belongs to no group.
     Idle,
-    /// It loads weights for its group.
+    /// It is loading the weights for its group.
     Loading,
-    /// It serves its group.
+    /// It is serving its group.
     Ready,
 }
 
-/// What a machine reported of itself.
+/// A machine's report about itself.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct MemberReport {
-    /// Machine that reported.
+    /// Machine that sent the report.
     pub vm: VmId,
-    /// Life of the machine that reported.
+    /// Incarnation of that machine.
     pub incarnation: Incarnation,
-    /// What it does.
+    /// State of its engine.
     pub state: MemberState,
-    /// Group it believes to be in.
+    /// Group that it considers itself a member of.
     pub group: Option<GroupId>,
     /// Generation of that group.
     pub generation: Generation,
-    /// Highest fencing number it was given.
+    /// Highest fencing token that it has received.
     pub fence: Epoch,
     /// Deployment whose weights it holds, whether or not it is in a group.
     pub weights: Option<DeploymentId>,
-    /// Requests it runs.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests it holds queued.
+    /// Number of queued requests.
     pub queued: u32,
 }
 
 impl MemberReport {
-    /// Returns whether the report shows a ready member of `group` as recorded.
+    /// Returns whether the report is from a ready member of `group` in its recorded incarnation and
+    /// generation.
     pub fn confirms(&self, group: &GroupRecord) -> bool {
         self.state == MemberState::Ready
             && self.group.as_deref() == Some(group.id.as_str())
@@ -54,7 +55,7 @@
 }
 
 impl MemberReport {
-    /// Returns whether two reports say the same of the machine but for its load.
+    /// Returns whether two reports differ at most in load and fencing token.
     pub fn has_same_state(&self, other: &Self) -> bool {
         self.incarnation == other.incarnation
             && self.state == other.state
@@ -64,12 +65,12 @@
     }
 }
 
-/// One report and when it was true.
+/// A report and the time from which it is valid.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Evidence {
-    /// What was reported.
+    /// The report.
     pub report: MemberReport,
-    /// Local time before which the report was asked for.
+    /// Local time at or before which the report was requested.
     pub requested_at: Moment,
 }
 
@@ -82,7 +83,7 @@
 }
 
 impl EvidenceCache {
-    /// Opens a ledger whose entries are good for `ttl`.
+    /// Creates a cache whose entries are valid for `ttl`.
     pub fn new(ttl: Duration) -> Self {
         Self {
             ttl,
@@ -91,17 +92,20 @@
         }
     }
 
-    /// Takes in a report that was asked for at `asked`; an older one than is held is ignored.
+    /// Records a report that was requested at `requested_at`, unless a newer one is present.
     ///
-    /// The time counts from before the question was sent, so a delayed answer only shortens the
-    /// evidence and never lengthens it. A report asked for before a revocation is ignored too:
-    /// a peer's older success must not undo what this node has since seen fail.
-    pub fn record(&mut self, report: MemberReport, asked: Moment) {
-        let is_revoked = self.revoked.get(&report.vm).is_some_and(|at| asked <= *at);
+    /// Validity counts from before the report was requested, so a delayed response shortens it and
+    /// never extends it. A report requested before a revocation is ignored too: a peer's older
+    /// success must not override a failure that this node has seen since.
+    pub fn record(&mut self, report: MemberReport, requested_at: Moment) {
+        let is_revoked = self
+            .revoked
+            .get(&report.vm)
+            .is_some_and(|at| requested_at <= *at);
         let is_older = self
             .entries
             .get(&report.vm)
-            .is_some_and(|held| held.requested_at >= asked);
+            .is_some_and(|entry| entry.requested_at >= requested_at);
         if is_revoked || is_older {
             return;
         }
@@ -109,17 +113,17 @@
             report.vm.clone(),
             Evidence {
                 report,
-                requested_at: asked,
+                requested_at,
             },
         );
     }
 
-    /// Drops what is held for a machine that failed at `at`.
+    /// Discards the evidence for a machine that failed at `at`.
     pub fn revoke(&mut self, vm: &str, at: Moment) {
         let is_newer = self
             .entries
             .get(vm)
-            .is_some_and(|held| held.requested_at > at);
+            .is_some_and(|entry| entry.requested_at > at);
         if is_newer {
             return;
         }
@@ -127,21 +131,21 @@
         self.revoked.insert(vm.to_owned(), at);
     }
 
-    /// Returns the evidence for a machine that is still good at `now`.
+    /// Returns the evidence for a machine if it is still valid at `now`.
     pub fn fresh(&self, vm: &str, now: Moment) -> Option<&Evidence> {
         self.entries
             .get(vm)
-            .filter(|held| now < held.requested_at + self.ttl)
+            .filter(|entry| now < entry.requested_at + self.ttl)
     }
 
-    /// Returns when a piece of evidence runs out.
+    /// Returns when an entry expires.
     pub fn expires_at(&self, evidence: &Evidence) -> Moment {
         evidence.requested_at + self.ttl
     }
 
-    /// Returns when the evidence for a group runs out, or `None` when it is not whole.
+    /// Returns when the evidence for a group expires, or `None` if the group is not complete.
     ///
-    /// A group is whole only while every member has confirmed the recorded group and generation.
+    /// A group is complete only while every member has confirmed the recorded group and generation.
     ///
     /// ```
     /// use briarswitch_core::prelude::*;
@@ -164,17 +168,18 @@
         until
     }
 
-    /// Returns every entry that is still good at `now`.
+    /// Returns all entries that are still valid at `now`.
     pub fn fresh_entries(&self, now: Moment) -> impl Iterator<Item = &Evidence> {
         self.entries
             .values()
-            .filter(move |held| now < held.requested_at + self.ttl)
+            .filter(move |entry| now < entry.requested_at + self.ttl)
     }
 
-    /// Drops entries and revocations too old to matter at `now`.
+    /// Removes expired entries and revocations that can no longer matter at `now`.
     pub fn prune(&mut self, now: Moment) {
         let ttl = self.ttl;
-        self.entries.retain(|_, held| now < held.requested_at + ttl);
+        self.entries
+            .retain(|_, entry| now < entry.requested_at + ttl);
         self.revoked.retain(|_, at| now < *at + ttl + ttl);
     }
 }
--- a/crates/core/src/fair.rs
+++ b/crates/core/src/fair.rs
@@ -1,9 +1,9 @@
-//! A queue that gives organisations service in proportion to their weights.
+//! A queue that serves organisations in proportion to their weights.
 //!
-//! Start-time fair queueing (Goyal, Vin and Cheng, 1996) within each priority class: an entry's
-//! start tag is the later of the class's virtual time and its organisation's last finish tag, and
-//! the smallest start tag goes first. An idle organisation therefore saves up nothing, and no
-//! capacity is left unused while anyone waits.
+//! It implements start-time fair queueing (Goyal, Vin and Cheng, 1996) within each priority class:
+//! an entry's start tag is the later of the class's virtual time and its organisation's last finish
+//! tag, and the entry with the smallest start tag is served first. An idle organisation therefore
+//! accumulates no credit, and no capacity stays unused while entries wait.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -12,7 +12,7 @@
 
 use crate::id::OrganisationId;
 
-/// Scale of the virtual clock, so that division by a weight keeps its precision.
+/// Scale of the virtual clock, which preserves precision when costs are divided by weights.
 const VIRTUAL_SCALE: u64 = 1 << 16;
 
 #[derive(Clone, Debug, Default)]
@@ -23,7 +23,7 @@
     items: IndexMap<u64, T>,
 }
 
-/// Entries waiting for service.
+/// Entries that wait for service.
 #[derive(Clone, Debug)]
 pub struct FairQueue<T> {
     classes: BTreeMap<u8, PriorityClass<T>>,
@@ -40,7 +40,7 @@
 }
 
 impl<T> FairQueue<T> {
-    /// Adds an entry that will cost `tokens` of service and returns its ticket.
+    /// Adds an entry whose service costs `tokens` and returns its ticket.
     ///
     /// ```
     /// use briarswitch_core::fair::FairQueue;
@@ -80,7 +80,7 @@
         ticket
     }
 
-    /// Removes and returns the entry that is served next.
+    /// Removes and returns the next entry to serve.
     pub fn pop(&mut self) -> Option<T> {
         for class in self.classes.values_mut().rev() {
             while let Some(Reverse((start, ticket))) = class.heap.pop() {
@@ -100,12 +100,12 @@
             .find_map(|class| class.items.swap_remove(&ticket))
     }
 
-    /// Returns the number of entries that wait.
+    /// Returns the number of waiting entries.
     pub fn len(&self) -> usize {
         self.classes.values().map(|class| class.items.len()).sum()
     }
 
-    /// Returns whether nothing waits.
+    /// Returns whether no entry waits.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/core/src/finding.rs
+++ b/crates/core/src/finding.rs
@@ -1,18 +1,18 @@
-//! Findings of a check, each with the place it speaks of.
+//! Validation errors, each with the path of the value that is wrong.
 
 use std::fmt;
 
-/// One thing wrong with a settings file or a configuration document.
+/// A validation error in a settings file or a configuration document.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Finding {
-    /// Where the fault stands, such as `rules[2].when.percent`.
+    /// Path of the invalid value, such as `rules[2].when.percent`.
     pub path: String,
     /// What is wrong and what would be accepted.
     pub message: String,
 }
 
 impl Finding {
-    /// Makes a finding for a place.
+    /// Creates a finding for the value at `path`.
     ///
     /// ```
     /// use briarswitch_core::finding::Finding;
@@ -20,9 +20,9 @@
     /// let finding = Finding::new("lease.margin_ms", "must be below lease.duration_ms");
     /// assert_eq!(finding.to_string(), "lease.margin_ms: must be below lease.duration_ms");
     /// ```
-    pub fn new(place: impl Into<String>, message: impl Into<String>) -> Self {
+    pub fn new(path: impl Into<String>, message: impl Into<String>) -> Self {
         Self {
-            path: place.into(),
+            path: path.into(),
             message: message.into(),
         }
     }
--- a/crates/core/src/fingerprint.rs
+++ b/crates/core/src/fingerprint.rs
@@ -1,32 +1,32 @@
-//! Fingerprints that tell repeats of one request from all other requests.
+//! Fingerprints that identify repeats of the same request.
 
 use std::fmt;
 use std::str::FromStr;
 
 use sha2::{Digest, Sha256};
 
-/// Bytes of a fingerprint; enough that no two requests ever share one.
+/// Size of a fingerprint in bytes; large enough to rule out accidental collisions.
 const FINGERPRINT_BYTES: usize = 16;
 
-/// What makes two requests the same, whatever their ids and headers.
+/// Parts of a request that its fingerprint covers; ids and headers are excluded.
 #[derive(Clone, Copy, Debug)]
 pub struct FingerprintParts<'a> {
-    /// Who calls: an organisation, or a key where no organisation is known.
+    /// The caller: an organisation, or a key if the organisation is not known.
     pub caller: &'a str,
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Host asked for.
+    /// Requested host.
     pub host: &'a str,
     /// Path and query.
     pub path: &'a str,
-    /// Body.
+    /// Request body.
     pub body: &'a [u8],
 }
 
-/// Fingerprint of a request: the same for each repeat of it, and for nothing else.
+/// Fingerprint of a request, equal for all repeats of that request.
 ///
-/// The hash is a cryptographic one. With a weaker one a caller could make a request that shares the
-/// fingerprint of another caller's, and have that one refused.
+/// The hash is cryptographic: with a weaker one, a caller could construct a request with the
+/// fingerprint of another caller's request and get that one refused.
 ///
 /// ```
 /// use briarswitch_core::fingerprint::{FingerprintParts, RequestFingerprint};
@@ -40,12 +40,12 @@
 pub struct RequestFingerprint([u8; FINGERPRINT_BYTES]);
 
 impl RequestFingerprint {
-    /// Returns the fingerprint of a request.
+    /// Computes the fingerprint of a request.
     pub fn of(parts: &FingerprintParts<'_>) -> Self {
         let texts = [parts.caller, parts.method, parts.host, parts.path];
         let mut hash = Sha256::new();
         for part in texts.map(str::as_bytes).into_iter().chain([parts.body]) {
-            // The length goes first, so that no end of one part can pass for the beginning of the next.
+            // The length prefix prevents bytes from moving between adjacent parts unnoticed.
             hash.update((part.len() as u64).to_le_bytes());
             hash.update(part);
         }
@@ -62,8 +62,8 @@
 }
 
 impl From<RequestFingerprint> for [u8; FINGERPRINT_BYTES] {
-    fn from(print: RequestFingerprint) -> Self {
-        print.0
+    fn from(fingerprint: RequestFingerprint) -> Self {
+        fingerprint.0
     }
 }
 
@@ -75,7 +75,7 @@
     }
 }
 
-/// A text that is no fingerprint.
+/// The text is not a valid fingerprint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("expected 32 hexadecimal digits")]
 pub struct FingerprintError;
@@ -83,7 +83,7 @@
 impl FromStr for RequestFingerprint {
     type Err = FingerprintError;
 
-    /// Reads a fingerprint as it is displayed.
+    /// Parses the format written by `Display`.
     ///
     /// ```
     /// use briarswitch_core::fingerprint::RequestFingerprint;
--- a/crates/core/src/id.rs
+++ b/crates/core/src/id.rs
@@ -2,46 +2,46 @@
 
 use std::time::Duration;
 
-/// Names one entry VM's daemon.
+/// Name of a node: the daemon on one entry VM.
 pub type NodeId = String;
-/// Names one machine of the platform.
+/// Name of a machine of the platform.
 pub type VmId = String;
-/// Names an availability zone.
+/// Name of an availability zone.
 pub type ZoneId = String;
-/// Names a fabric domain, inside which machines share a fast fabric.
+/// Name of a fabric domain, a set of machines connected by a fast fabric.
 pub type DomainId = String;
-/// Names a replica group.
+/// Name of a replica group.
 pub type GroupId = String;
-/// Names a deployment of a model or a plain service.
+/// Name of a deployment of a model or a plain service.
 pub type DeploymentId = String;
-/// Names an organisation.
+/// Name of an organisation.
 pub type OrganisationId = String;
-/// Names a target; one that restarts may keep its name, and then has another incarnation.
+/// Name of a target. A target that restarts may keep its name; its incarnation then changes.
 pub type TargetId = String;
-/// Names a service whose targets take requests.
+/// Name of a service, the set of targets that serve the same requests.
 pub type ServiceId = String;
-/// Names a model.
+/// Name of a model.
 pub type ModelId = String;
-/// Names a pool of machines in the platform's list.
+/// Name of a pool of machines in the platform's list.
 pub type PoolId = String;
-/// Names one request of a caller.
+/// Name of one request of a caller.
 pub type RequestId = String;
-/// Names one attempt to run a request at a target.
+/// Name of one attempt to run a request at a target.
 pub type AttemptId = String;
-/// Names one write to the table service, chosen by the writer.
+/// Name of one write to the table service, chosen by the writer.
 pub type WriteId = String;
-/// Distinguishes successive lives of a process or a machine under the same name.
+/// Distinguishes successive runs of a process or a machine under the same name.
 pub type Incarnation = u64;
-/// Counts the holders of a zone's lease; used as the fencing number of orders.
+/// Number of successive holders of a zone's lease; serves as the fencing token of orders.
 pub type Epoch = u64;
-/// Counts the membership changes of one group.
+/// Number of membership changes of a group.
 pub type Generation = u64;
-/// Counts accepted configuration edits.
+/// Number of accepted configuration edits.
 pub type ConfigVersion = u64;
-/// Version of one row in the table service; zero stands for an absent row.
+/// Version of a row in the table service; zero stands for an absent row.
 pub type RowVersion = u64;
 
-/// A reading of the local boot-time clock, which goes on counting while the machine is suspended.
+/// A reading of the local boot-time clock, which continues while the machine is suspended.
 ///
-/// Readings of different machines are never compared.
+/// Readings of different machines are not comparable.
 pub type Moment = Duration;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions of briarswitch as pure functions of state, event and time.
+//! Decision logic of briarswitch as pure functions of state, event and time.
 //!
-//! Nothing here touches a socket, a clock or a thread: time and randomness come in as arguments, so
-//! that tests, replays and the model checker drive the same code as the node does.
+//! Nothing here uses a socket, a clock or a thread: time and randomness are passed in as arguments,
+//! so that tests, replays and the model checker run the same code as the node.
 //!
 //! ```
 //! use briarswitch_core::prelude::*;
--- a/crates/core/src/limit.rs
+++ b/crates/core/src/limit.rs
@@ -1,8 +1,8 @@
-//! Rate limits divided among nodes, so that their sum never passes the whole.
+//! Rate limits divided among nodes so that the sum of the shares never exceeds the limit.
 
 use crate::id::Moment;
 
-/// One node's share of an organisation's rate, as a token bucket that holds one second's worth.
+/// A node's share of an organisation's rate limit: a token bucket that holds one second's worth.
 #[derive(Clone, Debug)]
 pub struct RateShare {
     rate: f64,
@@ -11,10 +11,11 @@
 }
 
 impl RateShare {
-    /// Opens the share of one of `nodes` nodes in `per_second` requests a second.
+    /// Creates the share of one of `nodes` nodes in a limit of `per_second` requests per second.
     ///
-    /// The division is by the nodes configured, not by those now seen: a node that is cut off may
-    /// still be serving, and counting it out would let the sum pass the limit.
+    /// The limit is divided by the number of configured nodes, not of reachable ones: a node that
+    /// is partitioned may still serve requests, and excluding it would let the sum exceed the
+    /// limit.
     pub fn new(per_second: u32, nodes: usize, now: Moment) -> Self {
         let rate = f64::from(per_second) / nodes.max(1) as f64;
         Self {
@@ -24,16 +25,16 @@
         }
     }
 
-    /// Returns the requests a second of this share.
+    /// Returns the requests per second of this share.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// Takes one request, or returns the seconds after which one will be allowed.
+    /// Takes one request from the share.
     ///
     /// # Errors
     ///
-    /// Returns the time to wait in seconds when the share is used up.
+    /// Returns the time in seconds after which a request will be allowed if the share is used up.
     ///
     /// ```
     /// use briarswitch_core::limit::RateShare;
--- a/crates/core/src/outage_history.rs
+++ b/crates/core/src/outage_history.rs
@@ -1,35 +1,35 @@
-//! How long lost machines stay away, and how long to wait for one.
+//! Durations of past outages of machines, and how long to wait for a machine that is down.
 
 use std::time::Duration;
 
-/// How long lost machines took to come back, and whether they did.
+/// Durations of the outages after which lost machines came back.
 #[derive(Clone, Debug, Default)]
 pub struct OutageHistory {
     outages: Vec<Duration>,
     next: usize,
 }
 
-/// Absences remembered.
+/// Number of outages kept.
 const HISTORY_LENGTH: usize = 256;
-/// Absences needed before the history is believed.
+/// Minimum number of outages for the history to be used.
 const MIN_HISTORY: usize = 16;
 
 impl OutageHistory {
-    /// Records that a lost machine came back after `delay`.
-    pub fn record(&mut self, delay: Duration) {
+    /// Records that a lost machine came back after `outage`.
+    pub fn record(&mut self, outage: Duration) {
         if self.outages.len() < HISTORY_LENGTH {
-            self.outages.push(delay);
+            self.outages.push(outage);
         } else {
-            self.outages[self.next] = delay;
+            self.outages[self.next] = outage;
         }
         self.next = (self.next + 1) % HISTORY_LENGTH;
     }
 
-    /// Returns how long to await a lost member before a spare is loaded in its place.
+    /// Returns how long to wait for a lost member before a spare is loaded to replace it.
     ///
-    /// For each past absence taken as the limit, the mean outage is the absence itself where the
-    /// machine was back in time, else the limit plus the time to load a spare; the limit with the
-    /// least mean wins, and zero is always a candidate.
+    /// Each past outage is tried as the limit. The expected downtime is the outage itself for
+    /// machines that came back within the limit, and the limit plus the time to load a spare for
+    /// the others. The limit with the lowest mean is returned; zero is always a candidate.
     ///
     /// ```
     /// use briarswitch_core::outage_history::OutageHistory;
@@ -52,12 +52,12 @@
         let load = load_time.as_secs_f64();
         let mut best = (load, Duration::ZERO);
         let mut sum_back = 0.0;
-        for (index, delay) in sorted.iter().enumerate() {
-            sum_back += delay.as_secs_f64();
+        for (index, outage) in sorted.iter().enumerate() {
+            sum_back += outage.as_secs_f64();
             let missing = count - (index + 1) as f64;
-            let mean = (sum_back + missing * (delay.as_secs_f64() + load)) / count;
+            let mean = (sum_back + missing * (outage.as_secs_f64() + load)) / count;
             if mean < best.0 {
-                best = (mean, *delay);
+                best = (mean, *outage);
             }
         }
         best.1
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,15 +1,15 @@
-//! What became of a request, and the table of failure points that decides it.
+//! Outcomes of requests, and the failure points that determine them.
 
 use std::fmt;
 
-/// What a caller is told of its request.
+/// The outcome of a request as reported to its caller.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Outcome {
-    /// The whole answer was delivered.
+    /// The complete response was delivered.
     Answered,
     /// No target ran the request.
     NotRun,
-    /// The request may have run; no whole answer was delivered.
+    /// The request may have run, but no complete response was delivered.
     Unknown,
 }
 
@@ -36,41 +36,41 @@
     }
 }
 
-/// Every point at which an attempt can fail.
+/// A point at which an attempt can fail.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum FailurePoint {
-    /// No organisation, rule or limit let the request through.
+    /// Rejected because of its organisation, a rule or a limit.
     Refused,
-    /// No target had fresh evidence and room.
+    /// No target had both fresh evidence of being up and a free slot.
     NoTarget,
-    /// Targets ended while they ran it, too often for a coincidence.
+    /// Quarantined: targets crashed while running the request too often for a coincidence.
     Quarantined,
-    /// The place in the queue was not reached before the deadline.
+    /// The deadline passed while the request was queued.
     QueueDeadline,
     /// The connection could not be opened.
     Connect,
-    /// The connection was found closed before a byte of the request was written.
+    /// The connection was found closed before any byte of the request was written.
     ClosedBeforeSend,
-    /// The target said that it did not run the request.
+    /// The target reported that it did not run the request.
     TargetRefused,
-    /// The connection broke after bytes of the request may have left.
+    /// The connection broke after bytes of the request may have been sent.
     BrokenBeforeHead,
-    /// No answer came before the deadline.
+    /// No response arrived before the deadline.
     AnswerDeadline,
-    /// The answer carried another attempt's id.
+    /// The response carried the id of another attempt.
     ForeignAnswer,
-    /// The answer ended before its length or end mark.
+    /// The response ended before its declared length or its end marker.
     Truncated,
-    /// The target reported an error of its own.
+    /// The target reported an internal error.
     TargetError,
-    /// The caller's key is claimed and its result is not known here.
+    /// The caller's idempotency key is claimed and the result is not known here.
     KeyClaimed,
-    /// The claim of the caller's key could not be recorded.
+    /// The claim of the caller's idempotency key could not be recorded.
     ClaimStore,
 }
 
 impl FailurePoint {
-    /// Every point, for tests that cause each one.
+    /// All failure points, for tests that trigger each of them.
     pub const ALL: [Self; 14] = [
         Self::Refused,
         Self::NoTarget,
@@ -88,11 +88,11 @@
         Self::ClaimStore,
     ];
 
-    /// Returns what the caller may be told after a failure at this point.
+    /// Returns the outcome that may be reported after a failure at this point.
     ///
-    /// `NotRun` is returned only where no byte of the request can have reached a target, or the
-    /// target itself said that it did not run it. An error from the target counts as `Unknown`,
-    /// since the target may have acted before failing.
+    /// `NotRun` is returned only if no byte of the request can have reached a target, or if the
+    /// target itself reported that it did not run the request. An error reported by the target
+    /// counts as `Unknown`, since the target may have acted before it failed.
     ///
     /// ```
     /// use briarswitch_core::outcome::{FailurePoint, Outcome};
@@ -121,8 +121,8 @@
 
     /// Returns whether another attempt is allowed.
     ///
-    /// A request that may be repeated is tried again after any failure of a target; one that may
-    /// not is tried again only when the failed attempt certainly did not run.
+    /// A repeatable request is retried after any failure of a target; any other request only if the
+    /// failed attempt certainly did not run.
     pub fn allows_retry(self, repeatable: bool) -> bool {
         let is_target_failure = !matches!(
             self,
@@ -137,7 +137,7 @@
         is_target_failure && (repeatable || self.outcome() == Outcome::NotRun)
     }
 
-    /// Returns the machine-readable code in the error body.
+    /// Returns the machine-readable code for the error body.
     pub fn code(self) -> &'static str {
         match self {
             Self::Refused => "refused",
--- a/crates/core/src/prefix.rs
+++ b/crates/core/src/prefix.rs
@@ -1,14 +1,14 @@
-//! Which prompts a target has likely cached, learned from what was sent to it.
+//! Estimates which prompts a target has cached from the prompts that were sent to it.
 
 use indexmap::IndexSet;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Bytes of a prompt that one block covers.
 const BLOCK_BYTES: usize = 256;
-/// Most blocks of a prompt that are looked at.
+/// Maximum number of leading blocks that are hashed.
 const MAX_BLOCKS: usize = 64;
 
-/// Hashes of a prompt's leading blocks, each over everything before it.
+/// Hashes of a prompt's leading blocks; each hash also covers all preceding blocks.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct PrefixChain {
     hashes: Vec<u64>,
@@ -35,12 +35,13 @@
         Self { hashes }
     }
 
-    /// Returns the place, among targets named in the same order, that all nodes send prompts with
-    /// this beginning to when they know nothing better; `None` when the prompt is too short.
+    /// Returns the index of the target that all nodes prefer for prompts with this prefix, or
+    /// `None` if the prompt is shorter than one block. All nodes must list the targets in the same
+    /// order.
     ///
-    /// Nodes do not tell each other what they sent where. Rendezvous hashing of the first block
-    /// makes them agree all the same, so that a prefix is cached at one target and not at one for
-    /// each node.
+    /// Nodes do not exchange which prompts they sent where. Rendezvous hashing of the first block
+    /// makes them choose the same target, so that a prefix is cached at one target instead of at a
+    /// different one for each node.
     ///
     /// ```
     /// use briarswitch_core::prefix::PrefixChain;
@@ -61,7 +62,7 @@
     }
 }
 
-/// Blocks that one target was sent lately.
+/// Blocks that were recently sent to a target, in least-recently-used order.
 #[derive(Clone, Debug)]
 pub struct PrefixIndex {
     capacity: usize,
@@ -69,7 +70,7 @@
 }
 
 impl PrefixIndex {
-    /// Opens a book of at most `capacity` blocks.
+    /// Creates an index of at most `capacity` blocks.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity,
@@ -77,20 +78,20 @@
         }
     }
 
-    /// Returns the share of a prompt's blocks that the target has likely cached, 0 to 1.
+    /// Returns the estimated share of a prompt's blocks that the target has cached, 0 to 1.
     pub fn cached_share(&self, chain: &PrefixChain) -> f64 {
         if chain.is_empty() {
             return 0.0;
         }
-        let held = chain
+        let cached = chain
             .hashes
             .iter()
             .take_while(|hash| self.blocks.contains(*hash))
             .count();
-        held as f64 / chain.hashes.len() as f64
+        cached as f64 / chain.hashes.len() as f64
     }
 
-    /// Notes that a prompt was sent to the target.
+    /// Records that a prompt was sent to the target.
     pub fn record(&mut self, chain: &PrefixChain) {
         for hash in &chain.hashes {
             self.blocks.shift_remove(hash);
@@ -101,7 +102,7 @@
     }
 }
 
-/// Hashes bytes the same way on every node and in every life of a node.
+/// Hashes bytes to the same value on every node and after every restart.
 ///
 /// ```
 /// use briarswitch_core::prefix::stable_hash;
--- a/crates/core/src/prelude.rs
+++ b/crates/core/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types most modules need, imported together.
+//! The types that most modules need, in one import.
 
 pub use crate::choice::{TargetLoad, TargetPicker};
 pub use crate::claim::{ClaimBook, ClaimState};
--- a/crates/core/src/rebalance.rs
+++ b/crates/core/src/rebalance.rs
@@ -1,9 +1,10 @@
-//! Which domains should hold fewer targets of one model and more of another while callers come.
+//! Moves targets from one model to another within domains while requests are being served.
 //!
-//! The load this answers: callers of one model fill more groups than it has, while another model has groups
-//! that nobody fills, or a domain holds weights that make no whole group. Targets that come empty change
-//! that too slowly, for as many are lost. A host loads other weights beside its work, so an exchange takes
-//! no place from anybody until the new weights are there.
+//! This corrects a mismatch between demand and capacity: requests for one model need more groups
+//! than it has, while another model has unused groups, or a domain holds weights that do not form a
+//! complete group. Replacing targets as they come back empty corrects this too slowly, since as
+//! many are lost. A host loads other weights while it keeps serving, so a move reduces no capacity
+//! until the new weights are loaded.
 
 use indexmap::IndexMap;
 
@@ -11,43 +12,47 @@
 use crate::id::{DomainId, ModelId};
 use crate::layout::{DomainLayout, DomainStock, HolderCounts, LayoutDraft, LayoutPhase};
 
-/// Gain that an exchange has to bring, as a part of what all models weigh.
+/// Minimum gain of a move, as a share of the total weight of all models.
 const MIN_GAIN: f64 = 0.02;
-/// Gain that each target of an exchange has to bring beside.
+/// Minimum additional gain for each target that is moved.
 ///
-/// It loads for many seconds, and its group serves nobody while it forms anew.
+/// A target loads for many seconds, and its group serves no requests while it forms again.
 const MIN_GAIN_PER_TARGET: f64 = 0.002;
-/// Cover that a model keeps when it gives to one whose callers fill no more than it has.
+/// Coverage that a model keeps when it gives targets to one whose demand is already covered.
 ///
-/// Groups of many targets are lost more often than the mean of losses tells, and take longest to come back.
+/// Groups of many targets are lost more often than the mean loss rate suggests and take longest to
+/// come back.
 const DONOR_MIN_COVERAGE: f64 = 2.0;
-/// Cover from which on a model has enough, by the groups that are expected to be left.
+/// Coverage from which a model has enough groups, by the number expected to survive losses.
 ///
-/// Small groups that lose a member serve again within two seconds, sooner than the mean of losses tells.
+/// Small groups that lose a member serve again within two seconds, sooner than the mean loss rate
+/// suggests.
 const ENOUGH_COVERAGE: f64 = 0.85;
-/// Groups that a model keeps, whatever its callers ask for.
+/// Minimum number of groups that a model keeps, whatever its demand.
 const MIN_GROUPS: f64 = 1.0;
-/// Least and most exchanges decided at a time; what is left is decided anew with what has become of them.
+/// Minimum and maximum number of moves per decision; further moves are decided with the updated
+/// state.
 const STEPS_PER_DECISION: (usize, usize) = (8, 64);
-/// Domains that are looked at for the exchanges of one decision, which takes time for each of them.
+/// Limit on the domains evaluated per decision, over all of its moves; each evaluation takes time.
 const MAX_DOMAIN_EVALUATIONS: usize = 400;
 
-/// What an exchange is decided on.
+/// Inputs of a rebalancing decision.
 #[derive(Clone, Copy, Debug)]
 pub struct RebalanceParams<'a> {
-    /// Models.
+    /// Engine with its models.
     pub engine: &'a EngineSpec,
-    /// Groups that each model's callers fill, smoothed over about the time of a load.
+    /// Number of groups needed by each model's demand, smoothed over about the time of a load.
     pub demand: &'a IndexMap<ModelId, f64>,
     /// What each domain holds.
     pub domains: &'a [DomainStock],
-    /// Targets that are loading each model's weights where the stock does not show it.
+    /// Targets that are loading each model's weights and that `domains` does not show as such.
     pub loading: &'a IndexMap<ModelId, usize>,
 }
 
-/// Returns what each domain should hold, once targets of models that have more than they need were moved.
+/// Returns what each domain should hold after targets of models with excess capacity were moved.
 ///
-/// Every controller computes the same from the same list and carries out its own domains' part.
+/// Every controller computes the same plan from the same list and carries out the part of its own
+/// domains.
 ///
 /// ```
 /// use briarswitch_core::engine::{EngineSpec, ModelSpec};
@@ -72,25 +77,25 @@
 /// });
 /// assert!(layouts[""].holders["small"] > 4);
 /// ```
-pub fn plan_rebalance(terms: RebalanceParams<'_>) -> IndexMap<DomainId, DomainLayout> {
+pub fn plan_rebalance(params: RebalanceParams<'_>) -> IndexMap<DomainId, DomainLayout> {
     let phase = LayoutPhase::Serving;
-    let mut draft = LayoutDraft::open(terms.engine, terms.demand, terms.domains, phase);
+    let mut draft = LayoutDraft::open(params.engine, params.demand, params.domains, phase);
     let unseen = draft.fill_empty();
-    draft.count_loading(terms.loading, &unseen);
+    draft.count_loading(params.loading, &unseen);
     draft.rebalance();
     draft.finish()
 }
 
-/// One domain's targets after some of them went from one model to another.
+/// Holders in one domain after a move of targets from one model to another.
 #[derive(Clone, Debug)]
 struct RebalanceStep {
     domain: usize,
     holders: HolderCounts,
-    /// Gain for each target that has to load; loads are what is short.
+    /// Gain per target that has to load, since loads are the scarce resource.
     gain_per_target: f64,
 }
 
-/// Targets of one domain that would go from one model to another.
+/// A candidate move of targets in one domain from one model to another.
 #[derive(Clone, Copy, Debug)]
 struct TargetMove {
     domain: usize,
@@ -100,28 +105,30 @@
 }
 
 impl LayoutDraft<'_> {
-    /// Counts the groups of targets that load weights unseen, less those taken for empty ones of other domains.
+    /// Adds the groups formed by targets that are loading unseen, less those already assigned to
+    /// empty targets of other domains.
     ///
-    /// Whose weights they leave is not told, so they are taken from the model that is covered best.
-    fn count_loading(&mut self, coming: &IndexMap<ModelId, usize>, unseen: &[usize]) {
+    /// The report does not say which weights these targets replace, so they are subtracted from the
+    /// model with the highest coverage.
+    fn count_loading(&mut self, loading: &IndexMap<ModelId, usize>, unseen: &[usize]) {
         for (model, unseen) in unseen.iter().enumerate() {
-            let loading = coming.get(&self.models[model].id).copied().unwrap_or(0);
-            let moving = loading.saturating_sub(*unseen) as f64;
+            let count = loading.get(&self.models[model].id).copied().unwrap_or(0);
+            let moving = count.saturating_sub(*unseen) as f64;
             let others = (0..self.models.len()).filter(|other| *other != model);
-            let giver =
+            let donor =
                 others.max_by(|left, right| self.coverage(*left).total_cmp(&self.coverage(*right)));
-            if let Some(giver) = giver {
-                self.coming[giver] -= moving / self.models[giver].group_size as f64;
+            if let Some(donor) = donor {
+                self.coming[donor] -= moving / self.models[donor].group_size as f64;
             }
             self.coming[model] += moving / self.models[model].group_size as f64;
         }
     }
 
-    /// Takes the best exchange, as long as there is one that gains enough.
+    /// Applies the best move repeatedly until none has a sufficient gain.
     fn rebalance(&mut self) {
-        let (least, most) = STEPS_PER_DECISION;
-        let looks = MAX_DOMAIN_EVALUATIONS / self.domains.len().max(1);
-        for _ in 0..looks.clamp(least, most) {
+        let (min, max) = STEPS_PER_DECISION;
+        let limit = MAX_DOMAIN_EVALUATIONS / self.domains.len().max(1);
+        for _ in 0..limit.clamp(min, max) {
             let Some(step) = self.best_step() else {
                 return;
             };
@@ -133,7 +140,7 @@
         let before = self.worth();
         let mut best: Option<RebalanceStep> = None;
         for domain in 0..self.domains.len() {
-            for step in self.steps_of(domain, before) {
+            for step in self.candidate_steps(domain, before) {
                 if best
                     .as_ref()
                     .is_none_or(|best| step.gain_per_target > best.gain_per_target)
@@ -145,55 +152,57 @@
         best
     }
 
-    /// Returns the exchanges in one domain that gain enough.
-    fn steps_of(&mut self, domain: usize, before: f64) -> Vec<RebalanceStep> {
+    /// Returns the moves in one domain that have a sufficient gain.
+    fn candidate_steps(&mut self, domain: usize, before: f64) -> Vec<RebalanceStep> {
         let mut steps = Vec::new();
         for from in 0..self.models.len() {
             for to in (0..self.models.len()).filter(|to| *to != from) {
                 for count in 1..=self.domains[domain].holders[from] {
-                    let tried = TargetMove {
+                    let candidate = TargetMove {
                         domain,
                         from,
                         to,
                         count,
                     };
-                    steps.extend(self.step(tried, before));
+                    steps.extend(self.step(candidate, before));
                 }
             }
         }
         steps
     }
 
-    fn step(&mut self, tried: TargetMove, before: f64) -> Option<RebalanceStep> {
+    fn step(&mut self, candidate: TargetMove, before: f64) -> Option<RebalanceStep> {
         let TargetMove {
             domain,
             from,
             to,
             count,
-        } = tried;
-        let cover_before = self.coverage(to);
-        let held = self.domains[domain].holders.clone();
-        let mut holders = held.clone();
+        } = candidate;
+        let coverage_before = self.coverage(to);
+        let current = self.domains[domain].holders.clone();
+        let mut holders = current.clone();
         holders[from] -= count;
         holders[to] += count;
         let next = holders.clone();
         self.change(domain, |domain| domain.holders = next);
         let gain = (self.worth() - before) / self.weights.iter().sum::<f64>();
-        // A model is never left with less than the one that it gave to had.
-        // By the square, a model that lacks little takes little, and one that lacks half takes what there is.
-        let has = (self.coverage(to) / ENOUGH_COVERAGE).min(1.0);
-        let kept = cover_before.max(DONOR_MIN_COVERAGE * has.powi(2));
+        // The donor keeps at least the coverage that the recipient had before the move. With the
+        // square, a recipient that lacks little receives little, and one that lacks half receives
+        // whatever is available.
+        let satisfaction = (self.coverage(to) / ENOUGH_COVERAGE).min(1.0);
+        let kept = coverage_before.max(DONOR_MIN_COVERAGE * satisfaction.powi(2));
         let keeps_enough = self.coverage(from) >= kept && self.groups_left(from) >= MIN_GROUPS;
-        self.change(domain, |domain| domain.holders = held);
-        let is_worth_it = gain >= MIN_GAIN + MIN_GAIN_PER_TARGET * count as f64;
-        (keeps_enough && is_worth_it).then_some(RebalanceStep {
+        self.change(domain, |domain| domain.holders = current);
+        let gains_enough = gain >= MIN_GAIN + MIN_GAIN_PER_TARGET * count as f64;
+        (keeps_enough && gains_enough).then_some(RebalanceStep {
             domain,
             holders,
             gain_per_target: gain / count as f64,
         })
     }
 
-    /// Returns the groups that a model is expected to have left for each that its callers fill.
+    /// Returns the number of groups expected to survive for each group that the model's demand
+    /// needs.
     fn coverage(&self, model: usize) -> f64 {
         self.groups_left(model) / self.demand[model].max(f64::MIN_POSITIVE)
     }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,16 +1,17 @@
-//! Budgets that keep retries a fixed share of traffic.
+//! Budgets that limit retries to a fixed share of the traffic.
 
 use std::time::Duration;
 
 use crate::id::Moment;
 
-/// Thousandths of a retry that one retry costs.
+/// Cost of one retry, in thousandths.
 const RETRY_COST: u64 = 1000;
 
-/// Retries a node may spend, earned by successes.
+/// Retries that a node may send, earned by successful requests.
 ///
-/// Without it, a brown-out makes every request fail and be sent again, which multiplies load just
-/// when targets can bear least; one would notice attempts per request rising with the error rate.
+/// Without a budget, a partial outage makes every request fail and be retried, which multiplies the
+/// load just when the targets can take the least. The symptom is a number of attempts per request
+/// that rises with the error rate.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     permille: u64,
@@ -19,8 +20,8 @@
 }
 
 impl RetryBudget {
-    /// Opens a budget that earns `permille` thousandths of a retry for each success and holds at
-    /// most `burst` retries; it starts full.
+    /// Creates a full budget that earns `permille` thousandths of a retry per success and holds at
+    /// most `burst` retries.
     pub fn new(permille: u64, burst: u64) -> Self {
         let ceiling = burst * RETRY_COST;
         Self {
@@ -30,12 +31,12 @@
         }
     }
 
-    /// Credits one success.
+    /// Adds the credit for one success.
     pub fn deposit(&mut self) {
         self.balance = (self.balance + self.permille).min(self.ceiling);
     }
 
-    /// Takes one retry if there is one.
+    /// Takes one retry if the balance allows it.
     ///
     /// ```
     /// use briarswitch_core::retry::RetryBudget;
@@ -53,44 +54,46 @@
     }
 }
 
-/// Slots into which a window is divided.
+/// Number of slots that a window is divided into.
 const WINDOW_SLOTS: usize = 20;
-/// Part of the retries earned that is used.
+/// Share of the earned retries that may be used.
 ///
-/// Traffic that comes and goes within one window may be counted in part only when the window is looked at
-/// from another moment.
+/// The rest is a margin for traffic that rises and falls within a window: a window that starts at
+/// another time may contain only part of it.
 const EARNED_SHARE: f64 = 0.85;
 
-/// Counts of one part of a window.
+/// Counts of one slot of a window.
 #[derive(Clone, Copy, Debug, Default)]
 struct WindowSlot {
     requests: u32,
     retries: u32,
 }
 
-/// A budget that bounds retries in any window of a certain length by the requests in it.
+/// A budget that limits the retries in any window of a fixed length by the requests in that window.
 ///
-/// It answers ends of whole groups: for seconds there is nothing to send again, and then all streams of a group
-/// at once. A balance that is held to a small ceiling forgets what the quiet seconds have earned.
+/// It is designed for failures of whole groups: for seconds there is nothing to retry, and then all
+/// streams of a group fail at once. A token bucket with a small capacity would have discarded most
+/// of what the quiet seconds earned.
 #[derive(Clone, Debug)]
 pub struct RetryWindow {
     ratio: f64,
     slot: Duration,
-    opened: Moment,
-    /// Counts by slot, the newest one last; one more than the window, for it may begin within a slot.
+    created: Moment,
+    /// Counts by slot, the newest last. There is one more slot than fits a window, because a window
+    /// may begin within a slot.
     slots: [WindowSlot; WINDOW_SLOTS + 1],
-    /// Number of the newest slot since the clock's start.
+    /// Index of the newest slot, counted from the clock's origin.
     newest: u64,
 }
 
 impl RetryWindow {
-    /// Opens a budget of `ratio` retries for each request in windows of `length`.
+    /// Creates a budget of `ratio` retries per request in windows of `length`.
     pub fn new(ratio: f64, length: Duration, now: Moment) -> Self {
         let slot = (length / WINDOW_SLOTS as u32).max(Duration::from_millis(1));
         Self {
             ratio: ratio * EARNED_SHARE,
             slot,
-            opened: now,
+            created: now,
             slots: Default::default(),
             newest: slot_number(now, slot),
         }
@@ -101,7 +104,7 @@
         self.newest_slot(now).requests += 1;
     }
 
-    /// Returns whether a retry could be taken now, with `burst` retries allowed beyond those earned.
+    /// Returns whether a retry is allowed now, with `burst` retries beyond those earned.
     ///
     /// ```
     /// use std::time::Duration;
@@ -119,22 +122,23 @@
         let requests = self.slots[1..].iter().map(|slot| slot.requests);
         let retries = self.slots.iter().map(|slot| slot.retries);
         let earned = f64::from(requests.sum::<u32>()) * self.ratio;
-        // A process that restarts must not find a burst each time.
-        let has_run = now >= self.opened + self.slot * WINDOW_SLOTS as u32;
-        let burst = if has_run { burst } else { 0 };
+        // No burst during the first window, so that a process that restarts repeatedly gains no
+        // retries.
+        let is_past_first_window = now >= self.created + self.slot * WINDOW_SLOTS as u32;
+        let burst = if is_past_first_window { burst } else { 0 };
         f64::from(retries.sum::<u32>() + 1) <= earned + f64::from(burst)
     }
 
-    /// Takes one retry if there is one.
+    /// Takes one retry if the budget allows it.
     pub fn withdraw(&mut self, burst: u32, now: Moment) -> bool {
-        let is_left = self.can_withdraw(burst, now);
-        if is_left {
+        let is_allowed = self.can_withdraw(burst, now);
+        if is_allowed {
             self.newest_slot(now).retries += 1;
         }
-        is_left
+        is_allowed
     }
 
-    /// Gives a retry back that was just taken and not sent.
+    /// Returns a retry that was taken but not sent.
     pub fn refund(&mut self, now: Moment) {
         self.advance(now);
         let mut slots = self.slots.iter_mut().rev();
--- a/crates/core/src/rule.rs
+++ b/crates/core/src/rule.rs
@@ -1,4 +1,4 @@
-//! Ordered when-then rules: the first match decides what happens to a request.
+//! Ordered routing rules: the first rule that matches decides what happens to a request.
 
 use crate::finding::Finding;
 use crate::id::{DeploymentId, OrganisationId, ZoneId};
@@ -6,7 +6,7 @@
 /// Highest value of a percentage.
 const FULL_PERCENT: u8 = 100;
 
-/// What is known of a request when the rules are read.
+/// Properties of a request that rules can match on.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct RequestFacts {
     /// Organisation that the credential belongs to.
@@ -21,26 +21,28 @@
     pub zone: ZoneId,
     /// Minute of the day in UTC, 0 to 1439.
     pub minute_of_day: u16,
-    /// Draw from 0 to 99 made once per caller key, so that a caller stays on its side of a split.
+    /// Number from 0 to 99 derived from the caller's key, so that a caller always falls on the same
+    /// side of a percentage split.
     pub draw: u8,
 }
 
-/// Conditions of a rule; every one that is given has to hold.
+/// Conditions of a rule; all that are set must hold.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct RuleMatch {
-    /// Organisation that calls.
+    /// Organisation of the caller.
     pub organisation: Option<OrganisationId>,
-    /// Deployment asked for.
+    /// Deployment that the caller asked for.
     pub asked: Option<DeploymentId>,
-    /// Header that must carry this value.
+    /// Header that must have this value.
     pub header: Option<(String, String)>,
-    /// Smallest body in bytes.
+    /// Minimum size of the body in bytes.
     pub min_body_bytes: Option<u64>,
-    /// Zone that took the request.
+    /// Zone of the node that received the request.
     pub zone: Option<ZoneId>,
-    /// Minutes of the day, from (included) to (excluded); wraps over midnight.
+    /// Minutes of the day, from the first (inclusive) to the second (exclusive); may wrap over
+    /// midnight.
     pub minutes: Option<(u16, u16)>,
-    /// Share of callers, 0 to 100.
+    /// Percentage of callers, 0 to 100.
     pub percent: Option<u8>,
 }
 
@@ -94,24 +96,24 @@
     }
 }
 
-/// What a rule does with a request that it matches.
+/// What a rule does with a request that matches.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RuleAction {
     /// Sends it to a deployment.
     Route {
         /// Deployment that serves it.
         deployment: DeploymentId,
-        /// Priority in place of the deployment's own.
+        /// Priority that replaces the deployment's own.
         priority: Option<u8>,
     },
     /// Refuses it.
     Reject {
-        /// Text for the caller.
+        /// Message for the caller.
         message: String,
     },
 }
 
-/// One rule of the ordered list.
+/// A rule of the ordered list.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Rule {
     /// Name used in logs and by `briarctl rules try`.
@@ -123,11 +125,11 @@
 }
 
 impl Rule {
-    /// Checks the rule by itself and reports every fault under `place`.
-    pub fn check(&self, place: &str) -> Vec<Finding> {
+    /// Validates the rule on its own and returns all errors, with paths below `path`.
+    pub fn check(&self, path: &str) -> Vec<Finding> {
         let mut findings = Vec::new();
         if self.name.is_empty() {
-            findings.push(Finding::new(format!("{place}.name"), "expected a name"));
+            findings.push(Finding::new(format!("{path}.name"), "expected a name"));
         }
         if self
             .when
@@ -135,7 +137,7 @@
             .is_some_and(|percent| percent > FULL_PERCENT)
         {
             findings.push(Finding::new(
-                format!("{place}.when.percent"),
+                format!("{path}.when.percent"),
                 "expected 0 to 100",
             ));
         }
--- a/crates/core/src/stream.rs
+++ b/crates/core/src/stream.rs
@@ -1,14 +1,14 @@
-//! Scans a stream of server-sent events for whole events and its end mark.
+//! Scans a stream of server-sent events for complete events and the end marker.
 
-/// Separates events (HTML Living Standard, server-sent events).
+/// Event separator (HTML Living Standard, server-sent events).
 const SEPARATOR: &[u8] = b"\n\n";
-/// The event that ends a stream.
+/// Event that marks the end of a stream.
 const END_EVENT: &[u8] = b"data: [DONE]";
 
-/// Counts whole events and keeps back what is not yet whole.
+/// Counts complete events and buffers an incomplete one.
 ///
-/// Only whole events are passed on, so that a stream that breaks can be resumed after an exact
-/// number of them; half an event passed on would be doubled or torn by the resumption.
+/// Only complete events are passed on, so that a broken stream can be resumed after an exact number
+/// of them. If part of an event were passed on, resuming would duplicate or corrupt that event.
 #[derive(Clone, Debug, Default)]
 pub struct EventScanner {
     partial: Vec<u8>,
@@ -16,59 +16,54 @@
     is_ended: bool,
 }
 
-/// What one piece of a stream completed.
+/// Result of scanning one chunk of a stream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct ScannedPiece {
-    /// Bytes of the piece that belong to whole events.
+pub struct ScannedChunk {
+    /// Bytes of the chunk that belong to complete events.
     pub complete_bytes: usize,
 }
 
 impl EventScanner {
-    /// Returns the number of whole events before the end mark.
+    /// Returns the number of complete events before the end marker.
     pub fn events(&self) -> usize {
         self.events
     }
 
-    /// Returns whether the end mark was seen.
+    /// Returns whether the end marker was seen.
     pub fn is_ended(&self) -> bool {
         self.is_ended
     }
 
-    /// Forgets half an event, as before a resumption.
+    /// Discards an incomplete event, as before resuming the stream.
     pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
-    /// Takes a piece and returns the bytes held back from earlier pieces that are now whole, and
-    /// how much of this piece is.
+    /// Scans a chunk and returns the previously buffered bytes that are now complete, and the
+    /// number of bytes of this chunk that are.
     ///
     /// ```
     /// use briarswitch_core::stream::EventScanner;
     ///
     /// let mut scanner = EventScanner::default();
-    /// let (held, piece) = scanner.scan(b"data: a\n\ndata: b");
-    /// assert_eq!((held.len(), piece.complete_bytes, scanner.events()), (0, 9, 1));
+    /// let (held, chunk) = scanner.scan(b"data: a\n\ndata: b");
+    /// assert_eq!((held.len(), chunk.complete_bytes, scanner.events()), (0, 9, 1));
     /// ```
-    pub fn scan(&mut self, piece: &[u8]) -> (Vec<u8>, ScannedPiece) {
+    pub fn scan(&mut self, chunk: &[u8]) -> (Vec<u8>, ScannedChunk) {
         if !self.partial.is_empty() {
-            return self.scan_joined(piece);
+            return self.scan_joined(chunk);
         }
-        let whole = self.count(piece);
-        self.partial.extend_from_slice(&piece[whole..]);
-        (
-            Vec::new(),
-            ScannedPiece {
-                complete_bytes: whole,
-            },
-        )
+        let complete_bytes = self.count(chunk);
+        self.partial.extend_from_slice(&chunk[complete_bytes..]);
+        (Vec::new(), ScannedChunk { complete_bytes })
     }
 
-    fn scan_joined(&mut self, piece: &[u8]) -> (Vec<u8>, ScannedPiece) {
+    fn scan_joined(&mut self, chunk: &[u8]) -> (Vec<u8>, ScannedChunk) {
         let mut joined = std::mem::take(&mut self.partial);
-        joined.extend_from_slice(piece);
-        let whole = self.count(&joined);
-        self.partial = joined.split_off(whole);
-        (joined, ScannedPiece { complete_bytes: 0 })
+        joined.extend_from_slice(chunk);
+        let complete_bytes = self.count(&joined);
+        self.partial = joined.split_off(complete_bytes);
+        (joined, ScannedChunk { complete_bytes: 0 })
     }
 
     fn count(&mut self, bytes: &[u8]) -> usize {
@@ -90,7 +85,7 @@
     memchr::memmem::find(bytes, needle)
 }
 
-/// Returns how deep a JSON text nests, without parsing it.
+/// Returns the nesting depth of a JSON text without parsing it.
 ///
 /// ```
 /// use briarswitch_core::stream::json_depth;
--- a/crates/core/src/traffic.rs
+++ b/crates/core/src/traffic.rs
@@ -1,7 +1,7 @@
-//! A whole configuration as one version: rules by host and path, services, and organisations.
+//! A complete configuration under one version: rules by host and path, services, and keys.
 //!
-//! [`crate::config::VersionedConfig`] is edited one entity at a time; a [`TrafficConfig`] is accepted and
-//! replaced as a whole, so a node holds either all of a version or nothing of it.
+//! [`crate::config::VersionedConfig`] is edited one entity at a time. A [`TrafficConfig`] is accepted
+//! and replaced as a whole, so a node never mixes two versions.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::engine::EngineSpec;
 use crate::id::{ConfigVersion, OrganisationId, ServiceId};
 
-/// What may be repeated of a rule's requests.
+/// Whether a rule's requests may be executed more than once.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RepeatKind {
     /// May run any number of times.
@@ -19,16 +19,16 @@
     AtMostOnce,
 }
 
-/// How a rule's answers are delivered.
+/// How responses to a rule's requests are delivered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AnswerKind {
-    /// One whole body.
+    /// A single body.
     Whole,
     /// A stream of numbered events.
     Events {
-        /// Whether another target can go on after the last event delivered.
+        /// Whether another target can continue the stream after the last delivered event.
         is_resumable: bool,
-        /// Longest pause between events at which the answer is still on time.
+        /// Maximum time between two events for the response to count as on time.
         gap: Duration,
     },
 }
@@ -38,37 +38,38 @@
 pub struct SplitShare {
     /// Service that takes the share.
     pub service: ServiceId,
-    /// Weight against the other shares of the rule.
+    /// Weight relative to the other shares of the rule.
     pub weight: u32,
 }
 
-/// What happens to the requests of one host below one path.
+/// How requests for one host and path prefix are handled.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TrafficRule {
-    /// Name for logs.
+    /// Name used in logs.
     pub name: String,
-    /// Path that begins the request's path, with a slash at both ends.
+    /// Path prefix, with a slash at both ends.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be executed more than once.
     pub repeat: RepeatKind,
-    /// How the answer is delivered.
+    /// How the response is delivered.
     pub answer: AnswerKind,
-    /// Longest time a caller is kept waiting.
+    /// Maximum time for which a caller waits.
     pub timeout: Duration,
-    /// Time to the answer, or to its first event, that callers were promised.
+    /// Latency objective: time to the response or to its first event.
     pub objective: Duration,
-    /// Rank; zero goes first.
+    /// Priority; zero is the highest.
     pub priority: u8,
-    /// Most targets that one attempt of a caller may be sent to.
+    /// Maximum number of targets that one attempt of a caller may be sent to.
     pub max_attempts: u32,
     /// Whether callers need no key.
     pub is_public: bool,
-    /// Services that take the requests.
+    /// Services among which the requests are split.
     pub split: Vec<SplitShare>,
 }
 
 impl TrafficRule {
-    /// Returns whether a target that failed may be followed by another although it may have run.
+    /// Returns whether a request may be sent to another target after one that may have executed it
+    /// failed.
     pub fn is_repeatable(&self) -> bool {
         match self.answer {
             AnswerKind::Whole => self.repeat == RepeatKind::Idempotent,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Returns the service for a draw; equal draws give equal services.
+    /// Returns the service for a draw; equal draws yield the same service.
     ///
     /// ```
     /// use briarswitch_core::traffic::{pick_share, SplitShare};
@@ -105,62 +106,62 @@
     })
 }
 
-/// One service and how its targets are spoken to.
+/// A service and how to communicate with its targets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceSpec {
     /// Name.
     pub id: ServiceId,
-    /// Most connections one target takes from all callers together.
+    /// Maximum number of connections to one target, over all callers.
     pub max_connections: u32,
-    /// Speeds and limits, where the targets are model engines.
+    /// Speeds and limits of the engine, if the targets are model engines.
     pub engine: Option<EngineSpec>,
 }
 
-/// Limits on what callers send.
+/// Limits on what callers may send.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CallerLimits {
-    /// Most bytes of headers.
+    /// Maximum size of the headers in bytes.
     pub header_bytes: usize,
-    /// Most bytes of a body.
+    /// Maximum size of a body in bytes.
     pub body_bytes: usize,
-    /// Longest time to send the headers, and then the body.
+    /// Maximum time to send the headers, and again to send the body.
     pub send_time: Duration,
-    /// Longest time a connection may be idle.
+    /// Maximum time for which a connection may be idle.
     pub idle_time: Duration,
 }
 
-/// Who holds a key.
+/// The holder of a key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct KeyHolder {
     /// Organisation that the key belongs to.
     pub organisation: OrganisationId,
-    /// Rank of its requests, which goes before the rule's.
+    /// Priority of its requests, which overrides the rule's.
     pub priority: Option<u8>,
 }
 
-/// One whole version of the configuration.
+/// One version of the complete configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TrafficConfig {
-    /// Version; later ones are higher.
+    /// Version; increases with every change.
     pub version: ConfigVersion,
-    /// Rules by host, longest prefix first.
+    /// Rules by host, longest path prefix first.
     pub hosts: IndexMap<String, Vec<TrafficRule>>,
     /// Services by name.
     pub services: IndexMap<ServiceId, ServiceSpec>,
-    /// Holders by key; `None` where callers need none.
+    /// Holders by key; `None` if callers need no key.
     pub keys: Option<IndexMap<String, KeyHolder>>,
-    /// Limits on callers.
+    /// Limits on what callers may send.
     pub limits: CallerLimits,
 }
 
 impl TrafficConfig {
-    /// Returns the rule with the longest prefix that begins the path.
+    /// Returns the rule with the longest prefix of the path.
     pub fn rule(&self, host: &str, path: &str) -> Option<&TrafficRule> {
         let rules = self.hosts.get(host)?;
         rules.iter().find(|rule| path.starts_with(&rule.prefix))
     }
 
-    /// Returns who holds a key.
+    /// Returns the holder of a key.
     pub fn holder(&self, key: &str) -> Option<&KeyHolder> {
         self.keys.as_ref()?.get(key)
     }
--- a/crates/core/src/waiting.rs
+++ b/crates/core/src/waiting.rs
@@ -1,105 +1,105 @@
-//! Requests that wait for a place at a target, and who of them goes next.
+//! The order in which requests that wait for a slot at a target are served.
 //!
-//! The load this answers: groups are lost faster than they are mended, and for tens of seconds
-//! callers ask for more than is left. Served in order of arrival, every request waits as long as the
-//! queue is and all of them are late, which is worth a quarter of an answer on time. Served by who can
-//! still be on time, as many are on time as there are places, and the others are told to come back.
+//! When groups fail faster than they recover, demand exceeds capacity for tens of seconds. Served
+//! in order of arrival, every request would wait for the whole queue and all of them would be late,
+//! and a late response is worth a quarter of one on time. Therefore requests that can still be on
+//! time go first; the others are refused, and their callers are asked to retry.
 
 use std::time::Duration;
 
 use crate::id::Moment;
 
-/// Time for which a request is kept that can not be on time any more.
+/// Time beyond the objective for which a late request is kept.
 ///
-/// A late answer is worth a quarter of one on time, and a caller that was told to come back is late as
-/// well; but a request that is held and then refused has lost that time.
+/// A late response is worth a quarter of one on time, and a request whose caller is asked to retry
+/// is late as well; but a request that is held and then refused has lost that time.
 const LATE_MAX_WAIT: Duration = Duration::from_millis(500);
-/// Part of the time it has left for which a request is kept that has come back already.
+/// Share of the remaining time for which a request that its caller has retried is kept.
 ///
-/// Its caller comes back only once, so refusing it again is the end of it.
+/// Callers retry only once, so refusing it again would be final.
 const RETRIED_WAIT_SHARE: f64 = 0.3;
-
-/// Time for which a stream is kept that broke off and is to go on.
+/// Time for which an interrupted stream waits to be resumed.
 ///
-/// What was delivered of it is lost if it ends. Callers leave a stream that pauses for two seconds.
+/// If it is refused, the part already delivered is lost. Callers abandon a stream that pauses for
+/// two seconds.
 const RESUMPTION_MAX_WAIT: Duration = Duration::from_millis(1_500);
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct WaitingRequest {
-    /// When it came.
+    /// When it arrived.
     pub arrived: Moment,
-    /// Last moment at which a place would still give an answer on time.
+    /// Latest time at which a slot would still produce a response on time.
     pub on_time_until: Moment,
-    /// Moment at which it is given up and refused.
+    /// Time at which it is refused.
     pub refuse_at: Moment,
-    /// Rank; zero goes first.
+    /// Priority; zero is the highest.
     pub priority: u8,
-    /// Whether part of its answer was delivered before its target was lost.
+    /// Whether part of its response was delivered before its target was lost.
     pub is_resumption: bool,
 }
 
-/// What is known of a request when it begins to wait.
+/// Properties of a request when it begins to wait.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct WaitParams {
-    /// When it came.
+    /// When it arrived.
     pub arrived: Moment,
-    /// Time its caller had waited before, at another node or for an earlier answer.
+    /// Time that its caller has already waited, at another node or for an earlier response.
     pub waited_before: Duration,
-    /// Time to the first event that callers were promised.
+    /// Latency objective: time to the first event.
     pub objective: Duration,
-    /// Time that usually passes from a place to the first event.
+    /// Usual time from getting a slot to the first event.
     pub first_event_time: Duration,
-    /// When the answer has to be there.
+    /// When the response must be complete.
     pub deadline: Moment,
-    /// Rank; zero goes first.
+    /// Priority; zero is the highest.
     pub priority: u8,
-    /// Whether part of its answer was delivered before its target was lost.
+    /// Whether part of its response was delivered before its target was lost.
     pub is_resumption: bool,
 }
 
 /// What to do with a waiting request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WaitVerdict {
-    /// It goes on waiting.
+    /// Keep it waiting.
     Wait,
-    /// It is refused now.
+    /// Refuse it now.
     Refuse,
 }
 
 impl WaitingRequest {
-    /// Returns a waiting request.
+    /// Creates a waiting request.
     ///
-    /// A place is useful as long as the first event can come within the objective, counted from the
-    /// caller's first attempt.
-    pub fn new(terms: WaitParams) -> Self {
-        let slack = terms
+    /// It is on time if the first event comes within the objective, counted from the caller's first
+    /// attempt.
+    pub fn new(params: WaitParams) -> Self {
+        let slack = params
             .objective
-            .saturating_sub(terms.first_event_time + terms.waited_before);
-        let useful_until = terms.arrived + slack;
-        let late = if terms.is_resumption {
+            .saturating_sub(params.first_event_time + params.waited_before);
+        let on_time_until = params.arrived + slack;
+        let max_wait = if params.is_resumption {
             RESUMPTION_MAX_WAIT
-        } else if terms.waited_before.is_zero() {
-            terms.objective + LATE_MAX_WAIT
+        } else if params.waited_before.is_zero() {
+            params.objective + LATE_MAX_WAIT
         } else {
-            let left = terms.deadline.saturating_sub(terms.arrived);
+            let left = params.deadline.saturating_sub(params.arrived);
             left.mul_f64(RETRIED_WAIT_SHARE)
         };
         Self {
-            arrived: terms.arrived,
-            on_time_until: useful_until,
-            refuse_at: (terms.arrived + late).min(terms.deadline),
-            priority: terms.priority,
-            is_resumption: terms.is_resumption,
+            arrived: params.arrived,
+            on_time_until,
+            refuse_at: (params.arrived + max_wait).min(params.deadline),
+            priority: params.priority,
+            is_resumption: params.is_resumption,
         }
     }
 
-    /// Returns whether it can not be on time any more; one that has begun is not held to that.
+    /// Returns whether it can no longer be on time; the objective does not apply to a resumption.
     pub fn is_late(&self, now: Moment) -> bool {
         !self.is_resumption && now > self.on_time_until
     }
 
-    /// Returns whether the request still waits at `now`.
+    /// Returns whether the request keeps waiting at `now`.
     pub fn verdict(&self, now: Moment) -> WaitVerdict {
         if now >= self.refuse_at {
             WaitVerdict::Refuse
@@ -108,14 +108,14 @@
         }
     }
 
-    /// Returns the key by which requests are ordered; the lowest goes next.
+    /// Returns the sort key of the request; the lowest key is served first.
     ///
-    /// Streams that have begun go before all others. The longer a stream, the more often its target is lost on the
-    /// way; behind callers that have just come, long ones are hardly ever finished where targets are often lost.
-    /// Those that can be on time go next, by rank and then the newest: while more is asked for than
-    /// is left, whoever is served at the last moment is late by the least thing, and so would be all.
-    /// The late ones follow by rank and arrival.
-    fn key(&self, now: Moment) -> (bool, bool, u8, i128) {
+    /// Resumptions go first: the longer a stream, the more often its target is lost on the way, and
+    /// behind new requests long streams would hardly ever finish where targets are often lost.
+    /// Requests that can be on time follow, by priority and then newest first: under overload,
+    /// requests served in order of arrival would all be served at the last moment, and any
+    /// disturbance would make all of them late. Late requests come last, by priority and arrival.
+    fn sort_key(&self, now: Moment) -> (bool, bool, u8, i128) {
         let is_late = self.is_late(now);
         let arrival = self.arrived.as_nanos() as i128;
         (
@@ -131,7 +131,7 @@
     }
 }
 
-/// Returns the index of the request that goes next.
+/// Returns the index of the request to serve next.
 ///
 /// ```
 /// use std::time::Duration;
@@ -148,11 +148,11 @@
 ///         ..WaitParams::default()
 ///     })
 /// };
-/// // At 250 ms the first can not be on time any more and the second can.
+/// // At 250 ms the first can no longer be on time, but the second can.
 /// assert_eq!(next_waiting(&[open(0), open(150)], at(250)), Some(1));
 /// ```
 pub fn next_waiting(waiting: &[WaitingRequest], now: Moment) -> Option<usize> {
-    let keys = waiting.iter().map(|request| request.key(now));
-    let (index, _) = keys.enumerate().min_by_key(|(_, key)| *key)?;
+    let keys = waiting.iter().map(|request| request.sort_key(now));
+    let (index, _) = keys.enumerate().min_by_key(|(_, sort_key)| *sort_key)?;
     Some(index)
 }
--- a/crates/core/src/watch.rs
+++ b/crates/core/src/watch.rs
@@ -1,16 +1,16 @@
-//! Which nodes watch which machine, by rendezvous hashing.
+//! Assigns machines to the nodes that watch them, by rendezvous hashing.
 
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::id::NodeId;
 
-/// Nodes that watch each machine, so that the loss of one watcher loses no evidence.
+/// Number of nodes that watch each machine, so that evidence survives the loss of one of them.
 pub const WATCHERS_PER_VM: usize = 2;
 
-/// Returns the nodes that watch `vm`, the first choice first.
+/// Returns the nodes that watch `vm`, in order of preference.
 ///
-/// Highest-random-weight hashing (Thaler and Ravishankar, 1998): when a node comes or goes, only
-/// the machines it watches change hands.
+/// Highest-random-weight hashing (Thaler and Ravishankar, 1998): if a node joins or leaves, only
+/// the machines that it watches are reassigned.
 ///
 /// ```
 /// use briarswitch_core::watch::watchers;
