--- a/crates/core/examples/layout.rs
+++ b/crates/core/examples/layout.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use briarswitch_core::engine::{EngineModel, ModelSpec};
+use briarswitch_core::engine::{EngineSpec, ModelSpec};
 use briarswitch_core::id::{DomainId, ModelId};
 use briarswitch_core::layout::{plan_layout, DomainInventory, DomainLayout, LayoutPhase};
 use indexmap::IndexMap;
@@ -16,21 +16,21 @@
 /// Number of timed runs.
 const TIMED_RUNS: usize = 5;
 
-fn engine() -> EngineModel {
+fn engine() -> EngineSpec {
     let model = |id: &str, size: usize| {
         let spec = ModelSpec {
             id: id.to_owned(),
-            size,
-            share: 0.5,
-            pace: 1.0,
+            group_size: size,
+            expected_share: 0.5,
+            time_factor: 1.0,
             load_time: Duration::from_secs(16),
             warmup: Duration::from_millis(1_600),
         };
         (spec.id.clone(), spec)
     };
-    EngineModel {
+    EngineSpec {
         models: IndexMap::from([model("large", 16), model("small", 4)]),
-        ..EngineModel::default()
+        ..EngineSpec::default()
     }
 }
 
--- a/crates/core/src/assembly.rs
+++ b/crates/core/src/assembly.rs
@@ -12,7 +12,7 @@
 use indexmap::{IndexMap, IndexSet};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::engine::{EngineModel, ModelSpec};
+use crate::engine::{EngineSpec, ModelSpec};
 use crate::id::{Epoch, GroupId, Incarnation, ModelId, Moment, TargetId};
 use crate::layout::DomainLayout;
 use crate::order::{OrderResult, TargetAction, TargetOrder};
@@ -83,7 +83,7 @@
     /// Targets of the domain.
     pub targets: &'a IndexMap<TargetId, TargetFacts>,
     /// Performance figures and models.
-    pub engine: &'a EngineModel,
+    pub engine: &'a EngineSpec,
     /// Planned content of the domain.
     pub layout: &'a DomainLayout,
     /// Weights that targets are loading on orders of this controller.
@@ -536,7 +536,11 @@
                 && !self.reassigning.contains(group)
         };
         let lacking = view.layout.holders.iter().map(|(model, holders)| {
-            let size = view.engine.models.get(model).map_or(1, |model| model.size);
+            let size = view
+                .engine
+                .models
+                .get(model)
+                .map_or(1, |model| model.group_size);
             let existing = groups.iter().filter(|(group, observed)| {
                 observed.model.as_ref() == Some(model) && is_staying(group)
             });
@@ -571,13 +575,13 @@
         let mut ranked: Vec<(Duration, &TargetId)> = idle
             .map(|id| (self.join_time(id, model, view), id))
             .collect();
-        if ranked.len() < model.size || model.size == 0 {
+        if ranked.len() < model.group_size || model.group_size == 0 {
             return None;
         }
         // Targets with another model's weights come last: that model needs them, even if they could
         // join sooner.
         ranked.sort_by_key(|(time, id)| (view.next_model(id) != Some(&model.id), *time));
-        ranked.truncate(model.size);
+        ranked.truncate(model.group_size);
         let loading = ranked.iter().filter(|(time, _)| *time >= model.load_time);
         let loads = loading.count();
         let is_allowed = loads == 0 || (view.may_load_on_join && loads <= budget);
--- a/crates/core/src/coverage.rs
+++ b/crates/core/src/coverage.rs
@@ -39,6 +39,8 @@
         return observed;
     }
     // The declared share is that of the targets' work, so a model with large groups fills fewer.
-    let declared = models.iter().map(|model| model.share / model.size as f64);
+    let declared = models
+        .iter()
+        .map(|model| model.expected_share / model.group_size as f64);
     declared.collect()
 }
--- a/crates/core/src/layout.rs
+++ b/crates/core/src/layout.rs
@@ -17,7 +17,7 @@
 use indexmap::IndexMap;
 
 use crate::coverage::{coverage_utility, demand_by_model, model_weight};
-use crate::engine::{EngineModel, ModelSpec};
+use crate::engine::{EngineSpec, ModelSpec};
 use crate::id::{DomainId, ModelId, ZoneId};
 use crate::losses::{LossParams, SurvivalTable};
 
@@ -79,23 +79,23 @@
 /// Allocates weights over all domains.
 ///
 /// ```
-/// use briarswitch_core::engine::{EngineModel, ModelSpec};
+/// use briarswitch_core::engine::{EngineSpec, ModelSpec};
 /// use briarswitch_core::layout::{plan_layout, DomainInventory, LayoutPhase};
 /// use indexmap::IndexMap;
 ///
 /// let model = |id: &str, size, share| {
 ///     let id = id.to_owned();
-///     (id.clone(), ModelSpec { id, size, share, ..ModelSpec::default() })
+///     (id.clone(), ModelSpec { id, group_size: size, expected_share: share, ..ModelSpec::default() })
 /// };
 /// let models = IndexMap::from([model("large", 4, 0.67), model("small", 2, 0.33)]);
-/// let engine = EngineModel { models, ..EngineModel::default() };
+/// let engine = EngineSpec { models, ..EngineSpec::default() };
 /// let domain = DomainInventory { empty: 8, ..DomainInventory::default() };
 /// let layouts = plan_layout(&engine, &IndexMap::new(), &[domain], LayoutPhase::Start);
 /// assert_eq!(layouts[""].holders.values().sum::<usize>(), 8);
 /// assert!(layouts[""].holders["large"] >= 4);
 /// ```
 pub fn plan_layout(
-    engine: &EngineModel,
+    engine: &EngineSpec,
     demand: &IndexMap<ModelId, f64>,
     domains: &[DomainInventory],
     phase: LayoutPhase,
@@ -144,12 +144,12 @@
 impl<'a> LayoutDraft<'a> {
     /// Creates a draft from the weights currently held, or an empty one before the first request.
     pub(crate) fn new(
-        engine: &'a EngineModel,
+        engine: &'a EngineSpec,
         demand: &IndexMap<ModelId, f64>,
         domains: &'a [DomainInventory],
         phase: LayoutPhase,
     ) -> Self {
-        let sized = engine.models.values().filter(|model| model.size > 0);
+        let sized = engine.models.values().filter(|model| model.group_size > 0);
         let models: Vec<&ModelSpec> = sized.collect();
         let mut zones: Vec<&ZoneId> = domains.iter().map(|inventory| &inventory.zone).collect();
         zones.sort_unstable();
@@ -162,7 +162,7 @@
         let weights = demand.iter().zip(&models);
         let mut draft = Self {
             weights: weights
-                .map(|(demand, model)| model_weight(*demand, model.size))
+                .map(|(demand, model)| model_weight(*demand, model.group_size))
                 .collect(),
             demand,
             domains: drafts.collect(),
@@ -185,7 +185,7 @@
             let expected = self.survival.expected_groups(LossParams {
                 targets: domain.targets,
                 holders: domain.holders[model],
-                size: spec.size,
+                size: spec.group_size,
             });
             self.surviving[domain.zone][model] += sign * expected;
         }
@@ -241,7 +241,7 @@
     /// none would be assigned to a group that lacks two: domains kept 13 to 15 targets of a model
     /// with groups of sixteen for 20 s, while new targets loaded the other model.
     fn best_gain(&mut self, index: usize, model: usize, before: f64) -> f64 {
-        let size = self.models[model].size;
+        let size = self.models[model].group_size;
         let filled = self.domains[index].holders[model] % size;
         let max = match self.phase {
             LayoutPhase::Serving if filled > 0 => size - filled,
@@ -361,7 +361,8 @@
         let mut order: Vec<usize> = (0..self.models.len()).collect();
         let coverage = |model: &usize| {
             let groups = self.domains.iter();
-            let groups = groups.map(|domain| domain.holders[*model] / self.models[*model].size);
+            let groups =
+                groups.map(|domain| domain.holders[*model] / self.models[*model].group_size);
             groups.sum::<usize>() as f64 / self.demand[*model].max(f64::MIN_POSITIVE)
         };
         order.sort_by(|left, right| coverage(left).total_cmp(&coverage(right)));
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,12 +1,12 @@
-//! Decisions of briarswitch as pure functions of state, event and time.
+//! Decision logic of briarswitch as pure functions of state, event and time.
 //!
-//! Nothing here touches a socket, a clock or a thread: time and randomness come in as arguments, so
-//! that tests, replays and the model checker drive the same code as the node does.
+//! Nothing here uses a socket, a clock or a thread: time and randomness are passed in as arguments,
+//! so that tests, replays and the model checker run the same code as the node.
 //!
 //! ```
 //! use briarswitch_core::prelude::*;
 //!
-//! let book = ConfigBook::default();
+//! let book = VersionedConfig::default();
 //! assert_eq!(book.version(), 0);
 //! ```
 
@@ -21,9 +21,9 @@
 pub mod engine;
 pub mod events;
 pub mod evidence;
-pub mod exchange;
 pub mod fair;
 pub mod finding;
+pub mod fingerprint;
 pub mod fleet;
 mod free_pool;
 pub mod group;
@@ -35,14 +35,14 @@
 pub mod minted_key;
 pub mod order;
 pub mod organisation;
+pub mod outage_history;
 pub mod outcome;
 pub mod placement;
 pub mod planner;
 pub mod prefix;
 pub mod prelude;
-pub mod print;
+pub mod rebalance;
 pub mod retry;
-pub mod returns;
 pub mod rule;
 pub mod silence;
 pub mod stream;
--- a/crates/core/src/planner.rs
+++ b/crates/core/src/planner.rs
@@ -10,13 +10,13 @@
 use crate::draft::PlanDraft;
 use crate::fleet::{FleetState, PlanStep};
 use crate::id::Moment;
-use crate::returns::ReturnHistory;
+use crate::outage_history::OutageHistory;
 
 /// Plans the groups of one zone.
 #[derive(Clone, Debug)]
 pub struct GroupPlanner {
     /// Past absences of lost machines.
-    pub history: ReturnHistory,
+    pub history: OutageHistory,
     /// Time to load weights that a machine does not hold.
     pub load_time: Duration,
     /// Minimum time that a machine must be unreachable before its group is changed.
@@ -27,7 +27,7 @@
     /// Creates a planner with an empty history.
     pub fn new(load_time: Duration, grace: Duration) -> Self {
         Self {
-            history: ReturnHistory::default(),
+            history: OutageHistory::default(),
             load_time,
             grace,
         }
@@ -43,7 +43,9 @@
     /// assert!(planner.plan(&FleetState::default(), Duration::ZERO).is_empty());
     /// ```
     pub fn plan(&self, fleet: &FleetState, now: Moment) -> Vec<PlanStep> {
-        let replacement_delay = self.grace.max(self.history.patience(self.load_time));
+        let replacement_delay = self
+            .grace
+            .max(self.history.replacement_delay(self.load_time));
         let mut draft = PlanDraft::new(fleet, now, replacement_delay, self.grace);
         draft.dissolve_surplus();
         draft.repair_broken();
--- a/crates/core/src/prefix.rs
+++ b/crates/core/src/prefix.rs
@@ -1,14 +1,14 @@
-//! Which prompts a target has likely cached, learned from what was sent to it.
+//! Estimates which prompts a target has cached from the prompts that were sent to it.
 
 use indexmap::IndexSet;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Bytes of a prompt that one block covers.
 const BLOCK_BYTES: usize = 256;
-/// Most blocks of a prompt that are looked at.
-const BLOCKS: usize = 64;
+/// Maximum number of leading blocks that are hashed.
+const MAX_BLOCKS: usize = 64;
 
-/// Hashes of a prompt's leading blocks, each over everything before it.
+/// Hashes of a prompt's leading blocks; each hash also covers all preceding blocks.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct PrefixChain {
     hashes: Vec<u64>,
@@ -26,7 +26,7 @@
         let mut seed = 0;
         let hashes = prompt
             .chunks_exact(BLOCK_BYTES)
-            .take(BLOCKS)
+            .take(MAX_BLOCKS)
             .map(|block| {
                 seed = xxh3_64_with_seed(block, seed);
                 seed
@@ -35,20 +35,21 @@
         Self { hashes }
     }
 
-    /// Returns the place, among targets named in the same order, that all nodes send prompts with
-    /// this beginning to when they know nothing better; `None` when the prompt is too short.
+    /// Returns the index of the target that all nodes prefer for prompts with this prefix, or
+    /// `None` if the prompt is shorter than one block. All nodes must list the targets in the same
+    /// order.
     ///
-    /// Nodes do not tell each other what they sent where. Rendezvous hashing of the first block
-    /// makes them agree all the same, so that a prefix is cached at one target and not at one for
-    /// each node.
+    /// Nodes do not exchange which prompts they sent where. Rendezvous hashing of the first block
+    /// makes them choose the same target, so that a prefix is cached at one target instead of at a
+    /// different one for each node.
     ///
     /// ```
     /// use briarswitch_core::prefix::PrefixChain;
     ///
     /// let chain = PrefixChain::of(&[7; 300]);
-    /// assert_eq!(chain.home(["a", "b"].into_iter()), chain.home(["a", "b"].into_iter()));
+    /// assert_eq!(chain.affinity_target(["a", "b"].into_iter()), chain.affinity_target(["a", "b"].into_iter()));
     /// ```
-    pub fn home<'a>(&self, targets: impl Iterator<Item = &'a str>) -> Option<usize> {
+    pub fn affinity_target<'a>(&self, targets: impl Iterator<Item = &'a str>) -> Option<usize> {
         let first = *self.hashes.first()?;
         let scores = targets.map(|target| xxh3_64_with_seed(target.as_bytes(), first));
         let ranked = scores.enumerate().max_by_key(|(_, score)| *score);
@@ -61,37 +62,37 @@
     }
 }
 
-/// Blocks that one target was sent lately.
+/// Blocks that were recently sent to a target, in least-recently-used order.
 #[derive(Clone, Debug)]
-pub struct PrefixBook {
+pub struct PrefixIndex {
     capacity: usize,
     blocks: IndexSet<u64>,
 }
 
-impl PrefixBook {
-    /// Opens a book of at most `capacity` blocks.
-    pub fn open(capacity: usize) -> Self {
+impl PrefixIndex {
+    /// Creates an index of at most `capacity` blocks.
+    pub fn new(capacity: usize) -> Self {
         Self {
             capacity,
             blocks: IndexSet::new(),
         }
     }
 
-    /// Returns the share of a prompt's blocks that the target has likely cached, 0 to 1.
-    pub fn share(&self, chain: &PrefixChain) -> f64 {
+    /// Returns the estimated share of a prompt's blocks that the target has cached, 0 to 1.
+    pub fn cached_share(&self, chain: &PrefixChain) -> f64 {
         if chain.is_empty() {
             return 0.0;
         }
-        let held = chain
+        let cached = chain
             .hashes
             .iter()
             .take_while(|hash| self.blocks.contains(*hash))
             .count();
-        held as f64 / chain.hashes.len() as f64
+        cached as f64 / chain.hashes.len() as f64
     }
 
-    /// Notes that a prompt was sent to the target.
-    pub fn note(&mut self, chain: &PrefixChain) {
+    /// Records that a prompt was sent to the target.
+    pub fn record(&mut self, chain: &PrefixChain) {
         for hash in &chain.hashes {
             self.blocks.shift_remove(hash);
             self.blocks.insert(*hash);
@@ -101,13 +102,13 @@
     }
 }
 
-/// Hashes bytes the same way on every node and in every life of a node.
+/// Hashes bytes to the same value on every node and after every restart.
 ///
 /// ```
-/// use briarswitch_core::prefix::hash_of;
+/// use briarswitch_core::prefix::stable_hash;
 ///
-/// assert_eq!(hash_of(b"a"), hash_of(b"a"));
+/// assert_eq!(stable_hash(b"a"), stable_hash(b"a"));
 /// ```
-pub fn hash_of(bytes: &[u8]) -> u64 {
+pub fn stable_hash(bytes: &[u8]) -> u64 {
     xxh3_64_with_seed(bytes, 0)
 }
--- a/crates/core/src/prelude.rs
+++ b/crates/core/src/prelude.rs
@@ -1,10 +1,10 @@
-//! The types most modules need, imported together.
+//! The types that most modules need, in one import.
 
 pub use crate::choice::{TargetLoad, TargetPicker};
 pub use crate::claim::{ClaimCache, ClaimState};
-pub use crate::config::{ConfigBook, ConfigEntry, ConfigValue, EntityKey, EntityKind};
+pub use crate::config::{ConfigEntry, ConfigValue, EntityKey, EntityKind, VersionedConfig};
 pub use crate::deployment::{Deployment, DeploymentKind};
-pub use crate::evidence::{EvidenceLedger, MemberReport, MemberState};
+pub use crate::evidence::{EvidenceCache, MemberReport, MemberState};
 pub use crate::fair::FairQueue;
 pub use crate::finding::Finding;
 pub use crate::fleet::{FleetState, PlanStep, PlanWeights, VmFacts};
--- a/crates/core/tests/layout.rs
+++ b/crates/core/tests/layout.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use briarswitch_core::engine::{EngineModel, ModelSpec};
+use briarswitch_core::engine::{EngineSpec, ModelSpec};
 use briarswitch_core::id::*;
 use briarswitch_core::layout::{plan_layout, DomainInventory, DomainLayout, LayoutPhase};
 use googletest::prelude::*;
@@ -13,22 +13,22 @@
 /// Zones, with two domains each.
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-fn engine(sizes: [usize; 2]) -> EngineModel {
+fn engine(sizes: [usize; 2]) -> EngineSpec {
     let model = |id: &str, size: usize, share| {
         let spec = ModelSpec {
             id: id.to_owned(),
-            size,
-            share,
-            pace: 1.0,
+            group_size: size,
+            expected_share: share,
+            time_factor: 1.0,
             load_time: Duration::from_secs(16),
             warmup: Duration::from_millis(1_600),
         };
         (spec.id.clone(), spec)
     };
     let models = [model(LARGE, sizes[0], 0.67), model(SMALL, sizes[1], 0.33)];
-    EngineModel {
+    EngineSpec {
         models: IndexMap::from(models),
-        ..EngineModel::default()
+        ..EngineSpec::default()
     }
 }
 
--- a/crates/core/tests/losses.rs
+++ b/crates/core/tests/losses.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use briarswitch_core::engine::{EngineModel, ModelSpec};
+use briarswitch_core::engine::{EngineSpec, ModelSpec};
 use briarswitch_core::id::*;
 use briarswitch_core::layout::{plan_layout, DomainInventory, DomainLayout, LayoutPhase};
 use googletest::prelude::*;
@@ -73,22 +73,22 @@
 };
 
 impl FleetCase {
-    fn engine(&self) -> EngineModel {
+    fn engine(&self) -> EngineSpec {
         let models = [LARGE, SMALL].into_iter().enumerate();
         let models = models.map(|(index, id)| {
             let spec = ModelSpec {
                 id: id.to_owned(),
-                size: self.sizes[index],
-                share: self.shares[index],
-                pace: 1.0,
+                group_size: self.sizes[index],
+                expected_share: self.shares[index],
+                time_factor: 1.0,
                 load_time: Duration::from_secs(LOAD_TIME_S),
                 warmup: Duration::from_millis(1_600),
             };
             (spec.id.clone(), spec)
         });
-        EngineModel {
+        EngineSpec {
             models: models.collect(),
-            ..EngineModel::default()
+            ..EngineSpec::default()
         }
     }
 
--- a/crates/core/tests/staging.rs
+++ b/crates/core/tests/staging.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use briarswitch_core::assembly::{DomainReconciler, DomainView, TargetFacts, TargetStatus};
-use briarswitch_core::engine::{EngineModel, ModelSpec};
+use briarswitch_core::engine::{EngineSpec, ModelSpec};
 use briarswitch_core::id::*;
 use briarswitch_core::layout::DomainLayout;
 use briarswitch_core::order::{OrderResult, TargetAction, TargetOrder};
@@ -18,7 +18,7 @@
 /// completes.
 struct DomainSimulation {
     reconciler: DomainReconciler,
-    engine: EngineModel,
+    engine: EngineSpec,
     layout: DomainLayout,
     targets: IndexMap<TargetId, TargetFacts>,
     loading: IndexMap<TargetId, ModelId>,
@@ -31,7 +31,7 @@
         let models = [(LARGE, 4), (SMALL, 2)].map(|(id, size)| {
             let spec = ModelSpec {
                 id: id.to_owned(),
-                size,
+                group_size: size,
                 load_time: Duration::from_secs(16),
                 warmup: Duration::from_millis(1_600),
                 ..ModelSpec::default()
@@ -40,9 +40,9 @@
         });
         let mut domain = Self {
             reconciler: DomainReconciler::new("n1"),
-            engine: EngineModel {
+            engine: EngineSpec {
                 models: IndexMap::from(models),
-                ..EngineModel::default()
+                ..EngineSpec::default()
             },
             layout: layout(8, 0),
             targets: IndexMap::new(),
--- a/crates/fleet/src/layouts.rs
+++ b/crates/fleet/src/layouts.rs
@@ -1,9 +1,10 @@
 //! What the domains of a service should hold, decided anew now and then.
 
+use briarswitch_core::rebalance::plan_rebalance;
+use briarswitch_core::rebalance::RebalanceParams;
 use std::time::Duration;
 
-use briarswitch_core::engine::EngineModel;
-use briarswitch_core::exchange::{plan_exchange, ExchangeTerms};
+use briarswitch_core::engine::EngineSpec;
 use briarswitch_core::id::*;
 use briarswitch_core::layout::{plan_layout, DomainInventory, DomainLayout, LayoutPhase};
 use indexmap::IndexMap;
@@ -25,7 +26,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LayoutBasis<'a> {
     /// Models.
-    pub engine: &'a EngineModel,
+    pub engine: &'a EngineSpec,
     /// What each domain holds.
     pub stock: &'a [DomainInventory],
     /// Groups that each model's callers fill now.
@@ -68,14 +69,14 @@
     ///
     /// While weights are exchanged, all domains may begin before their nodes hear of each other, and some of the
     /// loads are kept for targets that come in place of lost ones.
-    pub fn load_budget(&self, engine: &EngineModel, budget: usize) -> usize {
+    pub fn load_budget(&self, engine: &EngineSpec, budget: usize) -> usize {
         if !self.is_exchange {
             return budget;
         }
-        let kept = engine.loads_at_once as f64 * (1.0 - EXCHANGE_PART);
+        let kept = engine.parallel_loads as f64 * (1.0 - EXCHANGE_PART);
         let left = budget.saturating_sub(kept.round() as usize);
         let domains = self.of_domain.len().max(1);
-        left.min((engine.loads_at_once / domains).max(1))
+        left.min((engine.parallel_loads / domains).max(1))
     }
 
     /// Decides anew.
@@ -93,11 +94,11 @@
         let trend = basis.trend.filter(|_| !basis.is_start);
         let trend = trend.filter(|_| basis.now >= self.exchanged + EXCHANGE_INTERVAL);
         let exchanged = trend.map(|demand| {
-            plan_exchange(ExchangeTerms {
+            plan_rebalance(RebalanceParams {
                 engine: basis.engine,
                 demand,
                 domains: basis.stock,
-                coming: basis.coming,
+                loading: basis.coming,
             })
         });
         let phase = if basis.is_start {
--- a/crates/fleet/src/suspicion.rs
+++ b/crates/fleet/src/suspicion.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use briarswitch_core::id::Moment;
-use briarswitch_core::silence::{silence_limit, GroupWork};
+use briarswitch_core::silence::{silence_limit, GroupActivity};
 use briarswitch_kernel::Mailbox;
 
 use crate::job::RequestJob;
@@ -30,12 +30,12 @@
         return patience(job);
     };
     let gauge = &target.gauge;
-    let work = GroupWork {
-        writers: gauge.writers(),
-        own: gauge.own(),
-        unread: gauge.unread_requests(),
-        unread_tokens: gauge.unread(),
-        interval: gauge.interval(),
+    let work = GroupActivity {
+        active_requests: gauge.writers(),
+        local_requests: gauge.own(),
+        prefill_requests: gauge.unread_requests(),
+        prefill_tokens: gauge.unread(),
+        max_interval: gauge.interval(),
     };
     silence_limit(engine, model, &work)
 }
--- a/crates/fleet/src/table.rs
+++ b/crates/fleet/src/table.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
-use briarswitch_core::engine::EngineModel;
+use briarswitch_core::engine::EngineSpec;
 use briarswitch_core::id::*;
 use briarswitch_core::target::{Membership, MembershipState, TargetCache, TargetRecord};
-use briarswitch_core::traffic::TrafficBook;
+use briarswitch_core::traffic::TrafficConfig;
 use indexmap::{IndexMap, IndexSet};
 use rustc_hash::FxBuildHasher;
 
@@ -55,7 +55,7 @@
 impl TargetTable {
     /// Builds the table that follows the one before.
     pub fn build(
-        book: &TrafficBook,
+        book: &TrafficConfig,
         targets: &TargetCache,
         before: &Self,
         gauges: &GaugeBoard,
@@ -146,7 +146,7 @@
 fn whole_groups<'a>(
     records: impl Iterator<Item = &'a TargetRecord>,
     unlisted: &MemberMap<'a>,
-    engine: &EngineModel,
+    engine: &EngineSpec,
     gauges: &GaugeBoard,
 ) -> IndexMap<ModelId, Vec<Arc<RouteTarget>>> {
     let mut members = unlisted.clone();
@@ -179,10 +179,10 @@
     head: &TargetRecord,
     held: &Membership,
     members: &MemberMap<'_>,
-    engine: &EngineModel,
+    engine: &EngineSpec,
 ) -> Option<RouteGroup> {
     let model = head.models.first()?;
-    let size = engine.models.get(model)?.size;
+    let size = engine.models.get(model)?.group_size;
     let member = |rank| members.get(&(&held.group, held.epoch, rank));
     let ranks = std::iter::once(Some(&head.id)).chain((1..size).map(|rank| member(rank).copied()));
     Some(RouteGroup {
--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use briarswitch_core::engine::{EngineModel, ModelSpec};
+use briarswitch_core::engine::{EngineSpec, ModelSpec};
 use briarswitch_core::id::*;
 use briarswitch_core::traffic::{
-    AnswerKind, CallerLimits, KeyHolder, RepeatKind, ServiceSpec, SplitShare, TrafficBook,
+    AnswerKind, CallerLimits, KeyHolder, RepeatKind, ServiceSpec, SplitShare, TrafficConfig,
     TrafficRule,
 };
 use briarswitch_fleet::{FleetNode, FleetSettings};
@@ -36,7 +36,7 @@
 
 /// Returns rules for streams of single targets below `/chat/` and of groups below `/model/`, for idempotent calls
 /// below `/look/` and for calls that run at most once below `/bill/`.
-pub fn book() -> TrafficBook {
+pub fn book() -> TrafficConfig {
     let rule = |prefix: &str, service: &str, repeat, answer| TrafficRule {
         name: prefix.to_owned(),
         prefix: prefix.to_owned(),
@@ -81,7 +81,7 @@
         service(SERVICE, None),
         service(GROUP_SERVICE, Some(engine())),
     ];
-    TrafficBook {
+    TrafficConfig {
         version: 1,
         hosts: [(HOST.to_owned(), rules)].into(),
         services: services.into(),
@@ -96,25 +96,25 @@
 }
 
 /// Returns engines whose groups have one member each.
-fn engine() -> EngineModel {
+fn engine() -> EngineSpec {
     let model = ModelSpec {
         id: MODEL.to_owned(),
-        size: 1,
-        share: 1.0,
-        pace: 1.0,
+        group_size: 1,
+        expected_share: 1.0,
+        time_factor: 1.0,
         load_time: Duration::from_secs(60),
         warmup: Duration::from_secs(60),
     };
-    EngineModel {
+    EngineSpec {
         slots: 8,
-        stride: 2,
-        step: Duration::from_millis(5),
-        read_per_second: 100_000.0,
-        usual_answer: 20.0,
+        steps_per_pass: 2,
+        step_time: Duration::from_millis(5),
+        prefill_tokens_per_second: 100_000.0,
+        mean_answer_tokens: 20.0,
         loads_per_second: 1.0,
-        loads_at_once: 1,
+        parallel_loads: 1,
         models: [(MODEL.to_owned(), model)].into(),
-        ..EngineModel::default()
+        ..EngineSpec::default()
     }
 }
 
