--- a/crates/fleet/src/controller.rs
+++ b/crates/fleet/src/controller.rs
@@ -18,16 +18,16 @@
 use serde_json::{json, Value};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::census::DomainCensus;
 use crate::costs::CostKind;
 use crate::demand::DemandTrend;
-use crate::domains::{domains_of, stock_of, StockItem};
-use crate::layouts::{LayoutBasis, ServiceLayouts};
+use crate::domain_counts::DomainCounts;
+use crate::domains::{domains_of, inventory_of, InventoryItem};
+use crate::layouts::{LayoutInputs, ServiceLayouts};
 use crate::order_sender::deliver;
 use crate::ports::{ReportError, TargetReport};
-use crate::scope::{ControlScope, DomainKey, ScopeBasis};
+use crate::scope::{ControlScope, DomainKey, ScopeInputs};
 use crate::shared::{DirectoryView, FleetShared};
-use crate::supply::supplies;
+use crate::supply::model_supplies;
 use crate::tracker::{TargetTracker, TrackedTarget};
 
 /// Time between rounds.
@@ -60,7 +60,7 @@
     shared: Arc<FleetShared>,
     tracker: TargetTracker,
     keepers: IndexMap<DomainKey, DomainKeeper>,
-    census: IndexMap<DomainKey, DomainCensus>,
+    census: IndexMap<DomainKey, DomainCounts>,
     loads: IndexMap<TargetId, ModelId>,
     layouts: IndexMap<ServiceId, ServiceLayouts>,
     trend: DemandTrend,
@@ -76,7 +76,7 @@
     /// Look at everything again.
     Round,
     /// A target reported or did not.
-    Reported {
+    ReportReceived {
         /// Target.
         target: TargetId,
         /// What it said.
@@ -85,7 +85,7 @@
         is_late: bool,
     },
     /// A target answered an order or did not.
-    Ordered {
+    OrderAnswered {
         /// The order.
         order: TargetOrder,
         /// What became of it.
@@ -97,7 +97,7 @@
 
 impl GroupController {
     /// Opens a controller that is responsible for nothing yet.
-    pub fn open(shared: Arc<FleetShared>) -> Self {
+    pub fn new(shared: Arc<FleetShared>) -> Self {
         Self {
             shared,
             tracker: TargetTracker::default(),
@@ -127,27 +127,27 @@
             return;
         };
         let scope = self.scope(book, &directory);
-        self.update_keepers(&scope.own);
-        let listed = scope.mine.iter().map(Arc::as_ref);
-        let unlisted = scope.unlisted.iter().map(Arc::as_ref);
+        self.update_keepers(&scope.own_domains);
+        let listed = scope.own_targets.iter().map(Arc::as_ref);
+        let unlisted = scope.unlisted_members.iter().map(Arc::as_ref);
         self.tracker.sync(listed, unlisted, now);
-        if !scope.own.is_empty() {
+        if !scope.own_domains.is_empty() {
             self.look_at_suspects(now);
         }
-        for (target, address) in self.tracker.due(now) {
+        for (target, address) in self.tracker.take_due(now) {
             self.ask(target, address, link);
         }
-        let is_listed = self.is_listing_done(scope.engines.len(), now);
+        let is_listed = self.is_listing_done(scope.engine_targets.len(), now);
         let tracker = &self.tracker;
         self.loads
             .retain(|id, _| tracker.targets().contains_key(id));
         self.count_loads();
-        if !is_listed || scope.own.is_empty() {
+        if !is_listed || scope.own_domains.is_empty() {
             return;
         }
         let services = book.services.values();
         let services = services.filter(|service| service.engine.is_some());
-        let records: Vec<&TargetRecord> = scope.engines.iter().map(Arc::as_ref).collect();
+        let records: Vec<&TargetRecord> = scope.engine_targets.iter().map(Arc::as_ref).collect();
         let is_log_due = now >= self.supply_logged + SUPPLY_INTERVAL;
         if is_log_due {
             self.supply_logged = now;
@@ -156,7 +156,7 @@
             if is_log_due {
                 self.log_supply(service, now);
             }
-            self.tend(service, &records, &scope.own, now, link);
+            self.tend(service, &records, &scope.own_domains, now, link);
         }
     }
 
@@ -164,15 +164,19 @@
     ///
     /// Few of the nodes give orders at all, and all look at every target twenty times a second.
     fn scope(&mut self, book: &TrafficBook, directory: &Arc<DirectoryView>) -> Arc<ControlScope> {
-        let basis = ScopeBasis {
+        let basis = ScopeInputs {
             version: book.version,
             directory: Arc::clone(directory),
             live: self.shared.live.load(),
         };
-        if let Some(scope) = self.scope.as_ref().filter(|scope| scope.is_of(&basis)) {
+        if let Some(scope) = self
+            .scope
+            .as_ref()
+            .filter(|scope| scope.is_current_for(&basis))
+        {
             return Arc::clone(scope);
         }
-        let scope = Arc::new(ControlScope::open(book, basis));
+        let scope = Arc::new(ControlScope::new(book, basis));
         self.scope = Some(Arc::clone(&scope));
         scope
     }
@@ -216,11 +220,11 @@
     ) -> ServiceLayouts {
         let items = self.stock_items(records, own);
         let is_own = |domain: &DomainId| own.iter().any(|key| key.domain == *domain);
-        let stock = stock_of(engine, &domains_of(records), &items, is_own);
+        let stock = inventory_of(engine, &domains_of(records), &items, is_own);
         let demand = self.demand(now);
         let is_start = self.is_start();
         if !is_start {
-            self.trend.note(&demand, now);
+            self.trend.add_sample(&demand, now);
         }
         // Who is cut off sees only a part of what callers ask for and of what others hold.
         let is_in_touch = self.shared.book_age() < EXCHANGE_AGE;
@@ -228,12 +232,12 @@
         let elsewhere = self.shared.elsewhere.load();
         let coming = elsewhere.loading.iter();
         let coming = coming.map(|(model, count)| (model.clone(), *count as usize));
-        held.renew(LayoutBasis {
+        held.replan(LayoutInputs {
             engine,
-            stock: &stock,
+            inventory: &stock,
             demand: &demand,
             trend: trend.as_ref(),
-            coming: &coming.collect(),
+            loading: &coming.collect(),
             is_start,
             now,
         })
@@ -244,11 +248,11 @@
         &'a self,
         records: &[&'a TargetRecord],
         own: &IndexSet<DomainKey>,
-    ) -> Vec<StockItem<'a>> {
+    ) -> Vec<InventoryItem<'a>> {
         let staying = records.iter().filter(|record| !record.is_draining);
         let items = staying.filter_map(|record| {
-            let listed = StockItem::from(*record);
-            if !own.iter().any(|key| key.holds(record)) {
+            let listed = InventoryItem::from(*record);
+            if !own.iter().any(|key| key.contains(record)) {
                 return Some(listed);
             }
             let facts = &self.tracker.targets().get(&record.id)?.facts;
@@ -259,7 +263,7 @@
                 staged: &facts.staged,
                 loading,
             };
-            (facts.standing == TargetStanding::Live).then_some(StockItem { weights, ..listed })
+            (facts.standing == TargetStanding::Live).then_some(InventoryItem { weights, ..listed })
         });
         items.collect()
     }
@@ -306,14 +310,14 @@
     /// through the one that gives its orders. On its own streams alone one of 71 nodes noticed lost
     /// members after 2.5 to 3.8 s.
     fn look_at_suspects(&mut self, now: Moment) {
-        let suspects = self.shared.gauges.suspected_anywhere(now);
+        let suspects = self.shared.gauges.all_suspects(now);
         let table = self.shared.table.load();
         for group in table.all_groups() {
             if !suspects.contains(&group.id) || self.suspected.contains(&group.id) {
                 continue;
             }
             for member in group.group.iter().flat_map(|group| &group.members) {
-                self.tracker.hasten(member, now);
+                self.tracker.poll_now(member, now);
             }
         }
         self.suspected = suspects;
@@ -327,7 +331,7 @@
             let targets = &shared.platform.targets;
             let report = targets.report(&target, &address, REPORT_TIME).await;
             let took = BootClock::now().saturating_sub(asked);
-            ControllerMessage::Reported {
+            ControllerMessage::ReportReceived {
                 target,
                 report,
                 is_late: took > REPORT_TIME + OWN_LATENESS,
@@ -336,7 +340,7 @@
     }
 
     fn demand(&self, now: Moment) -> IndexMap<ModelId, f64> {
-        let mut demand = self.shared.demand.rates(now);
+        let mut demand = self.shared.demand.group_demand(now);
         for (model, rate) in &self.shared.elsewhere.read().demand {
             *demand.entry(model.clone()).or_insert(0.0) += rate;
         }
@@ -349,7 +353,7 @@
             return;
         };
         let table = self.shared.table.load();
-        let supplies = supplies(service, engine, &table, &self.demand(now), now);
+        let supplies = model_supplies(service, engine, &table, &self.demand(now), now);
         for (model, supply) in &supplies {
             supply.log(&service.id, model);
         }
@@ -366,7 +370,7 @@
     ) {
         let of_domain = self.tracker.targets().iter();
         let tracked: Vec<(&TargetId, &TrackedTarget)> = of_domain
-            .filter(|(_, tracked)| key.holds(&tracked.record))
+            .filter(|(_, tracked)| key.contains(&tracked.record))
             .collect();
         if tracked.iter().any(|(_, tracked)| !tracked.is_resolved) {
             return;
@@ -375,7 +379,7 @@
             .into_iter()
             .map(|(id, tracked)| (id.clone(), tracked.facts_at(now)))
             .collect();
-        let census = DomainCensus::of(&facts, layout);
+        let census = DomainCounts::count(&facts, layout);
         if self.census.get(key) != Some(&census) {
             census.log(&key.domain, layout);
             self.census.insert(key.clone(), census);
@@ -395,7 +399,7 @@
         };
         let orders = keeper.plan(view, now);
         for target in keeper.take_doubtful() {
-            self.tracker.hasten(&target, now);
+            self.tracker.poll_now(&target, now);
         }
         for order in orders {
             self.send(order, link);
@@ -464,7 +468,7 @@
             let sent = BootClock::now();
             let targets = shared.platform.targets.as_ref();
             let result = deliver(targets, &order, &address).await;
-            ControllerMessage::Ordered {
+            ControllerMessage::OrderAnswered {
                 order,
                 result,
                 sent,
@@ -497,7 +501,7 @@
         let is_answer = report.is_ok();
         let fell = self
             .tracker
-            .note_report(target, report, is_late, engine, now);
+            .record_report(target, report, is_late, engine, now);
         if fell {
             log::warn!(target_id = target; "target_silent");
         }
@@ -528,7 +532,7 @@
         if result != OrderResult::Begun {
             self.loads.swap_remove(&order.target);
         }
-        self.tracker.note_order(order, result, now);
+        self.tracker.record_order_result(order, result, now);
         for keeper in self.keepers.values_mut() {
             keeper.note_result(&order.target, result);
         }
@@ -571,12 +575,12 @@
                 self.shared.costs.count_time(CostKind::ControlRound, took);
                 link.later(ROUND, ControllerMessage::Round);
             }
-            ControllerMessage::Reported {
+            ControllerMessage::ReportReceived {
                 target,
                 report,
                 is_late,
             } => self.take_report(&target, report, is_late, link.now()),
-            ControllerMessage::Ordered {
+            ControllerMessage::OrderAnswered {
                 order,
                 result,
                 sent,
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -54,7 +54,7 @@
 
 impl DemandMeter {
     /// Counts one request that occupies a whole group for a time.
-    pub fn count(&self, model: &str, work: Duration, now: Moment) {
+    pub fn record(&self, model: &str, work: Duration, now: Moment) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.decay(now);
         state.first.get_or_insert(now);
@@ -63,14 +63,14 @@
     }
 
     /// Returns the groups that each model's requests fill.
-    pub fn rates(&self, now: Moment) -> IndexMap<ModelId, f64> {
+    pub fn group_demand(&self, now: Moment) -> IndexMap<ModelId, f64> {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.decay(now);
         state.per_second(&state.work, now)
     }
 
     /// Returns the requests in a second by model.
-    pub fn arrivals(&self, now: Moment) -> IndexMap<ModelId, f64> {
+    pub fn request_rates(&self, now: Moment) -> IndexMap<ModelId, f64> {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.decay(now);
         state.per_second(&state.requests, now)
@@ -95,7 +95,7 @@
 
 impl DemandTrend {
     /// Takes in what callers ask for now.
-    pub fn note(&mut self, rates: &IndexMap<ModelId, f64>, now: Moment) {
+    pub fn add_sample(&mut self, rates: &IndexMap<ModelId, f64>, now: Moment) {
         let passed = now.saturating_sub(self.sampled);
         let passed_seconds = passed.min(TREND_GAP).as_secs_f64();
         let factor = (-passed.as_secs_f64() / TREND_WINDOW.as_secs_f64()).exp();
@@ -119,7 +119,7 @@
     /// let mut trend = DemandTrend::default();
     /// let rates = [("chat".to_owned(), 2.0)].into();
     /// for second in 100..110 {
-    ///     trend.note(&rates, Duration::from_secs(second));
+    ///     trend.add_sample(&rates, Duration::from_secs(second));
     /// }
     /// let mean = trend.mean().expect("seen for ten seconds");
     /// assert!((mean["chat"] - 2.0).abs() < 1e-9);
--- a/crates/fleet/src/dispatch.rs
+++ b/crates/fleet/src/dispatch.rs
@@ -16,17 +16,17 @@
 
 use crate::budget::RetryBudgets;
 use crate::failure::{is_promise, worst_of, FailedAttempt, FailureSign, WaitEnd};
-use crate::gauge::GaugePlace;
-use crate::job::{BegunAnswer, RequestJob};
+use crate::gauge::SlotGuard;
+use crate::job::{RequestJob, ResponseStart};
 use crate::peers::PeerMessage;
 use crate::placer::TargetPlacer;
-use crate::ports::{AnswerFacts, TargetMark};
+use crate::ports::{ResponseInfo, TargetRequestInfo};
 use crate::refusal::OwnAnswer;
 use crate::relay::StreamRelay;
+use crate::routing_table::RouteTarget;
 use crate::run::{RunReports, TargetRun};
 use crate::shared::FleetShared;
 use crate::suspicion::{patience, silence_of, SuspicionTeller};
-use crate::table::RouteTarget;
 use crate::trace::{RequestEnd, RequestTrace};
 
 /// Most idle connections kept for one target.
@@ -104,7 +104,7 @@
     /// Carries a request out and builds its response.
     pub async fn run(self: &Arc<Self>, job: RequestJob, mut trace: RequestTrace) -> Response {
         self.budgets.earn(&job.service);
-        if self.shared.suspects.quarantine(&job.print).is_some() {
+        if self.shared.suspects.quarantine(&job.fingerprint).is_some() {
             return self.give_up(FailurePoint::Quarantined, &mut trace);
         }
         let mut tried: Vec<TargetId> = Vec::new();
@@ -117,7 +117,7 @@
             };
             note_target(&mut trace, &target);
             trace.note_placed();
-            let last_event = job.ask.last_event.clone();
+            let last_event = job.request.last_event.clone();
             let may_move = trace.sent + 1 < job.rule.max_attempts;
             let begun = self
                 .begin(&job, target, place, last_event.as_deref(), may_move)
@@ -148,7 +148,10 @@
             }
             trace.broken += usize::from(failed.sign == FailureSign::Broke);
             let may_repeat = point.allows_retry(job.rule.is_repeatable())
-                && self.shared.suspects.may_go_on(&job.print, trace.broken)
+                && self
+                    .shared
+                    .suspects
+                    .may_go_on(&job.fingerprint, trace.broken)
                 && trace.sent < job.rule.max_attempts
                 && unreached < UNREACHED_LIMIT
                 && BootClock::now() < job.deadline;
@@ -172,17 +175,17 @@
         &self,
         job: &RequestJob,
         target: Arc<RouteTarget>,
-        place: GaugePlace,
+        place: SlotGuard,
         last_event: Option<&str>,
         may_move: bool,
-    ) -> Result<BegunAnswer, FailedAttempt> {
+    ) -> Result<ResponseStart, FailedAttempt> {
         let now = BootClock::now();
         let left = job.deadline.saturating_sub(now);
         if left.is_zero() {
             return Err(FailurePoint::QueueDeadline.into());
         }
         // It may have waited for a place since it came, and may have ended a target elsewhere meanwhile.
-        if self.shared.suspects.quarantine(&job.print).is_some() {
+        if self.shared.suspects.quarantine(&job.fingerprint).is_some() {
             return Err(FailurePoint::Quarantined.into());
         }
         let request = self.request(job, &target, left, last_event);
@@ -195,11 +198,11 @@
         let is_fresh = !job.rule.is_repeatable();
         let client = self.client.keeping(self.idle_limit(job));
         let sending = client.send(&address, request, is_fresh);
-        let mut run = TargetRun::open(job.run_at(&target, now), self.reports.clone());
+        let mut run = TargetRun::open(job.run_facts(&target, now), self.reports.clone());
         match self.wait_head(sending, job, &target, now, may_move).await {
             Ok(reply) => self.check(job, target, place, reply, run).await,
             Err(end) => {
-                target.gauge.note_outcome(true);
+                target.gauge.record_outcome(true);
                 match end {
                     WaitEnd::Failed(SendFailure::Broken) => run.broke("broken_before_head"),
                     WaitEnd::Failed(SendFailure::Refused) => {
@@ -217,7 +220,7 @@
     }
 
     fn idle_limit(&self, job: &RequestJob) -> usize {
-        let book = job.book.as_ref().as_ref();
+        let book = job.config.as_ref().as_ref();
         let service = book.and_then(|book| book.services.get(&job.service));
         let most = service.map_or(0, |service| service.max_connections);
         let share = f64::from(most) * IDLE_SHARE / f64::from(self.shared.live.read().live_nodes());
@@ -260,7 +263,7 @@
 
     /// Returns whether a request can go on elsewhere; if not, the slow target is still the best.
     fn can_move(&self, job: &RequestJob, from: &RouteTarget) -> bool {
-        let ask = job.place_ask(std::slice::from_ref(&from.id));
+        let ask = job.slot_request(std::slice::from_ref(&from.id));
         job.rule.is_repeatable()
             && self.budgets.has_any(&job.service)
             && self.placer.pick(&ask).is_some()
@@ -270,45 +273,45 @@
         &self,
         job: &RequestJob,
         target: Arc<RouteTarget>,
-        place: GaugePlace,
+        place: SlotGuard,
         reply: TargetReply,
         mut run: TargetRun,
-    ) -> Result<BegunAnswer, FailedAttempt> {
+    ) -> Result<ResponseStart, FailedAttempt> {
         let TargetReply { head, body } = reply;
         let facts = self
             .shared
             .platform
-            .dialect
-            .facts(head.status, &head.headers);
+            .protocol
+            .parse_response(head.status, &head.headers);
         let now = BootClock::now();
-        if facts.is_not_run || facts.is_other_life {
+        if facts.is_not_run || facts.is_other_incarnation {
             run.settle();
-            target.gauge.note_outcome(true);
-            if facts.is_other_life || facts.at_fault.is_some() {
+            target.gauge.record_outcome(true);
+            if facts.is_other_incarnation || facts.failed_member.is_some() {
                 self.suspicion.suspect(&target, now);
             }
             return Err(FailurePoint::TargetRefused.into());
         }
-        target.gauge.note_heard(now);
+        target.gauge.record_activity(now);
         if let (Some(running), Some(waiting)) = (facts.running, facts.waiting) {
-            target.gauge.note_load(running, waiting, now);
+            target.gauge.record_reported_load(running, waiting, now);
         }
-        let is_ours = facts.attempt.as_deref() == Some(job.ask.attempt.as_str());
+        let is_ours = facts.attempt.as_deref() == Some(job.request.attempt.as_str());
         if !is_ours {
             return Err(FailurePoint::ForeignAnswer.into());
         }
         if head.status.is_success() && is_whole_answer(&facts) {
-            target.gauge.note_outcome(false);
-            return Ok(BegunAnswer {
+            target.gauge.record_outcome(false);
+            return Ok(ResponseStart {
                 target,
-                place: Some(place),
+                slot: Some(place),
                 head,
                 body,
                 run,
             });
         }
         run.settle();
-        target.gauge.note_outcome(true);
+        target.gauge.record_outcome(true);
         if head.status.is_success() {
             return Err(FailurePoint::Truncated.into());
         }
@@ -320,7 +323,7 @@
         &self,
         job: &RequestJob,
         head: http::response::Parts,
-        facts: &AnswerFacts,
+        facts: &ResponseInfo,
         body: TargetBody,
     ) -> FailedAttempt {
         let left = job.deadline.saturating_sub(BootClock::now());
@@ -340,11 +343,11 @@
     async fn finish(
         &self,
         job: &RequestJob,
-        begun: BegunAnswer,
+        begun: ResponseStart,
     ) -> Result<(http::response::Parts, Bytes), FailurePoint> {
-        let BegunAnswer {
+        let ResponseStart {
             target,
-            place,
+            slot: place,
             head,
             body,
             mut run,
@@ -360,7 +363,7 @@
             }
             Ok(Err(_)) => {
                 run.broke("truncated");
-                target.gauge.note_outcome(true);
+                target.gauge.record_outcome(true);
                 Err(FailurePoint::Truncated)
             }
             Err(_) => Err(FailurePoint::AnswerDeadline),
@@ -371,7 +374,7 @@
         let length = HeaderValue::from(bytes.len() as u64);
         let mut response = Response::new(bytes.into());
         *response.status_mut() = head.status;
-        *response.headers_mut() = self.shared.platform.dialect.to_caller(&head.headers);
+        *response.headers_mut() = self.shared.platform.protocol.caller_headers(&head.headers);
         response.headers_mut().insert(CONTENT_LENGTH, length);
         response
     }
@@ -379,11 +382,15 @@
     fn stream(
         self: &Arc<Self>,
         job: RequestJob,
-        begun: BegunAnswer,
+        begun: ResponseStart,
         trace: RequestTrace,
     ) -> Response {
         let status = begun.head.status;
-        let headers = self.shared.platform.dialect.to_caller(&begun.head.headers);
+        let headers = self
+            .shared
+            .platform
+            .protocol
+            .caller_headers(&begun.head.headers);
         let relay = StreamRelay::spawn(Arc::clone(self), job, begun, trace);
         let mut response = Response::new(stream_body(relay));
         *response.status_mut() = status;
@@ -398,8 +405,8 @@
             _ => RequestEnd::Unknown,
         });
         let mut response = self.own_answer(point, trace).response();
-        let dialect = &self.shared.platform.dialect;
-        dialect.mark_own(response.headers_mut(), &trace.request);
+        let dialect = &self.shared.platform.protocol;
+        dialect.add_attempt_id(response.headers_mut(), &trace.request);
         response
     }
 
@@ -430,19 +437,23 @@
         left: Duration,
         last_event: Option<&str>,
     ) -> http::Request<http_body_util::Full<Bytes>> {
-        let mark = TargetMark {
+        let mark = TargetRequestInfo {
             target: &target.id,
             organisation: job.organisation.as_deref(),
-            left,
+            remaining: left,
             priority: job.priority.min(LAST_RANK),
             last_event,
         };
         let mut request = http::Request::new(whole_body(job.body.clone()));
         *request.method_mut() = job.method.clone();
         *request.uri_mut() = job.path.parse::<Uri>().unwrap_or_default();
-        *request.headers_mut() = self.shared.platform.dialect.to_target(&job.headers, mark);
+        *request.headers_mut() = self
+            .shared
+            .platform
+            .protocol
+            .target_headers(&job.headers, mark);
         if !request.headers().contains_key(HOST) {
-            if let Ok(host) = HeaderValue::from_str(&job.ask.host) {
+            if let Ok(host) = HeaderValue::from_str(&job.request.host) {
                 request.headers_mut().insert(HOST, host);
             }
         }
@@ -457,6 +468,6 @@
     }
 }
 
-fn is_whole_answer(facts: &AnswerFacts) -> bool {
-    facts.is_signed && !facts.is_recoded
+fn is_whole_answer(facts: &ResponseInfo) -> bool {
+    facts.is_signed && !facts.is_reencoded
 }
--- a/crates/fleet/src/census.rs
+++ b/crates/fleet/src/domain_counts.rs
@@ -8,7 +8,7 @@
 
 /// Counts of one domain.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct DomainCensus {
+pub struct DomainCounts {
     live: usize,
     silent: usize,
     draining: usize,
@@ -20,9 +20,9 @@
     unstaged: usize,
 }
 
-impl DomainCensus {
+impl DomainCounts {
     /// Counts the targets of a domain that should hold the groups of a layout.
-    pub fn of(targets: &IndexMap<TargetId, TargetFacts>, layout: &DomainLayout) -> Self {
+    pub fn count(targets: &IndexMap<TargetId, TargetFacts>, layout: &DomainLayout) -> Self {
         let mut census = Self::default();
         for facts in targets.values() {
             match facts.standing {
--- a/crates/fleet/src/domains.rs
+++ b/crates/fleet/src/domains.rs
@@ -9,7 +9,7 @@
 
 /// One target that can be counted on, as the directory or its own report tells of it.
 #[derive(Clone, Copy, Debug)]
-pub struct StockItem<'a> {
+pub struct InventoryItem<'a> {
     /// Domain.
     pub domain: &'a DomainId,
     /// Zone.
@@ -18,15 +18,15 @@
     pub weights: HeldWeights<'a>,
 }
 
-impl<'a> StockItem<'a> {
+impl<'a> InventoryItem<'a> {
     /// Returns the model that the target can serve next.
-    fn held(&self, engine: &EngineModel) -> Option<&'a ModelId> {
+    fn next_model(&self, engine: &EngineModel) -> Option<&'a ModelId> {
         let held = self.weights.next_model()?;
         engine.models.contains_key(held).then_some(held)
     }
 }
 
-impl<'a> From<&'a TargetRecord> for StockItem<'a> {
+impl<'a> From<&'a TargetRecord> for InventoryItem<'a> {
     fn from(record: &'a TargetRecord) -> Self {
         Self {
             domain: &record.domain,
@@ -58,10 +58,10 @@
 }
 
 /// Returns what each domain holds, in an order that all controllers agree on.
-pub fn stock_of(
+pub fn inventory_of(
     engine: &EngineModel,
     domains: &IndexMap<&DomainId, &ZoneId>,
-    items: &[StockItem<'_>],
+    items: &[InventoryItem<'_>],
     is_own: impl Fn(&DomainId) -> bool,
 ) -> Vec<DomainStock> {
     let stock = domains.iter().map(|(domain, zone)| {
@@ -78,7 +78,7 @@
         let Some(stock) = stock.get_mut(item.domain) else {
             continue;
         };
-        match item.held(engine) {
+        match item.next_model(engine) {
             Some(model) => *stock.holders.entry(model.clone()).or_insert(0) += 1,
             None => stock.empty += 1,
         }
--- a/crates/fleet/src/end_watch.rs
+++ b/crates/fleet/src/end_watch.rs
@@ -133,7 +133,9 @@
 
     fn check(&self, facts: RunFacts, link: &ServiceLink<WatchMessage>) {
         if !self.host.is_listed(&facts.life) {
-            link.spawn(async move { WatchMessage::Checked(facts.life, Err(ReportError::Gone)) });
+            link.spawn(async move {
+                WatchMessage::Checked(facts.life, Err(ReportError::OtherIncarnation))
+            });
             return;
         }
         let host = Arc::clone(&self.host);
@@ -156,8 +158,8 @@
             }
             Ok(LifeSign::Listens) => self.set_state(life, LifeState::Listening),
             Err(ReportError::Refused) => self.note_end(life, EndProof::Refused, now),
-            Err(ReportError::Gone) => self.note_end(life, EndProof::OtherLife, now),
-            Err(ReportError::Silent | ReportError::Unreadable) => {
+            Err(ReportError::OtherIncarnation) => self.note_end(life, EndProof::OtherLife, now),
+            Err(ReportError::NoResponse | ReportError::Unreadable) => {
                 self.set_state(life, LifeState::Silent);
             }
         }
--- a/crates/fleet/src/feed.rs
+++ b/crates/fleet/src/feed.rs
@@ -22,7 +22,7 @@
 use crate::costs::{CostKind, CostLedger};
 use crate::feed_doc::{FeedAnswerDoc, FeedQuestionDoc};
 use crate::feed_pace::{ask_at_pace, kind_of, lock, FeedPace, FlightResult};
-use crate::ports::{FeedAnswer, FeedQuestion, FeedSource, SourceError};
+use crate::ports::{FeedRequest, FeedResponse, FeedSource, SourceError};
 
 /// Status of an answer that the changes asked for are no longer kept.
 const HISTORY_GONE: u16 = 410;
@@ -82,10 +82,10 @@
     /// An answer without changes to a question that was held open would be given again at once to the same
     /// node, over and over. One to a question that was not held open dates what many nodes hold, and is
     /// told with its age.
-    fn is_useful(&self, question: &FeedQuestion, now: Moment) -> bool {
+    fn is_useful(&self, question: &FeedRequest, now: Moment) -> bool {
         match self.answer.peek() {
             None => true,
-            Some(Ok(answer)) if answer.is_whole => now < self.begun + DATED_TIME,
+            Some(Ok(answer)) if answer.is_snapshot => now < self.begun + DATED_TIME,
             Some(Ok(answer)) if !answer.rows.is_empty() => now < self.begun + KEPT_TIME,
             Some(Ok(_)) => question.wait.is_zero() && now < self.begun + DATED_TIME,
             Some(Err(_)) => false,
@@ -97,7 +97,7 @@
 pub struct FeedRelay {
     direct: Arc<dyn FeedSource>,
     client: CallerClient,
-    flights: Mutex<IndexMap<FeedQuestion, FeedFlight>>,
+    flights: Mutex<IndexMap<FeedRequest, FeedFlight>>,
     /// Readers that failed, and until when they are not asked.
     avoided: Mutex<IndexMap<NodeId, Moment>>,
     paces: Mutex<IndexMap<String, Arc<Mutex<FeedPace>>>>,
@@ -141,8 +141,8 @@
     pub async fn changes(
         &self,
         live: &LiveView,
-        question: FeedQuestion,
-    ) -> Result<FeedAnswer, SourceError> {
+        question: FeedRequest,
+    ) -> Result<FeedResponse, SourceError> {
         match live.reader_part(READERS, RELAYED_ZONE, self.reads_store()) {
             ZonePart::Alone | ZonePart::First => self.serve(question, BootClock::now()).await,
             ZonePart::Other(readers) => {
@@ -165,9 +165,9 @@
     async fn ask_readers(
         &self,
         readers: &[Arc<NodeEntry>],
-        question: FeedQuestion,
+        question: FeedRequest,
         is_prober: bool,
-    ) -> Result<FeedAnswer, SourceError> {
+    ) -> Result<FeedResponse, SourceError> {
         let mut question = question;
         let mut turned_away: Vec<&NodeId> = Vec::new();
         let mut pause = None;
@@ -217,8 +217,8 @@
     async fn ask_for_whole(
         &self,
         readers: &[Arc<NodeEntry>],
-        question: FeedQuestion,
-    ) -> Result<FeedAnswer, SourceError> {
+        question: FeedRequest,
+    ) -> Result<FeedResponse, SourceError> {
         let mut asking = FuturesUnordered::new();
         for reader in readers.iter().cycle().take(readers.len() * WHOLE_ROUNDS) {
             asking.push(self.ask_reader(reader, &question));
@@ -245,10 +245,10 @@
     /// and the time of the next one.
     async fn ask_beside(
         &self,
-        asking: impl Future<Output = Result<FeedAnswer, CallError>>,
-        question: &FeedQuestion,
+        asking: impl Future<Output = Result<FeedResponse, CallError>>,
+        question: &FeedRequest,
         pause: Duration,
-    ) -> Result<FeedAnswer, CallError> {
+    ) -> Result<FeedResponse, CallError> {
         let direct = async {
             tokio::time::sleep(pause).await;
             self.serve(question.clone(), BootClock::now()).await
@@ -274,8 +274,8 @@
     async fn ask_reader(
         &self,
         reader: &NodeEntry,
-        question: &FeedQuestion,
-    ) -> Result<FeedAnswer, CallError> {
+        question: &FeedRequest,
+    ) -> Result<FeedResponse, CallError> {
         self.costs.count(CostKind::ReaderAsked);
         let url = format!("http://{}{FEED_PATH}", reader.address);
         let limit = limit_of(question, READER_TIME);
@@ -301,9 +301,9 @@
     /// Returns [`SourceError`] when the store did not answer.
     pub async fn answer(
         &self,
-        question: FeedQuestion,
+        question: FeedRequest,
         arrived: Moment,
-    ) -> Result<FeedAnswer, SourceError> {
+    ) -> Result<FeedResponse, SourceError> {
         let limit = limit_of(&question, STORE_TIME);
         let answer = self.serve(question, arrived);
         let answered = tokio::time::timeout(limit, answer).await;
@@ -317,16 +317,16 @@
     /// Returns [`SourceError`] when the store did not answer.
     pub async fn serve(
         &self,
-        question: FeedQuestion,
+        question: FeedRequest,
         arrived: Moment,
-    ) -> Result<FeedAnswer, SourceError> {
+    ) -> Result<FeedResponse, SourceError> {
         let flight = self.flight(question, arrived);
         let answer = flight.answer.await?;
         let age = arrived.saturating_sub(flight.begun) + answer.age;
-        Ok(FeedAnswer { age, ..answer })
+        Ok(FeedResponse { age, ..answer })
     }
 
-    fn flight(&self, question: FeedQuestion, now: Moment) -> FeedFlight {
+    fn flight(&self, question: FeedRequest, now: Moment) -> FeedFlight {
         let mut flights = lock(&self.flights);
         flights.retain(|question, flight| flight.is_useful(question, now));
         let flight = flights.entry(question.clone()).or_insert_with(|| {
@@ -345,7 +345,7 @@
 }
 
 /// Returns the time for an answer; `beyond` the time that the question is held open.
-fn limit_of(question: &FeedQuestion, beyond: Duration) -> Duration {
+fn limit_of(question: &FeedRequest, beyond: Duration) -> Duration {
     match question.mark {
         Some(_) => question.wait + beyond,
         None => WHOLE_TIME,
--- a/crates/fleet/src/feed_doc.rs
+++ b/crates/fleet/src/feed_doc.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 
-use crate::ports::{FeedAnswer, FeedMark, FeedQuestion, FeedRow};
+use crate::ports::{FeedMark, FeedRequest, FeedResponse, FeedRow};
 
 /// [`FeedMark`] on the wire: era, version.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
@@ -23,7 +23,7 @@
     }
 }
 
-/// [`FeedQuestion`] on the wire.
+/// [`FeedRequest`] on the wire.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct FeedQuestionDoc {
     table: String,
@@ -31,7 +31,7 @@
     wait_ms: u64,
 }
 
-/// [`FeedAnswer`] on the wire.
+/// [`FeedResponse`] on the wire.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct FeedAnswerDoc {
     mark: MarkDoc,
@@ -41,8 +41,8 @@
     whole: bool,
 }
 
-impl From<FeedQuestion> for FeedQuestionDoc {
-    fn from(question: FeedQuestion) -> Self {
+impl From<FeedRequest> for FeedQuestionDoc {
+    fn from(question: FeedRequest) -> Self {
         Self {
             table: question.table,
             mark: question.mark.map(MarkDoc::from),
@@ -51,7 +51,7 @@
     }
 }
 
-impl From<FeedQuestionDoc> for FeedQuestion {
+impl From<FeedQuestionDoc> for FeedRequest {
     fn from(doc: FeedQuestionDoc) -> Self {
         Self {
             table: doc.table,
@@ -61,8 +61,8 @@
     }
 }
 
-impl From<FeedAnswer> for FeedAnswerDoc {
-    fn from(answer: FeedAnswer) -> Self {
+impl From<FeedResponse> for FeedAnswerDoc {
+    fn from(answer: FeedResponse) -> Self {
         let rows = answer
             .rows
             .into_iter()
@@ -72,12 +72,12 @@
             rows: rows.collect(),
             // Rounded up, so that an age is never told as less than it is.
             age_ms: answer.age.as_millis() as u64 + 1,
-            whole: answer.is_whole,
+            whole: answer.is_snapshot,
         }
     }
 }
 
-impl From<FeedAnswerDoc> for FeedAnswer {
+impl From<FeedAnswerDoc> for FeedResponse {
     fn from(doc: FeedAnswerDoc) -> Self {
         let rows = doc.rows.into_iter();
         Self {
@@ -89,7 +89,7 @@
                 })
                 .collect(),
             age: Duration::from_millis(doc.age_ms),
-            is_whole: doc.whole,
+            is_snapshot: doc.whole,
         }
     }
 }
--- a/crates/fleet/src/feed_pace.rs
+++ b/crates/fleet/src/feed_pace.rs
@@ -8,10 +8,10 @@
 use briarswitch_kernel::BootClock;
 
 use crate::costs::CostKind;
-use crate::ports::{FeedAnswer, FeedQuestion, FeedSource, SourceError};
+use crate::ports::{FeedRequest, FeedResponse, FeedSource, SourceError};
 
 /// What the store said to a question.
-pub(crate) type FlightResult = Result<FeedAnswer, SourceError>;
+pub(crate) type FlightResult = Result<FeedResponse, SourceError>;
 
 /// Time after a question that failed in which no other one is asked of the same table.
 ///
@@ -31,7 +31,7 @@
 
 impl FeedPace {
     /// Returns how long a question has to wait before it may be sent.
-    fn pause_before(&self, question: &FeedQuestion, now: Moment) -> Duration {
+    fn pause_before(&self, question: &FeedRequest, now: Moment) -> Duration {
         match kind_of(question) {
             CostKind::TableHeld => self.next.saturating_sub(now).min(question.wait),
             _ => self.retry.saturating_sub(now),
@@ -49,14 +49,14 @@
 /// Asks the store, not sooner than the pace after the last answer or failure allows.
 pub(crate) async fn ask_at_pace(
     direct: Arc<dyn FeedSource>,
-    question: FeedQuestion,
+    question: FeedRequest,
     pace: Arc<Mutex<FeedPace>>,
     reached: Arc<AtomicU64>,
 ) -> FlightResult {
     let pause = lock(&pace).pause_before(&question, BootClock::now());
     tokio::time::sleep(pause).await;
     let wait = question.wait.saturating_sub(pause);
-    let answer = direct.changes(FeedQuestion { wait, ..question }).await;
+    let answer = direct.changes(FeedRequest { wait, ..question }).await;
     let now = BootClock::now();
     if answer.is_ok() {
         reached.store(now.as_millis() as u64, Ordering::Relaxed);
@@ -66,7 +66,7 @@
 }
 
 /// Returns what a question is counted as.
-pub(crate) fn kind_of(question: &FeedQuestion) -> CostKind {
+pub(crate) fn kind_of(question: &FeedRequest) -> CostKind {
     match question.mark {
         None => CostKind::TableWhole,
         Some(_) if question.wait.is_zero() => CostKind::TableAtOnce,
--- a/crates/fleet/src/fleet_host.rs
+++ b/crates/fleet/src/fleet_suspect_host.rs
@@ -9,7 +9,7 @@
 use futures::future::BoxFuture;
 
 use crate::costs::CostKind;
-use crate::ports::{FeedAnswer, FeedMark, ReportError, SourceFuture, SuspectRegistry};
+use crate::ports::{FeedMark, FeedResponse, ReportError, SourceFuture, SuspectRegistry};
 use crate::run_facts::{RunFacts, TargetLife};
 use crate::shared::FleetShared;
 use crate::suspect_host::{EndCount, LifeSign, SuspectEvent, SuspectHost};
@@ -28,7 +28,7 @@
         self: Arc<Self>,
         mark: Option<FeedMark>,
         wait: Duration,
-    ) -> SourceFuture<'static, FeedAnswer> {
+    ) -> SourceFuture<'static, FeedResponse> {
         Box::pin(async move {
             let table = self.platform.suspects.table();
             Self::changes(&self, table, mark, wait).await
@@ -49,12 +49,14 @@
             let (target, address) = (&facts.life.target, &facts.address);
             // A single target has nothing to say of itself, but it listens or not.
             if facts.group.is_empty() {
-                let reached = targets.reach(address, limit).await;
+                let reached = targets.probe(address, limit).await;
                 return reached.map(|()| LifeSign::Listens);
             }
             let report = targets.report(target, address, limit).await?;
             let is_same = report.incarnation == facts.life.incarnation;
-            is_same.then_some(LifeSign::Lives).ok_or(ReportError::Gone)
+            is_same
+                .then_some(LifeSign::Lives)
+                .ok_or(ReportError::OtherIncarnation)
         })
     }
 
@@ -73,7 +75,7 @@
     }
 
     fn keep_away(&self, target: &TargetId, until: Moment) {
-        self.gauges.of(target).suspect(until);
+        self.gauges.get(target).suspect(until);
     }
 
     fn note(&self, event: SuspectEvent) {
--- a/crates/fleet/src/gauge.rs
+++ b/crates/fleet/src/gauge.rs
@@ -49,7 +49,7 @@
 }
 
 impl TargetGauge {
-    fn open(target: &str) -> Self {
+    fn new(target: &str) -> Self {
         Self {
             key: target_key(target),
             ..Self::default()
@@ -62,17 +62,17 @@
     }
 
     /// Returns the requests of this node at work there.
-    pub fn own(&self) -> u32 {
+    pub fn local_requests(&self) -> u32 {
         self.own.load(Ordering::Relaxed)
     }
 
     /// Returns the requests of all nodes at work there, as far as they are known.
-    pub fn writers(&self) -> u32 {
-        self.own() + self.remote.load(Ordering::Relaxed)
+    pub fn active_requests(&self) -> u32 {
+        self.local_requests() + self.remote.load(Ordering::Relaxed)
     }
 
     /// Notes the load that the target told with an answer.
-    pub fn note_load(&self, running: u32, waiting: u32, now: Moment) {
+    pub fn record_reported_load(&self, running: u32, waiting: u32, now: Moment) {
         self.told.store(running + waiting, Ordering::Relaxed);
         self.told_waiting.store(waiting, Ordering::Relaxed);
         self.told_at.store(micros(now), Ordering::Relaxed);
@@ -80,12 +80,12 @@
 
     /// Returns the requests at work there: what is known of all nodes, or what the target told if
     /// that is more and fresh.
-    pub fn load_at(&self, now: Moment) -> u32 {
+    pub fn estimated_load(&self, now: Moment) -> u32 {
         let told = self.told.load(Ordering::Relaxed);
         if self.told_age(now) < TOLD_FRESH {
-            self.writers().max(told)
+            self.active_requests().max(told)
         } else {
-            self.writers()
+            self.active_requests()
         }
     }
 
@@ -100,32 +100,32 @@
     }
 
     /// Returns the prompt tokens sent there that were not answered by an event yet.
-    pub fn unread(&self) -> u64 {
+    pub fn prefill_tokens(&self) -> u64 {
         self.unread.load(Ordering::Relaxed)
     }
 
     /// Returns the requests sent there that were not answered by an event yet.
-    pub fn unread_requests(&self) -> u32 {
+    pub fn prefill_requests(&self) -> u32 {
         self.unread_requests.load(Ordering::Relaxed)
     }
 
     /// Sets the requests that other nodes say they have there.
-    pub fn set_remote(&self, requests: u32) {
+    pub fn set_remote_requests(&self, requests: u32) {
         self.remote.store(requests, Ordering::Relaxed);
     }
 
     /// Returns the requests sent there that other nodes can not know of yet.
-    pub fn fresh(&self) -> u32 {
+    pub fn unreported_requests(&self) -> u32 {
         self.fresh.load(Ordering::Relaxed)
     }
 
     /// Notes that other nodes know of all requests sent there.
-    pub fn clear_fresh(&self) {
+    pub fn clear_unreported(&self) {
         self.fresh.store(0, Ordering::Relaxed);
     }
 
     /// Returns this node's places at the target, asking `share` if they may have changed.
-    pub fn share(&self, now: Moment, share: impl FnOnce() -> u32) -> u32 {
+    pub fn slot_share(&self, now: Moment, share: impl FnOnce() -> u32) -> u32 {
         let before = self.shared_at.load(Ordering::Relaxed);
         let age = Duration::from_micros(micros(now).saturating_sub(before));
         if before == 0 || age > SHARE_FRESH {
@@ -136,7 +136,7 @@
     }
 
     /// Notes that bytes came from the target, which takes any suspicion from it.
-    pub fn note_heard(&self, now: Moment) {
+    pub fn record_activity(&self, now: Moment) {
         let before = self.heard.swap(micros(now), Ordering::Relaxed);
         let interval = micros(now).saturating_sub(before);
         // The longest of the last intervals, forgotten slowly.
@@ -147,7 +147,7 @@
     }
 
     /// Returns the longest of the last intervals between signs of life.
-    pub fn interval(&self) -> Duration {
+    pub fn max_activity_gap(&self) -> Duration {
         Duration::from_micros(self.interval.load(Ordering::Relaxed))
     }
 
@@ -166,7 +166,7 @@
     /// Keeps new work away because another node suspects the target.
     ///
     /// This is not told on: two nodes that repeat each other's word would never stop.
-    pub fn suspect_as_told(&self, until: Moment) {
+    pub fn suspect_from_peer(&self, until: Moment) {
         self.told_suspect_until
             .fetch_max(micros(until), Ordering::Relaxed);
     }
@@ -179,16 +179,17 @@
 
     /// Returns whether new work is kept away at `now`.
     pub fn is_suspect(&self, now: Moment) -> bool {
-        self.is_suspected_here(now) || micros(now) < self.told_suspect_until.load(Ordering::Relaxed)
+        self.is_locally_suspect(now)
+            || micros(now) < self.told_suspect_until.load(Ordering::Relaxed)
     }
 
     /// Returns whether this node itself suspects the target.
-    pub fn is_suspected_here(&self, now: Moment) -> bool {
+    pub fn is_locally_suspect(&self, now: Moment) -> bool {
         micros(now) < self.suspect_until.load(Ordering::Relaxed)
     }
 
     /// Notes whether a request was served or failed there.
-    pub fn note_outcome(&self, is_failure: bool) {
+    pub fn record_outcome(&self, is_failure: bool) {
         let sample = if is_failure { FAILURE_FULL } else { 0 };
         let held = self.failing.load(Ordering::Relaxed);
         let next = (held * (FAILURE_SMOOTHING - 1) + sample) / FAILURE_SMOOTHING;
@@ -196,22 +197,22 @@
     }
 
     /// Returns the smoothed share of failed requests, 0 to 1.
-    pub fn failing(&self) -> f64 {
+    pub fn failure_rate(&self) -> f64 {
         f64::from(self.failing.load(Ordering::Relaxed)) / f64::from(FAILURE_FULL)
     }
 }
 
 /// A place at a target, given back when dropped.
 #[derive(Debug)]
-pub struct GaugePlace {
+pub struct SlotGuard {
     gauge: Arc<TargetGauge>,
     /// Tokens of the prompt until it is read.
     unread: Option<u64>,
 }
 
-impl GaugePlace {
+impl SlotGuard {
     /// Takes a place for a request with a prompt of `tokens`.
-    pub fn open(gauge: &Arc<TargetGauge>, tokens: u64, now: Moment) -> Self {
+    pub fn acquire(gauge: &Arc<TargetGauge>, tokens: u64, now: Moment) -> Self {
         if gauge.own.fetch_add(1, Ordering::Relaxed) == 0 {
             // Silence counts only while there is something to hear.
             gauge.heard.store(micros(now), Ordering::Relaxed);
@@ -226,7 +227,7 @@
     }
 
     /// Notes that the prompt was read, which the first event shows.
-    pub fn note_read(&mut self) {
+    pub fn end_prefill(&mut self) {
         if let Some(tokens) = self.unread.take() {
             self.gauge.unread.fetch_sub(tokens, Ordering::Relaxed);
             self.gauge.unread_requests.fetch_sub(1, Ordering::Relaxed);
@@ -234,55 +235,57 @@
     }
 }
 
-impl Drop for GaugePlace {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
-        self.note_read();
+        self.end_prefill();
         self.gauge.own.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// The gauges of all targets, shared by the control thread and traffic.
 #[derive(Debug, Default)]
-pub struct GaugeBoard {
+pub struct GaugeMap {
     gauges: RwLock<HashMap<TargetId, Arc<TargetGauge>>>,
 }
 
-impl GaugeBoard {
+impl GaugeMap {
     /// Returns a target's gauge, opening it if there is none.
-    pub fn of(&self, target: &str) -> Arc<TargetGauge> {
+    pub fn get(&self, target: &str) -> Arc<TargetGauge> {
         if let Some(gauge) = self.read().get(target) {
             return Arc::clone(gauge);
         }
         let mut gauges = self.gauges.write().unwrap_or_else(PoisonError::into_inner);
         let gauge = gauges.entry(target.to_owned());
-        Arc::clone(gauge.or_insert_with(|| Arc::new(TargetGauge::open(target))))
+        Arc::clone(gauge.or_insert_with(|| Arc::new(TargetGauge::new(target))))
     }
 
     /// Returns this node's requests at each target where it has any.
-    pub fn loads(&self) -> LoadMap {
+    pub fn local_loads(&self) -> LoadMap {
         let gauges = self.read();
-        let loads = gauges.values().map(|gauge| (gauge.key(), gauge.own()));
+        let loads = gauges
+            .values()
+            .map(|gauge| (gauge.key(), gauge.local_requests()));
         loads.filter(|(_, requests)| *requests > 0).collect()
     }
 
     /// Returns the targets that this node itself suspects.
-    pub fn suspects(&self, now: Moment) -> Vec<TargetId> {
+    pub fn local_suspects(&self, now: Moment) -> Vec<TargetId> {
         let gauges = self.read();
         let suspects = gauges
             .iter()
-            .filter(|(_, gauge)| gauge.is_suspected_here(now));
+            .filter(|(_, gauge)| gauge.is_locally_suspect(now));
         suspects.map(|(id, _)| id.clone()).collect()
     }
 
     /// Returns the targets that this node or another one suspects.
-    pub fn suspected_anywhere(&self, now: Moment) -> IndexSet<TargetId> {
+    pub fn all_suspects(&self, now: Moment) -> IndexSet<TargetId> {
         let gauges = self.read();
         let suspects = gauges.iter().filter(|(_, gauge)| gauge.is_suspect(now));
         suspects.map(|(id, _)| id.clone()).collect()
     }
 
     /// Calls `visit` for every gauge.
-    pub fn each(&self, mut visit: impl FnMut(&TargetGauge)) {
+    pub fn for_each(&self, mut visit: impl FnMut(&TargetGauge)) {
         for gauge in self.read().values() {
             visit(gauge);
         }
@@ -291,7 +294,7 @@
     /// Drops the gauges of targets that are gone and without work.
     pub fn retain(&self, keep: impl Fn(&str) -> bool) {
         let mut gauges = self.gauges.write().unwrap_or_else(PoisonError::into_inner);
-        gauges.retain(|id, gauge| gauge.own() > 0 || keep(id));
+        gauges.retain(|id, gauge| gauge.local_requests() > 0 || keep(id));
     }
 
     fn read(&self) -> std::sync::RwLockReadGuard<'_, HashMap<TargetId, Arc<TargetGauge>>> {
--- a/crates/fleet/src/job.rs
+++ b/crates/fleet/src/job.rs
@@ -11,17 +11,17 @@
 use bytes::Bytes;
 use http::{HeaderMap, Method};
 
-use crate::gauge::GaugePlace;
-use crate::ports::CallerAsk;
+use crate::gauge::SlotGuard;
+use crate::ports::CallerRequest;
 use crate::queue::PlaceAsk;
+use crate::routing_table::RouteTarget;
 use crate::run::TargetRun;
 use crate::run_facts::{RunFacts, TargetLife};
-use crate::table::RouteTarget;
 
 /// A request that was identified and matched by a rule.
 pub struct RequestJob {
     /// What the caller asks.
-    pub ask: CallerAsk,
+    pub request: CallerRequest,
     /// Method.
     pub method: Method,
     /// Path and query.
@@ -31,11 +31,11 @@
     /// Body.
     pub body: Bytes,
     /// Fingerprint, the same for each repeat of the request.
-    pub print: RequestPrint,
+    pub fingerprint: RequestPrint,
     /// Rule that matched.
     pub rule: TrafficRule,
     /// Configuration that the rule is from.
-    pub book: Arc<Option<TrafficBook>>,
+    pub config: Arc<Option<TrafficBook>>,
     /// Service chosen.
     pub service: ServiceId,
     /// Organisation, if a key was asked for.
@@ -53,27 +53,27 @@
 impl RequestJob {
     /// Returns the engine behind the service.
     pub fn engine(&self) -> Option<&EngineModel> {
-        let book = self.book.as_ref().as_ref()?;
+        let book = self.config.as_ref().as_ref()?;
         book.services.get(&self.service)?.engine.as_ref()
     }
 
     /// Returns what the request needs of a target.
-    pub fn place_ask(&self, tried: &[TargetId]) -> PlaceAsk {
-        let model = self.engine().and(self.ask.model.clone());
+    pub fn slot_request(&self, tried: &[TargetId]) -> PlaceAsk {
+        let model = self.engine().and(self.request.model.clone());
         PlaceAsk {
             key: (self.service.clone(), model),
-            prompt_tokens: self.ask.prompt_tokens,
+            prompt_tokens: self.request.prompt_tokens,
             tried: tried.to_vec(),
             is_late: false,
         }
     }
 
     /// Returns what a run at a target is about that begins at `sent`.
-    pub fn run_at(&self, target: &RouteTarget, sent: Moment) -> RunFacts {
+    pub fn run_facts(&self, target: &RouteTarget, sent: Moment) -> RunFacts {
         let group = target.group.as_ref().map(|group| group.id.clone());
         RunFacts {
-            request: self.ask.attempt.clone(),
-            print: self.print,
+            request: self.request.attempt.clone(),
+            print: self.fingerprint,
             organisation: self.organisation.clone().unwrap_or_default(),
             life: TargetLife {
                 target: target.id.clone(),
@@ -93,11 +93,11 @@
 }
 
 /// An answer that has begun.
-pub struct BegunAnswer {
+pub struct ResponseStart {
     /// Target.
     pub target: Arc<RouteTarget>,
     /// Place there, until the answer is over.
-    pub place: Option<GaugePlace>,
+    pub slot: Option<SlotGuard>,
     /// Status and headers.
     pub head: http::response::Parts,
     /// Body.
--- a/crates/fleet/src/keeper.rs
+++ b/crates/fleet/src/keeper.rs
@@ -10,7 +10,7 @@
 use serde_json::{json, Value};
 
 use crate::feed::askers;
-use crate::ports::{ConfigNews, DirectoryNews, FeedMark, SourceError};
+use crate::ports::{ConfigUpdate, DirectoryUpdate, FeedMark, SourceError};
 use crate::shared::{DirectoryView, FleetShared};
 
 /// Longest time one question for a newer configuration is held open.
@@ -134,7 +134,7 @@
     /// Ask the source.
     Ask,
     /// The source answered a question asked at this moment.
-    News(Moment, Result<ConfigNews, SourceError>),
+    News(Moment, Result<ConfigUpdate, SourceError>),
 }
 
 impl BookKeeper {
@@ -159,13 +159,13 @@
                 BookQuestion::AtOnce(mark) => (Some(mark), Duration::ZERO),
             };
             let answer = shared.changes(config.table(), mark, wait).await;
-            BookMessage::News(asked, answer.and_then(|answer| config.news(&answer)))
+            BookMessage::News(asked, answer.and_then(|answer| config.decode(&answer)))
         });
     }
 
-    fn take(&mut self, asked: Moment, news: ConfigNews) {
+    fn take(&mut self, asked: Moment, news: ConfigUpdate) {
         let (mark, is_newest) = (news.mark, news.is_newest);
-        if let Some(book) = news.book {
+        if let Some(book) = news.config {
             self.adopt(*book);
         }
         if is_newest && self.shared.book.read().is_some() {
@@ -262,7 +262,7 @@
     /// Ask the source.
     Ask,
     /// The source answered.
-    News(Result<DirectoryNews, SourceError>),
+    News(Result<DirectoryUpdate, SourceError>),
     /// Look for lapsed entries whose time is over.
     Expire,
 }
@@ -290,11 +290,11 @@
         link.spawn(async move {
             let directory = &shared.platform.directory;
             let answer = shared.changes(directory.table(), mark, wait).await;
-            DirectoryMessage::News(answer.map(|answer| directory.news(&answer)))
+            DirectoryMessage::News(answer.map(|answer| directory.decode(&answer)))
         });
     }
 
-    fn take(&mut self, news: DirectoryNews, now: Moment, link: &ServiceLink<DirectoryMessage>) {
+    fn take(&mut self, news: DirectoryUpdate, now: Moment, link: &ServiceLink<DirectoryMessage>) {
         let era = news.mark().era;
         if self.era.replace(era).is_some_and(|before| before != era) {
             // The store has lost its last seconds. What it does not list may only have to write itself again, as
@@ -304,11 +304,11 @@
         self.window.note_answer(now);
         let keep = self.window.keep_until(now);
         match news {
-            DirectoryNews::Whole(mark, listed) => {
+            DirectoryUpdate::Snapshot(mark, listed) => {
                 self.mark = Some(mark);
                 self.view.book.replace(listed, keep);
             }
-            DirectoryNews::Changes(mark, changes) => {
+            DirectoryUpdate::Changes(mark, changes) => {
                 self.mark = Some(mark);
                 if changes.is_empty() {
                     return;
--- a/crates/fleet/src/layouts.rs
+++ b/crates/fleet/src/layouts.rs
@@ -23,17 +23,17 @@
 
 /// What a decision rests on.
 #[derive(Clone, Copy, Debug)]
-pub struct LayoutBasis<'a> {
+pub struct LayoutInputs<'a> {
     /// Models.
     pub engine: &'a EngineModel,
     /// What each domain holds.
-    pub stock: &'a [DomainStock],
+    pub inventory: &'a [DomainStock],
     /// Groups that each model's callers fill now.
     pub demand: &'a IndexMap<ModelId, f64>,
     /// The same over a longer time, if weights may be exchanged.
     pub trend: Option<&'a IndexMap<ModelId, f64>>,
     /// Targets that are loading each model's weights where the stock does not show it.
-    pub coming: &'a IndexMap<ModelId, usize>,
+    pub loading: &'a IndexMap<ModelId, usize>,
     /// Whether the whole system starts and no caller has come yet.
     pub is_start: bool,
     /// Moment.
@@ -82,8 +82,8 @@
     ///
     /// Before the first caller only the number of targets counts, and the search takes tens of milliseconds at
     /// 12,000 of them, so it is made again only when that changes.
-    pub fn renew(self, basis: LayoutBasis<'_>) -> Self {
-        let targets: Vec<usize> = basis.stock.iter().map(DomainStock::targets).collect();
+    pub fn replan(self, basis: LayoutInputs<'_>) -> Self {
+        let targets: Vec<usize> = basis.inventory.iter().map(DomainStock::targets).collect();
         if basis.is_start && self.start_of.as_ref() == Some(&targets) {
             return Self {
                 planned: basis.now,
@@ -96,8 +96,8 @@
             plan_exchange(ExchangeTerms {
                 engine: basis.engine,
                 demand,
-                domains: basis.stock,
-                coming: basis.coming,
+                domains: basis.inventory,
+                coming: basis.loading,
             })
         });
         let phase = if basis.is_start {
@@ -116,7 +116,7 @@
             is_exchange,
             start_of: basis.is_start.then_some(targets),
             of_domain: exchanged
-                .unwrap_or_else(|| plan_layout(basis.engine, basis.demand, basis.stock, phase)),
+                .unwrap_or_else(|| plan_layout(basis.engine, basis.demand, basis.inventory, phase)),
         }
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -3,18 +3,18 @@
 //! The platform below is seen through the traits in [`ports`] only.
 
 pub mod budget;
-pub mod census;
 pub mod controller;
 pub mod costs;
 pub mod demand;
 pub mod dispatch;
+pub mod domain_counts;
 pub mod domains;
 pub mod end_watch;
 pub mod failure;
 pub mod feed;
 pub mod feed_doc;
 mod feed_pace;
-mod fleet_host;
+mod fleet_suspect_host;
 pub mod gauge;
 pub mod job;
 pub mod keeper;
@@ -30,6 +30,7 @@
 pub mod queue;
 pub mod refusal;
 pub mod relay;
+pub mod routing_table;
 pub mod run;
 pub mod run_facts;
 pub mod scope;
@@ -45,7 +46,6 @@
 pub mod suspect_table;
 pub mod suspects;
 pub mod suspicion;
-pub mod table;
 pub mod trace;
 pub mod tracker;
 pub mod verdict_log;
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -86,7 +86,7 @@
         kernel.mount(BookKeeper::open(Arc::clone(&shared)))?;
         kernel.mount(DirectoryKeeper::open(Arc::clone(&shared)))?;
         let exchange = kernel.mount(PeerExchange::open(Arc::clone(&shared)))?;
-        kernel.mount(GroupController::open(Arc::clone(&shared)))?;
+        kernel.mount(GroupController::new(Arc::clone(&shared)))?;
         let host: Arc<dyn SuspectHost> = Arc::clone(&shared) as Arc<dyn SuspectHost>;
         let suspects = kernel.mount(SuspectKeeper::open(Arc::clone(&host)))?;
         let watch = kernel.mount(EndWatch::open(host, suspects.clone()))?;
--- a/crates/fleet/src/peers.rs
+++ b/crates/fleet/src/peers.rs
@@ -14,7 +14,7 @@
 use serde_json::{json, Value};
 
 use crate::costs::CostKind;
-use crate::ports::{FeedMark, NodeNews, SourceError};
+use crate::ports::{FeedMark, NodeUpdate, SourceError};
 use crate::shared::{FleetPhase, FleetShared};
 
 /// Path of the messages between nodes.
@@ -60,12 +60,12 @@
         reads_store: shared.feed.reads_store(),
         has_traffic: shared.has_traffic.load(Ordering::Relaxed),
         work: WorkSum {
-            loads: shared.gauges.loads(),
+            loads: shared.gauges.local_loads(),
             loading: shared.loading.load().as_ref().clone(),
-            demand: shared.demand.rates(now),
-            arrivals: shared.demand.arrivals(now),
+            demand: shared.demand.group_demand(now),
+            arrivals: shared.demand.request_rates(now),
         },
-        suspects: shared.gauges.suspects(now),
+        suspects: shared.gauges.local_suspects(now),
     }
 }
 
@@ -89,10 +89,10 @@
 pub fn share_suspicions<'a>(shared: &FleetShared, suspects: impl Iterator<Item = &'a TargetId>) {
     let now = BootClock::now();
     for target in suspects {
-        let gauge = shared.gauges.of(target);
+        let gauge = shared.gauges.get(target);
         // A target that this node hears is only cut off from the other.
-        if gauge.own() == 0 || gauge.silence(now) > OWN_SILENCE {
-            gauge.suspect_as_told(now + SHARED_SUSPICION);
+        if gauge.local_requests() == 0 || gauge.silence(now) > OWN_SILENCE {
+            gauge.suspect_from_peer(now + SHARED_SUSPICION);
         }
     }
 }
@@ -150,7 +150,7 @@
     /// This node's entry was written or not.
     Registered(Result<(), SourceError>),
     /// The registry answered.
-    News(Result<NodeNews, SourceError>),
+    News(Result<NodeUpdate, SourceError>),
     /// Ask the registry.
     Ask,
 }
@@ -191,11 +191,17 @@
         let mark = self.mark;
         shared.costs.count(CostKind::RegistryRead);
         link.spawn(async move {
-            PeerMessage::News(shared.platform.nodes.next(mark, REGISTRY_WAIT).await)
+            PeerMessage::News(
+                shared
+                    .platform
+                    .nodes
+                    .poll_entries(mark, REGISTRY_WAIT)
+                    .await,
+            )
         });
     }
 
-    fn take_news(&mut self, news: &NodeNews, now: Moment) {
+    fn take_news(&mut self, news: &NodeUpdate, now: Moment) {
         self.mark = Some(news.mark);
         let mut membership = self.shared.membership();
         for entry in &news.nodes {
@@ -222,7 +228,9 @@
         }
         if now >= self.cleared + FRESH_INTERVAL {
             self.cleared = now;
-            self.shared.gauges.each(|gauge| gauge.clear_fresh());
+            self.shared
+                .gauges
+                .for_each(|gauge| gauge.clear_unreported());
         }
     }
 
@@ -254,9 +262,9 @@
         let begun = BootClock::now();
         let work = self.shared.membership().work_elsewhere(now);
         let gauges = &self.shared.gauges;
-        gauges.each(|gauge| {
+        gauges.for_each(|gauge| {
             let requests = work.loads.get(&gauge.key()).copied();
-            gauge.set_remote(requests.unwrap_or(0));
+            gauge.set_remote_requests(requests.unwrap_or(0));
         });
         self.shared.elsewhere.publish(work);
         self.publish(now);
--- a/crates/fleet/src/placer.rs
+++ b/crates/fleet/src/placer.rs
@@ -11,12 +11,12 @@
 use briarswitch_kernel::BootClock;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use crate::gauge::GaugePlace;
+use crate::gauge::SlotGuard;
 use crate::job::RequestJob;
 use crate::peers::KNOWN_TIME;
 use crate::queue::{wait_for_place, PlaceAsk, PlaceQueue, PlacedTarget, QueueKey};
+use crate::routing_table::RouteTarget;
 use crate::shared::FleetShared;
-use crate::table::RouteTarget;
 
 /// Time between looks for a free place while nothing wakes the request.
 const PLACE_CHECK: Duration = Duration::from_millis(25);
@@ -100,7 +100,7 @@
         tried: &[TargetId],
         terms: WaitTerms,
     ) -> Result<PlacedTarget, FailurePoint> {
-        let mut ask = job.place_ask(tried);
+        let mut ask = job.slot_request(tried);
         let request = WaitingRequest::open(WaitTerms {
             objective: job.rule.objective,
             first: self.queue.usual_first(&ask.key),
@@ -136,7 +136,7 @@
 
     /// Notes the time from a place to the first event there.
     pub fn note_first(&self, job: &RequestJob, time: Duration) {
-        self.queue.note_first(&job.place_ask(&[]).key, time);
+        self.queue.note_first(&job.slot_request(&[]).key, time);
     }
 
     /// Picks a target now; `None` when each is full, suspect or tried.
@@ -173,9 +173,9 @@
                 let index = pick_group(engine, model, &loads, &terms)?;
                 open[index]
             }
-            None => self.pick_plain(table.plain(service), &ask.tried, now)?,
+            None => self.pick_plain(table.single_targets(service), &ask.tried, now)?,
         };
-        let place = GaugePlace::open(&target.gauge, ask.prompt_tokens, now);
+        let place = SlotGuard::acquire(&target.gauge, ask.prompt_tokens, now);
         Some((Arc::clone(target), place))
     }
 
@@ -196,12 +196,12 @@
         // Whatever the zone: one that lost its own groups lives on the shares of others'.
         let share = || place_share(engine.slots, self.shared.weight_for(&group.id, now));
         GroupLoad {
-            share: group.gauge.share(now, share),
-            writers: group.gauge.load_at(now),
-            own: group.gauge.own(),
-            fresh: group.gauge.fresh(),
+            share: group.gauge.slot_share(now, share),
+            writers: group.gauge.estimated_load(now),
+            own: group.gauge.local_requests(),
+            fresh: group.gauge.unreported_requests(),
             nodes: self.shared.live.read().live_nodes(),
-            unread_tokens: group.gauge.unread(),
+            unread_tokens: group.gauge.prefill_tokens(),
             delay: delay.map_or(Duration::ZERO, |delay| delay.delay),
             is_queueing: group.gauge.is_queueing(now),
             is_for_late: false,
@@ -217,10 +217,10 @@
     ) -> Option<&'a Arc<RouteTarget>> {
         let cost = |target: &RouteTarget| {
             let slots = f64::from(target.slots.max(1));
-            let load = f64::from(target.gauge.writers()) / slots;
+            let load = f64::from(target.gauge.active_requests()) / slots;
             let is_far = target.zone != self.shared.settings.zone;
             let away = if is_far { FAR_PLACES / slots } else { 0.0 };
-            load + away + target.gauge.failing() * FAILURE_WEIGHT
+            load + away + target.gauge.failure_rate() * FAILURE_WEIGHT
         };
         let open = targets
             .iter()
--- a/crates/fleet/src/ports.rs
+++ b/crates/fleet/src/ports.rs
@@ -47,7 +47,7 @@
 
 /// Question for the changes of one table of the store.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct FeedQuestion {
+pub struct FeedRequest {
     /// Table, as the platform calls it.
     pub table: String,
     /// Point after which changes are asked for; without one the whole table is.
@@ -67,7 +67,7 @@
 
 /// Rows of one table, and the point in history they are from.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct FeedAnswer {
+pub struct FeedResponse {
     /// Where to go on.
     pub mark: FeedMark,
     /// Rows in the order in which they were written.
@@ -75,17 +75,17 @@
     /// How long before the question was sent the store may have been asked.
     pub age: Duration,
     /// Whether the rows are the whole table and not changes of it.
-    pub is_whole: bool,
+    pub is_snapshot: bool,
 }
 
-impl FeedAnswer {
+impl FeedResponse {
     /// Returns whether nothing had changed after these rows when the store was asked.
     ///
     /// The store bounds its answers and does not say that one was cut short. Taken for all there is, the
     /// first part of a long history would date what a node holds as new: keys that a later part takes away
     /// were used for 5.4 s. Only an answer without changes, or the whole table, proves that there are no more.
-    pub fn is_complete(&self) -> bool {
-        self.is_whole || self.rows.is_empty()
+    pub fn is_up_to_date(&self) -> bool {
+        self.is_snapshot || self.rows.is_empty()
     }
 }
 
@@ -93,16 +93,16 @@
 pub trait FeedSource: Send + Sync {
     /// Returns the whole table, or the changes after a mark as soon as there are any, or none when the wait
     /// is over.
-    fn changes(&self, question: FeedQuestion) -> SourceFuture<'static, FeedAnswer>;
+    fn changes(&self, question: FeedRequest) -> SourceFuture<'static, FeedResponse>;
 }
 
 /// Answer of [`ConfigSource`].
 #[derive(Clone, Debug)]
-pub struct ConfigNews {
+pub struct ConfigUpdate {
     /// Where to go on.
     pub mark: FeedMark,
     /// Newest configuration, if there is one that was not read yet.
-    pub book: Option<Box<TrafficBook>>,
+    pub config: Option<Box<TrafficBook>>,
     /// Whether no newer one can have been there when the store was asked.
     pub is_newest: bool,
     /// How long before the question was sent the store may have been asked.
@@ -111,25 +111,25 @@
 
 /// Answer of [`TargetDirectory`].
 #[derive(Clone, Debug)]
-pub enum DirectoryNews {
+pub enum DirectoryUpdate {
     /// Everything that is listed.
-    Whole(FeedMark, Vec<TargetChange>),
+    Snapshot(FeedMark, Vec<TargetChange>),
     /// What changed since the mark asked for.
     Changes(FeedMark, Vec<TargetChange>),
 }
 
-impl DirectoryNews {
+impl DirectoryUpdate {
     /// Returns where to go on.
     pub fn mark(&self) -> FeedMark {
         match self {
-            Self::Whole(mark, _) | Self::Changes(mark, _) => *mark,
+            Self::Snapshot(mark, _) | Self::Changes(mark, _) => *mark,
         }
     }
 }
 
 /// Answer of [`NodeRegistry`].
 #[derive(Clone, Debug)]
-pub struct NodeNews {
+pub struct NodeUpdate {
     /// Where to go on.
     pub mark: FeedMark,
     /// Nodes that are new or have changed.
@@ -146,7 +146,7 @@
     /// # Errors
     ///
     /// Returns [`SourceError::Unreadable`] when a configuration can not be understood.
-    fn news(&self, answer: &FeedAnswer) -> Result<ConfigNews, SourceError>;
+    fn decode(&self, answer: &FeedResponse) -> Result<ConfigUpdate, SourceError>;
 }
 
 /// Where the list of targets comes from.
@@ -155,7 +155,7 @@
     fn table(&self) -> &'static str;
 
     /// Reads the table or changes of it.
-    fn news(&self, answer: &FeedAnswer) -> DirectoryNews;
+    fn decode(&self, answer: &FeedResponse) -> DirectoryUpdate;
 }
 
 /// The store's clock, which is the same for all nodes.
@@ -173,7 +173,7 @@
     fn register(&self, entry: NodeEntry) -> SourceFuture<'_, ()>;
 
     /// Reads all entries, or waits up to `wait` for changes after the mark.
-    fn next(&self, mark: Option<FeedMark>, wait: Duration) -> SourceFuture<'_, NodeNews>;
+    fn poll_entries(&self, mark: Option<FeedMark>, wait: Duration) -> SourceFuture<'_, NodeUpdate>;
 }
 
 /// What a target says of itself.
@@ -202,13 +202,13 @@
 pub enum ReportError {
     /// No answer came in time.
     #[error("no answer")]
-    Silent,
+    NoResponse,
     /// Nobody listens at the address: the life that did has ended.
     #[error("nobody listens")]
     Refused,
     /// Another life answers at the address.
     #[error("another life answers")]
-    Gone,
+    OtherIncarnation,
     /// The answer can not be understood.
     #[error("unreadable answer")]
     Unreadable,
@@ -220,7 +220,7 @@
     fn table(&self) -> &'static str;
 
     /// Reads the table or changes of it; rows that can not be understood are left out.
-    fn news(&self, answer: &FeedAnswer) -> Vec<SuspectChange>;
+    fn decode(&self, answer: &FeedResponse) -> Vec<SuspectChange>;
 
     /// Writes and drops rows, all of them or none.
     fn write(&self, rows: Vec<SuspectRow>, dropped: Vec<SuspectKey>) -> SourceFuture<'_, ()>;
@@ -229,7 +229,7 @@
 /// Asks and orders targets.
 pub trait TargetControl: Send + Sync {
     /// Finds out whether anybody listens at a target's address; nothing is asked.
-    fn reach<'a>(
+    fn probe<'a>(
         &'a self,
         address: &'a str,
         limit: Duration,
@@ -256,7 +256,7 @@
 
 /// What a caller's request says, in this project's words.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct CallerAsk {
+pub struct CallerRequest {
     /// Id of this attempt, chosen by the caller.
     pub attempt: RequestId,
     /// Host asked for, without a port.
@@ -264,13 +264,13 @@
     /// Key, if there is one.
     pub key: Option<String>,
     /// Time the caller will wait.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Model asked for.
     pub model: Option<ModelId>,
     /// Tokens in the prompt.
     pub prompt_tokens: u64,
     /// Most tokens that the answer may have; zero where the caller does not say.
-    pub most_tokens: u64,
+    pub max_tokens: u64,
     /// Tokens that the caller expects of the answer; right at the median, and often far off.
     pub expected_tokens: Option<u64>,
     /// Last event the caller has already, where it resumes a stream.
@@ -279,13 +279,13 @@
 
 /// What is added to a request for a target.
 #[derive(Clone, Copy, Debug)]
-pub struct TargetMark<'a> {
+pub struct TargetRequestInfo<'a> {
     /// Life that may run it.
     pub target: &'a TargetId,
     /// Organisation, if a key was asked for.
     pub organisation: Option<&'a str>,
     /// Time that is left.
-    pub left: Duration,
+    pub remaining: Duration,
     /// Rank at the target, zero first.
     pub priority: u8,
     /// Event after which a stream goes on.
@@ -294,7 +294,7 @@
 
 /// What a target's answer says about itself.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct AnswerFacts {
+pub struct ResponseInfo {
     /// Attempt that the target says it answers.
     pub attempt: Option<String>,
     /// Whether the answer bears proof that a target made it.
@@ -302,33 +302,33 @@
     /// Whether the target says that it did not run the request.
     pub is_not_run: bool,
     /// Whether another life than the one meant answered.
-    pub is_other_life: bool,
+    pub is_other_incarnation: bool,
     /// Member to which the target puts the failure down.
-    pub at_fault: Option<TargetId>,
+    pub failed_member: Option<TargetId>,
     /// Requests at work there.
     pub running: Option<u32>,
     /// Requests that wait there.
     pub waiting: Option<u32>,
     /// Whether the body is not as the target made it.
-    pub is_recoded: bool,
+    pub is_reencoded: bool,
 }
 
 /// How callers and targets spell what the fleet has to know.
-pub trait CallerDialect: Send + Sync {
+pub trait CallerProtocol: Send + Sync {
     /// Reads a caller's request.
-    fn ask(&self, head: &Parts) -> CallerAsk;
+    fn parse_request(&self, head: &Parts) -> CallerRequest;
 
     /// Returns the headers that a target is sent.
-    fn to_target(&self, head: &HeaderMap, mark: TargetMark<'_>) -> HeaderMap;
+    fn target_headers(&self, head: &HeaderMap, mark: TargetRequestInfo<'_>) -> HeaderMap;
 
     /// Reads a target's answer.
-    fn facts(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFacts;
+    fn parse_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseInfo;
 
     /// Returns the headers that a caller is sent with a target's answer.
-    fn to_caller(&self, headers: &HeaderMap) -> HeaderMap;
+    fn caller_headers(&self, headers: &HeaderMap) -> HeaderMap;
 
     /// Returns the header that carries the attempt's id, for answers of the node's own.
-    fn mark_own(&self, headers: &mut HeaderMap, attempt: &str);
+    fn add_attempt_id(&self, headers: &mut HeaderMap, attempt: &str);
 }
 
 /// The platform as the fleet sees it.
@@ -349,5 +349,5 @@
     /// Requests under which targets have ended.
     pub suspects: Arc<dyn SuspectRegistry>,
     /// Spelling of requests and answers.
-    pub dialect: Arc<dyn CallerDialect>,
+    pub protocol: Arc<dyn CallerProtocol>,
 }
--- a/crates/fleet/src/queue.rs
+++ b/crates/fleet/src/queue.rs
@@ -9,8 +9,8 @@
 use indexmap::IndexMap;
 use tokio::sync::oneshot;
 
-use crate::gauge::GaugePlace;
-use crate::table::RouteTarget;
+use crate::gauge::SlotGuard;
+use crate::routing_table::RouteTarget;
 
 /// Weight of the newest sample in the usual time to the first event.
 const FIRST_SMOOTHING: f64 = 0.1;
@@ -18,7 +18,7 @@
 /// Names the targets that requests compete for: a service, and a model where it has several.
 pub type QueueKey = (ServiceId, Option<ModelId>);
 /// A place at a target.
-pub type PlacedTarget = (Arc<RouteTarget>, GaugePlace);
+pub type PlacedTarget = (Arc<RouteTarget>, SlotGuard);
 
 /// What a waiting request needs of its target.
 #[derive(Clone, Debug)]
--- a/crates/fleet/src/relay.rs
+++ b/crates/fleet/src/relay.rs
@@ -12,8 +12,8 @@
 
 use crate::dispatch::{FleetDispatcher, SILENCE_CHECK};
 use crate::failure::FailureSign;
-use crate::gauge::GaugePlace;
-use crate::job::{BegunAnswer, RequestJob};
+use crate::gauge::SlotGuard;
+use crate::job::{RequestJob, ResponseStart};
 use crate::queue::PlacedTarget;
 use crate::suspicion::silence_of;
 use crate::trace::{RequestEnd, RequestTrace};
@@ -25,7 +25,7 @@
 pub struct StreamRelay {
     dispatcher: Arc<FleetDispatcher>,
     job: RequestJob,
-    current: BegunAnswer,
+    current: ResponseStart,
     splitter: EventSplitter,
     trace: RequestTrace,
     tried: Vec<TargetId>,
@@ -58,7 +58,7 @@
     pub fn spawn(
         dispatcher: Arc<FleetDispatcher>,
         job: RequestJob,
-        begun: BegunAnswer,
+        begun: ResponseStart,
         mut trace: RequestTrace,
     ) -> impl Stream<Item = Result<Bytes, io::Error>> + Send + 'static {
         trace.sent += 1;
@@ -145,16 +145,16 @@
         let suspects = &self.dispatcher.shared().suspects;
         self.job.rule.is_repeatable()
             && self.trace.sent < self.job.rule.max_attempts
-            && suspects.may_go_on(&self.job.print, self.trace.broken)
+            && suspects.may_go_on(&self.job.fingerprint, self.trace.broken)
     }
 
     fn note_events(&mut self) {
         let now = BootClock::now();
         if self.trace.events == 0 {
             self.current
-                .place
+                .slot
                 .iter_mut()
-                .for_each(GaugePlace::note_read);
+                .for_each(SlotGuard::end_prefill);
             self.trace.note_first();
             if self.trace.sent == 1 {
                 let placed = self.trace.arrived + self.trace.waited.unwrap_or_default();
@@ -165,7 +165,7 @@
             self.trace.pause = self.trace.pause.max(now.saturating_sub(self.heard));
         }
         self.heard = now;
-        self.current.target.gauge.note_heard(now);
+        self.current.target.gauge.record_activity(now);
         self.trace.events = self.splitter.events();
     }
 
@@ -190,7 +190,7 @@
         let Some(placed) = self
             .dispatcher
             .placer()
-            .pick(&self.job.place_ask(&self.tried))
+            .pick(&self.job.slot_request(&self.tried))
         else {
             return false;
         };
@@ -202,7 +202,7 @@
     /// Targets often end together, and the next one may be gone as well without anybody knowing yet. One that
     /// refuses the connection has not had the request, so the stream goes on to another.
     async fn resume_broken(&mut self) -> bool {
-        self.current.place = None;
+        self.current.slot = None;
         while self.may_resume() {
             let placer = self.dispatcher.placer();
             let is_begun = self.splitter.last().is_some();
@@ -225,7 +225,7 @@
         }
         self.trace.sent += 1;
         let last = self.splitter.last().map(str::to_owned);
-        let last = last.or_else(|| self.job.ask.last_event.clone());
+        let last = last.or_else(|| self.job.request.last_event.clone());
         self.tried.push(target.id.clone());
         log::info!(
             request = self.trace.request.as_str(),
@@ -273,7 +273,7 @@
 
 impl Drop for StreamRelay {
     fn drop(&mut self) {
-        self.current.place = None;
+        self.current.slot = None;
         self.dispatcher.placer().serve_queue();
     }
 }
--- a/crates/fleet/src/table.rs
+++ b/crates/fleet/src/routing_table.rs
@@ -9,7 +9,7 @@
 use indexmap::{IndexMap, IndexSet};
 use rustc_hash::FxBuildHasher;
 
-use crate::gauge::{GaugeBoard, TargetGauge};
+use crate::gauge::{GaugeMap, TargetGauge};
 
 /// One target that takes requests: a single one, or the first member of a whole group.
 #[derive(Clone, Debug)]
@@ -47,18 +47,18 @@
 
 /// Targets by service, and by model where a service's targets are engines.
 #[derive(Clone, Debug, Default)]
-pub struct TargetTable {
+pub struct RoutingTable {
     plain: IndexMap<ServiceId, Vec<Arc<RouteTarget>>>,
     models: IndexMap<ServiceId, IndexMap<ModelId, Vec<Arc<RouteTarget>>>>,
 }
 
-impl TargetTable {
+impl RoutingTable {
     /// Builds the table that follows the one before.
     pub fn build(
         book: &TrafficBook,
         targets: &TargetBook,
         before: &Self,
-        gauges: &GaugeBoard,
+        gauges: &GaugeMap,
     ) -> Self {
         let mut table = Self::default();
         let unlisted = unlisted_members(targets, before);
@@ -84,7 +84,7 @@
     }
 
     /// Returns the single targets of a service.
-    pub fn plain(&self, service: &str) -> &[Arc<RouteTarget>] {
+    pub fn single_targets(&self, service: &str) -> &[Arc<RouteTarget>] {
         self.plain.get(service).map_or(&[], Vec::as_slice)
     }
 
@@ -102,11 +102,7 @@
     }
 }
 
-fn route(
-    record: &TargetRecord,
-    group: Option<RouteGroup>,
-    gauges: &GaugeBoard,
-) -> Arc<RouteTarget> {
+fn route(record: &TargetRecord, group: Option<RouteGroup>, gauges: &GaugeMap) -> Arc<RouteTarget> {
     Arc::new(RouteTarget {
         id: record.id.clone(),
         incarnation: record.incarnation,
@@ -115,7 +111,7 @@
         domain: record.domain.clone(),
         slots: record.slots,
         group,
-        gauge: gauges.of(&record.id),
+        gauge: gauges.get(&record.id),
     })
 }
 
@@ -125,7 +121,7 @@
 /// Returns the members whose entries are gone, of groups that were whole before.
 ///
 /// A node that has not itself seen every member under the group's name and epoch sends nothing there.
-fn unlisted_members<'a>(targets: &'a TargetBook, before: &TargetTable) -> MemberMap<'a> {
+fn unlisted_members<'a>(targets: &'a TargetBook, before: &RoutingTable) -> MemberMap<'a> {
     let unlisted = targets.unlisted();
     if unlisted.is_empty() {
         return MemberMap::default();
@@ -147,7 +143,7 @@
     records: impl Iterator<Item = &'a TargetRecord>,
     unlisted: &MemberMap<'a>,
     engine: &EngineModel,
-    gauges: &GaugeBoard,
+    gauges: &GaugeMap,
 ) -> IndexMap<ModelId, Vec<Arc<RouteTarget>>> {
     let mut members = unlisted.clone();
     let mut heads = Vec::new();
--- a/crates/fleet/src/scope.rs
+++ b/crates/fleet/src/scope.rs
@@ -22,14 +22,14 @@
 
 impl DomainKey {
     /// Returns whether a target belongs to the domain.
-    pub fn holds(&self, record: &TargetRecord) -> bool {
+    pub fn contains(&self, record: &TargetRecord) -> bool {
         record.domain == self.domain && record.service == self.service
     }
 }
 
 /// What a scope follows from.
 #[derive(Debug)]
-pub struct ScopeBasis {
+pub struct ScopeInputs {
     /// Version of the configuration.
     pub version: ConfigVersion,
     /// Targets.
@@ -42,14 +42,14 @@
 #[derive(Debug)]
 pub struct ControlScope {
     /// Targets of all services whose targets are engines.
-    pub engines: Vec<Arc<TargetRecord>>,
+    pub engine_targets: Vec<Arc<TargetRecord>>,
     /// Domains that are this node's.
-    pub own: IndexSet<DomainKey>,
+    pub own_domains: IndexSet<DomainKey>,
     /// Targets of those.
-    pub mine: Vec<Arc<TargetRecord>>,
+    pub own_targets: Vec<Arc<TargetRecord>>,
     /// Members of groups there whose entries are gone.
-    pub unlisted: Vec<Arc<TargetRecord>>,
-    basis: ScopeBasis,
+    pub unlisted_members: Vec<Arc<TargetRecord>>,
+    basis: ScopeInputs,
 }
 
 impl ControlScope {
@@ -57,8 +57,8 @@
     ///
     /// The domain's own zone goes first, since a zone that is cut off has to mend itself. Two nodes that
     /// both believe a domain theirs do no harm: the targets obey only one of them.
-    pub fn open(book: &TrafficBook, basis: ScopeBasis) -> Self {
-        let ScopeBasis {
+    pub fn new(book: &TrafficBook, basis: ScopeInputs) -> Self {
+        let ScopeInputs {
             directory, live, ..
         } = &basis;
         let mut engines = Vec::new();
@@ -84,21 +84,21 @@
             }
             engines.extend(of_service.into_iter().cloned());
         }
-        let is_mine = |record: &&Arc<TargetRecord>| own.iter().any(|key| key.holds(record));
+        let is_mine = |record: &&Arc<TargetRecord>| own.iter().any(|key| key.contains(record));
         let mine = engines.iter().filter(is_mine).cloned().collect();
         let unlisted = directory.book.unlisted().values();
         let unlisted = unlisted.filter(is_mine).cloned().collect();
         Self {
-            engines,
-            mine,
-            unlisted,
-            own,
+            engine_targets: engines,
+            own_targets: mine,
+            unlisted_members: unlisted,
+            own_domains: own,
             basis,
         }
     }
 
     /// Returns whether the scope follows from the same; what nodes see of callers decides nothing.
-    pub fn is_of(&self, basis: &ScopeBasis) -> bool {
+    pub fn is_current_for(&self, basis: &ScopeInputs) -> bool {
         let held = &self.basis;
         held.version == basis.version
             && Arc::ptr_eq(&held.directory, &basis.directory)
--- a/crates/fleet/src/shared.rs
+++ b/crates/fleet/src/shared.rs
@@ -16,12 +16,12 @@
 use crate::costs::{CostKind, CostLedger};
 use crate::demand::DemandMeter;
 use crate::feed::FeedRelay;
-use crate::gauge::GaugeBoard;
+use crate::gauge::GaugeMap;
 use crate::metrics::FleetMetrics;
-use crate::ports::{FeedAnswer, FeedMark, FeedQuestion, FleetPlatform, NodeEntry, SourceError};
+use crate::ports::{FeedMark, FeedRequest, FeedResponse, FleetPlatform, NodeEntry, SourceError};
+use crate::routing_table::RoutingTable;
 use crate::settings::FleetSettings;
 use crate::suspects::SuspectBoard;
-use crate::table::TargetTable;
 
 /// Part of a key's validity after which it is no longer trusted.
 ///
@@ -70,11 +70,11 @@
     /// Directory.
     pub directory: Snapshot<DirectoryView>,
     /// Where requests may go.
-    pub table: Snapshot<TargetTable>,
+    pub table: Snapshot<RoutingTable>,
     /// Requests under which targets have ended.
     pub suspects: SuspectBoard,
     /// Load and liveness of targets.
-    pub gauges: GaugeBoard,
+    pub gauges: GaugeMap,
     /// The other nodes that live.
     pub live: Snapshot<LiveView>,
     /// Work of all other nodes.
@@ -123,9 +123,9 @@
             feed: FeedRelay::open(Arc::clone(&platform.feed), Arc::clone(&costs)),
             book: Snapshot::open(None),
             directory: Snapshot::open(DirectoryView::default()),
-            table: Snapshot::open(TargetTable::default()),
+            table: Snapshot::open(RoutingTable::default()),
             suspects: SuspectBoard::open(Arc::clone(&platform.clock)),
-            gauges: GaugeBoard::default(),
+            gauges: GaugeMap::default(),
             live: Snapshot::open(LiveView::open(own.clone())),
             membership: Mutex::new(Membership::open(own)),
             peers_known: watch::Sender::new(false),
@@ -220,8 +220,8 @@
         table: &str,
         mark: Option<FeedMark>,
         wait: Duration,
-    ) -> Result<FeedAnswer, SourceError> {
-        let question = FeedQuestion {
+    ) -> Result<FeedResponse, SourceError> {
+        let question = FeedRequest {
             table: table.to_owned(),
             mark,
             wait,
@@ -261,7 +261,7 @@
 
     /// Returns this node's part of what all live nodes ask, among ranks for something.
     pub fn weight_for(&self, thing: &str, now: Moment) -> NodeWeight {
-        let own = self.demand.arrivals(now).values().sum();
+        let own = self.demand.request_rates(now).values().sum();
         self.live.read().weight_for(thing, own)
     }
 
@@ -275,7 +275,7 @@
         let directory = self.directory.load();
         let targets = directory.book.targets();
         let before = self.table.load();
-        let table = TargetTable::build(book, &directory.book, &before, &self.gauges);
+        let table = RoutingTable::build(book, &directory.book, &before, &self.gauges);
         self.table.publish(table);
         self.gauges.retain(|id| targets.contains_key(id));
         let took = BootClock::now().saturating_sub(begun);
--- a/crates/fleet/src/supply.rs
+++ b/crates/fleet/src/supply.rs
@@ -5,7 +5,7 @@
 use briarswitch_core::traffic::ServiceSpec;
 use indexmap::IndexMap;
 
-use crate::table::TargetTable;
+use crate::routing_table::RoutingTable;
 
 /// What one model has and is asked for.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -13,11 +13,11 @@
     /// Groups that take requests.
     pub groups: usize,
     /// Requests that they work on at once.
-    pub places: u32,
+    pub slots: u32,
     /// Requests at work there, as far as this node knows.
-    pub at_work: u32,
+    pub running_requests: u32,
     /// Groups that the callers' requests would fill.
-    pub wanted: f64,
+    pub demanded_groups: f64,
 }
 
 /// Returns what the models of an engine have and are asked for.
@@ -27,8 +27,8 @@
 ///
 /// use briarswitch_core::engine::{EngineModel, ModelSpec};
 /// use briarswitch_core::traffic::ServiceSpec;
-/// use briarswitch_fleet::supply::supplies;
-/// use briarswitch_fleet::table::TargetTable;
+/// use briarswitch_fleet::routing_table::RoutingTable;
+/// use briarswitch_fleet::supply::model_supplies;
 /// use indexmap::IndexMap;
 ///
 /// let models = IndexMap::from([("chat".to_owned(), ModelSpec::default())]);
@@ -36,14 +36,14 @@
 /// let service = ServiceSpec { id: "chat".to_owned(), max_connections: 9, engine: None };
 /// let demand = IndexMap::from([("chat".to_owned(), 2.5)]);
 /// let now = Duration::ZERO;
-/// let supplies = supplies(&service, &engine, &TargetTable::default(), &demand, now);
+/// let supplies = model_supplies(&service, &engine, &RoutingTable::default(), &demand, now);
 /// assert_eq!(supplies["chat"].groups, 0);
-/// assert_eq!(supplies["chat"].wanted, 2.5);
+/// assert_eq!(supplies["chat"].demanded_groups, 2.5);
 /// ```
-pub fn supplies(
+pub fn model_supplies(
     service: &ServiceSpec,
     engine: &EngineModel,
-    table: &TargetTable,
+    table: &RoutingTable,
     demand: &IndexMap<ModelId, f64>,
     now: Moment,
 ) -> IndexMap<ModelId, ModelSupply> {
@@ -51,9 +51,12 @@
         let groups = table.groups(&service.id, model);
         let supply = ModelSupply {
             groups: groups.len(),
-            places: engine.slots * u32::try_from(groups.len()).unwrap_or(u32::MAX),
-            at_work: groups.iter().map(|group| group.gauge.load_at(now)).sum(),
-            wanted: demand.get(model).copied().unwrap_or_default(),
+            slots: engine.slots * u32::try_from(groups.len()).unwrap_or(u32::MAX),
+            running_requests: groups
+                .iter()
+                .map(|group| group.gauge.estimated_load(now))
+                .sum(),
+            demanded_groups: demand.get(model).copied().unwrap_or_default(),
         };
         (model.clone(), supply)
     });
@@ -70,9 +73,9 @@
             service = service,
             model = model,
             groups = self.groups,
-            places = self.places,
-            at_work = self.at_work,
-            wanted = format!("{:.1}", self.wanted).as_str();
+            places = self.slots,
+            at_work = self.running_requests,
+            wanted = format!("{:.1}", self.demanded_groups).as_str();
             "model_supply"
         );
     }
--- a/crates/fleet/src/surface.rs
+++ b/crates/fleet/src/surface.rs
@@ -18,7 +18,7 @@
 use crate::dispatch::FleetDispatcher;
 use crate::job::RequestJob;
 use crate::patience::PatienceBook;
-use crate::ports::CallerAsk;
+use crate::ports::CallerRequest;
 use crate::refusal::OwnAnswer;
 use crate::shared::{FleetPhase, FleetShared};
 use crate::trace::{RequestEnd, RequestTrace};
@@ -43,7 +43,7 @@
     async fn answer(&self, request: Request) -> Response {
         let arrived = BootClock::now();
         let (head, body) = request.into_parts();
-        let ask = self.shared.platform.dialect.ask(&head);
+        let ask = self.shared.platform.protocol.parse_request(&head);
         let mut trace = RequestTrace::open(&self.shared, &ask.attempt, arrived);
         let accepted = self.accept(head, body, ask, &mut trace).await;
         let mut response = match accepted {
@@ -55,8 +55,8 @@
                     None => RequestEnd::Rejected,
                 });
                 let mut response = answer.response();
-                let dialect = &self.shared.platform.dialect;
-                dialect.mark_own(response.headers_mut(), &trace.request);
+                let dialect = &self.shared.platform.protocol;
+                dialect.add_attempt_id(response.headers_mut(), &trace.request);
                 response
             }
         };
@@ -72,7 +72,7 @@
         &self,
         head: Parts,
         body: Body,
-        ask: CallerAsk,
+        ask: CallerRequest,
         trace: &mut RequestTrace,
     ) -> Result<RequestJob, OwnAnswer> {
         if self.shared.phase() == FleetPhase::Draining {
@@ -97,11 +97,11 @@
         let service = service.ok_or_else(|| OwnAnswer::not_run("the rule names no service"))?;
         trace.service.clone_from(&service);
         let patience = ask
-            .patience
+            .timeout
             .map_or(rule.timeout, |own| own.min(rule.timeout));
-        let waited_before = self.patience.waited(&rule.name, ask.patience);
+        let waited_before = self.patience.waited(&rule.name, ask.timeout);
         trace.prompt_tokens = ask.prompt_tokens;
-        trace.most_tokens = ask.most_tokens;
+        trace.most_tokens = ask.max_tokens;
         trace.patience = patience;
         trace.waited_before = waited_before;
         self.count_demand(known, &service, &ask, trace.arrived);
@@ -118,7 +118,7 @@
         trace.print = Some(print);
         Ok(RequestJob {
             path,
-            print,
+            fingerprint: print,
             method: head.method,
             headers: head.headers,
             body: bytes,
@@ -129,12 +129,12 @@
             waited_before,
             arrived: trace.arrived,
             deadline: trace.arrived + patience,
-            ask,
-            book: Arc::clone(&book),
+            request: ask,
+            config: Arc::clone(&book),
         })
     }
 
-    fn count_demand(&self, book: &TrafficBook, service: &str, ask: &CallerAsk, now: Moment) {
+    fn count_demand(&self, book: &TrafficBook, service: &str, ask: &CallerRequest, now: Moment) {
         let engine = book.services.get(service);
         let engine = engine.and_then(|service| service.engine.as_ref());
         let model = ask.model.as_deref();
@@ -144,14 +144,14 @@
         if let Some(spec) = engine.models.get(model) {
             let answer = ask.expected_tokens.unwrap_or(engine.usual_answer as u64);
             let work = engine.work_time(spec, ask.prompt_tokens, answer);
-            self.shared.demand.count(model, work, now);
+            self.shared.demand.record(model, work, now);
         }
     }
 
     fn match_rule<'a>(
         &self,
         book: &'a TrafficBook,
-        ask: &CallerAsk,
+        ask: &CallerRequest,
         head: &Parts,
     ) -> Result<&'a TrafficRule, OwnAnswer> {
         let rule = book.rule(&ask.host, head.uri.path());
@@ -171,7 +171,7 @@
         &self,
         book: &TrafficBook,
         rule: &TrafficRule,
-        ask: &CallerAsk,
+        ask: &CallerRequest,
     ) -> Result<Option<(OrganisationId, Option<u8>)>, OwnAnswer> {
         if book.keys.is_none() || rule.is_public {
             return Ok(None);
--- a/crates/fleet/src/suspect_host.rs
+++ b/crates/fleet/src/suspect_host.rs
@@ -11,7 +11,7 @@
 use briarswitch_membership::ThingHolders;
 use futures::future::BoxFuture;
 
-use crate::ports::{FeedAnswer, FeedMark, ReportError, SourceFuture, SuspectRegistry};
+use crate::ports::{FeedMark, FeedResponse, ReportError, SourceFuture, SuspectRegistry};
 use crate::run_facts::{RunFacts, TargetLife};
 use crate::suspects::SuspectBoard;
 
@@ -83,7 +83,7 @@
         self: Arc<Self>,
         mark: Option<FeedMark>,
         wait: Duration,
-    ) -> SourceFuture<'static, FeedAnswer>;
+    ) -> SourceFuture<'static, FeedResponse>;
 
     /// Returns the nodes that add up the ends of a request.
     ///
--- a/crates/fleet/src/suspect_keeper.rs
+++ b/crates/fleet/src/suspect_keeper.rs
@@ -300,8 +300,8 @@
             let answer = Arc::clone(&host).changes(mark, wait).await;
             SuspectMessage::News(answer.map(|answer| SuspectNews {
                 mark: answer.mark,
-                is_whole: answer.is_whole,
-                changes: host.registry().news(&answer),
+                is_whole: answer.is_snapshot,
+                changes: host.registry().decode(&answer),
             }))
         });
     }
--- a/crates/fleet/src/suspicion.rs
+++ b/crates/fleet/src/suspicion.rs
@@ -8,7 +8,7 @@
 
 use crate::job::RequestJob;
 use crate::peers::{PeerMessage, SilentTarget};
-use crate::table::RouteTarget;
+use crate::routing_table::RouteTarget;
 
 /// Least time without an answer after which a request that may be repeated is sent elsewhere.
 const LEAST_PATIENCE: Duration = Duration::from_millis(500);
@@ -31,11 +31,11 @@
     };
     let gauge = &target.gauge;
     let work = GroupWork {
-        writers: gauge.writers(),
-        own: gauge.own(),
-        unread: gauge.unread_requests(),
-        unread_tokens: gauge.unread(),
-        interval: gauge.interval(),
+        writers: gauge.active_requests(),
+        own: gauge.local_requests(),
+        unread: gauge.prefill_requests(),
+        unread_tokens: gauge.prefill_tokens(),
+        interval: gauge.max_activity_gap(),
     };
     silence_limit(engine, model, &work)
 }
@@ -58,7 +58,7 @@
                 target_id = target.id.as_str(),
                 group = target.group.as_ref().map_or("", |group| group.id.as_str()),
                 silence_ms = target.gauge.silence(now).as_millis() as u64,
-                writers = target.gauge.writers();
+                writers = target.gauge.active_requests();
                 "target_suspected"
             );
             self.tell_suspicion(target);
--- a/crates/fleet/src/tracker.rs
+++ b/crates/fleet/src/tracker.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    fn open(record: TargetRecord, now: Moment) -> Self {
+    fn new(record: TargetRecord, now: Moment) -> Self {
         Self {
             facts: TargetFacts {
                 incarnation: record.incarnation,
@@ -93,12 +93,12 @@
         }
     }
 
-    fn hasten(&mut self, at: Moment) {
+    fn poll_by(&mut self, at: Moment) {
         let at = at.max(self.last + LEAST_INTERVAL);
         self.next = self.next.min(at);
     }
 
-    fn standing(&self) -> TargetStanding {
+    fn status(&self) -> TargetStanding {
         if self.is_replaced || self.failures >= SILENT_AFTER {
             TargetStanding::Silent
         } else if !self.is_listed {
@@ -141,10 +141,10 @@
             let tracked = self
                 .targets
                 .entry(record.id.clone())
-                .or_insert_with(|| TrackedTarget::open(record.clone(), now));
+                .or_insert_with(|| TrackedTarget::new(record.clone(), now));
             if tracked.is_listed != is_listed {
                 tracked.is_listed = is_listed;
-                tracked.hasten(now);
+                tracked.poll_by(now);
             }
             let is_news = tracked.record != *record;
             if is_news {
@@ -155,16 +155,16 @@
                     || tracked.facts.incarnation != record.incarnation
                     || tracked.facts.staged != record.staged;
                 if differs {
-                    tracked.hasten(now);
+                    tracked.poll_by(now);
                 }
             }
-            tracked.facts.standing = tracked.standing();
+            tracked.facts.standing = tracked.status();
         }
         self.targets.retain(|id, _| known.contains(id.as_str()));
     }
 
     /// Returns the targets to ask now, and marks them as asked.
-    pub fn due(&mut self, now: Moment) -> Vec<(TargetId, String)> {
+    pub fn take_due(&mut self, now: Moment) -> Vec<(TargetId, String)> {
         let due = self.targets.iter_mut().filter(|(_, tracked)| {
             !tracked.is_replaced && !tracked.is_asked && now >= tracked.next
         });
@@ -177,16 +177,16 @@
     }
 
     /// Has a target asked at once.
-    pub fn hasten(&mut self, target: &str, now: Moment) {
+    pub fn poll_now(&mut self, target: &str, now: Moment) {
         if let Some(tracked) = self.targets.get_mut(target) {
-            tracked.hasten(now);
+            tracked.poll_by(now);
         }
     }
 
     /// Takes in a report, or that there was none; returns whether the target fell silent by it.
     ///
     /// A question whose own timer ran late proves nothing and is asked again.
-    pub fn note_report(
+    pub fn record_report(
         &mut self,
         target: &str,
         report: Result<TargetReport, ReportError>,
@@ -198,18 +198,18 @@
             return false;
         };
         tracked.is_asked = false;
-        let before = tracked.standing();
+        let before = tracked.status();
         match report {
-            Ok(report) if tracked.is_of_another(&report, engine.report_lag) => {
+            Ok(report) if tracked.is_from_other_target(&report, engine.report_lag) => {
                 tracked.is_resolved = true;
-                tracked.replace("count_fell");
+                tracked.mark_replaced("count_fell");
             }
             Ok(report) => {
                 tracked.failures = 0;
                 tracked.is_resolved = true;
                 tracked.reported = Some(now);
-                tracked.take(report, engine.report_lag, now);
-                tracked.next = tracked.next_question(engine, now);
+                tracked.apply_report(report, engine.report_lag, now);
+                tracked.next = tracked.next_poll_time(engine, now);
             }
             Err(_) if is_late => tracked.next = now + LEAST_INTERVAL,
             Err(_) => {
@@ -222,17 +222,17 @@
                 }
             }
         }
-        tracked.facts.standing = tracked.standing();
+        tracked.facts.standing = tracked.status();
         before != TargetStanding::Silent && tracked.facts.standing == TargetStanding::Silent
     }
 
     /// Takes in what became of an order.
-    pub fn note_order(&mut self, order: &TargetOrder, result: OrderResult, now: Moment) {
+    pub fn record_order_result(&mut self, order: &TargetOrder, result: OrderResult, now: Moment) {
         let Some(tracked) = self.targets.get_mut(&order.target) else {
             return;
         };
         if result == OrderResult::Gone && order.incarnation == tracked.facts.incarnation {
-            tracked.replace("order_misdirected");
+            tracked.mark_replaced("order_misdirected");
             return;
         }
         let facts = &mut tracked.facts;
@@ -243,7 +243,7 @@
             result == OrderResult::Begun || (result == OrderResult::Held && is_leave && was_member);
         // An answer of another life than the one looked at says nothing of what is known now.
         if !is_in_force || order.incarnation != facts.incarnation {
-            tracked.hasten(now);
+            tracked.poll_by(now);
             return;
         }
         facts.sequence = facts.sequence.max(order.expected + 1);
@@ -270,8 +270,8 @@
     ///
     /// Reports lag. For a moment after an order one may show the count before it; an order on that
     /// condition would be refused for nothing. Later the report is right, whatever was believed.
-    fn take(&mut self, report: TargetReport, lag: Duration, now: Moment) {
-        self.forget_other_life(report.incarnation);
+    fn apply_report(&mut self, report: TargetReport, lag: Duration, now: Moment) {
+        self.reset_after_restart(report.incarnation);
         let facts = &mut self.facts;
         let is_recent = now < self.acknowledged + lag * 2;
         if is_recent && report.sequence < facts.sequence {
@@ -298,7 +298,7 @@
     ///
     /// A target may end and another one start at its address. Reports do not say whose they are, so the
     /// new one's would pass for the old one's, which would count as live for as long as it is remembered.
-    fn is_of_another(&self, report: &TargetReport, lag: Duration) -> bool {
+    fn is_from_other_target(&self, report: &TargetReport, lag: Duration) -> bool {
         let (count, since) = self.counted;
         // Reports lag, so one that was asked for soon after may show the count before.
         let is_settled = self.last >= since + lag * 2;
@@ -306,19 +306,19 @@
     }
 
     /// Takes in that another target answers at the address; it counts as silent until its entry is written again.
-    fn replace(&mut self, proof: &'static str) {
+    fn mark_replaced(&mut self, proof: &'static str) {
         if !self.is_replaced {
             log::warn!(target_id = self.record.id.as_str(), proof = proof; "target_replaced");
         }
         self.is_replaced = true;
-        self.facts.standing = self.standing();
+        self.facts.standing = self.status();
     }
 
     /// Forgets what was known of a life that has ended.
     ///
     /// A target that restarted under its name counts its orders anew. Were its count held against what
     /// the earlier life had reached, its reports would pass for old ones and be dropped.
-    fn forget_other_life(&mut self, incarnation: Incarnation) {
+    fn reset_after_restart(&mut self, incarnation: Incarnation) {
         if incarnation == self.facts.incarnation {
             return;
         }
@@ -331,7 +331,7 @@
         self.joining_since = None;
     }
 
-    fn next_question(&mut self, engine: &EngineModel, now: Moment) -> Moment {
+    fn next_poll_time(&mut self, engine: &EngineModel, now: Moment) -> Moment {
         let is_joining = self
             .facts
             .membership
--- a/crates/fleet/tests/assembly.rs
+++ b/crates/fleet/tests/assembly.rs
@@ -409,7 +409,7 @@
             let listed = controller.book.targets().values().map(AsRef::as_ref);
             let unlisted = controller.book.unlisted().values().map(AsRef::as_ref);
             controller.tracker.sync(listed, unlisted, now);
-            controller.tracker.due(now)
+            controller.tracker.take_due(now)
         };
         for (id, address) in due {
             let report = self.report(&id, &address, index);
@@ -417,7 +417,7 @@
             let controller = &mut self.controllers[index];
             controller
                 .tracker
-                .note_report(&id, report, false, &self.engine, now);
+                .record_report(&id, report, false, &self.engine, now);
             if is_answer {
                 controller.keeper.note_report(&id);
             }
@@ -430,7 +430,7 @@
             if let TargetAction::Stage { model } = &order.action {
                 controller.loads.insert(order.target.clone(), model.clone());
             }
-            controller.tracker.note_order(&order, result, now);
+            controller.tracker.record_order_result(&order, result, now);
             controller.keeper.note_result(&order.target, result);
         }
     }
@@ -457,7 +457,7 @@
         };
         let orders = controller.keeper.plan(view, self.now);
         for target in controller.keeper.take_doubtful() {
-            controller.tracker.hasten(&target, self.now);
+            controller.tracker.poll_now(&target, self.now);
         }
         orders
     }
@@ -471,7 +471,7 @@
         let is_cut = self.controllers[index].cut.contains(id);
         let target = self.at_address(address);
         let Some(target) = target.filter(|_| !is_cut) else {
-            return Err(ReportError::Silent);
+            return Err(ReportError::NoResponse);
         };
         let before = self.now - REPORT_LAG;
         let lagged = target.sequence_log.iter().rfind(|(at, _)| *at <= before);
--- a/crates/fleet/tests/feed.rs
+++ b/crates/fleet/tests/feed.rs
@@ -8,7 +8,7 @@
 use briarswitch_fleet::feed::FeedRelay;
 use briarswitch_fleet::feed_doc::FeedAnswerDoc;
 use briarswitch_fleet::ports::{
-    FeedAnswer, FeedMark, FeedQuestion, FeedRow, FeedSource, SourceError, SourceFuture,
+    FeedMark, FeedRequest, FeedResponse, FeedRow, FeedSource, SourceError, SourceFuture,
 };
 use briarswitch_http::{reply_packed, reply_text, Handler, HttpServer, Request, Response};
 use briarswitch_kernel::BootClock;
@@ -21,11 +21,11 @@
 /// A store that counts its calls and answers after a moment.
 struct CountingStore {
     calls: AtomicU32,
-    answer: std::result::Result<FeedAnswer, SourceError>,
+    answer: std::result::Result<FeedResponse, SourceError>,
 }
 
 impl FeedSource for CountingStore {
-    fn changes(&self, _: FeedQuestion) -> SourceFuture<'static, FeedAnswer> {
+    fn changes(&self, _: FeedRequest) -> SourceFuture<'static, FeedResponse> {
         self.calls.fetch_add(1, Ordering::SeqCst);
         let answer = self.answer.clone();
         Box::pin(async move {
@@ -35,7 +35,7 @@
     }
 }
 
-fn store(answer: std::result::Result<FeedAnswer, SourceError>) -> Arc<CountingStore> {
+fn store(answer: std::result::Result<FeedResponse, SourceError>) -> Arc<CountingStore> {
     Arc::new(CountingStore {
         calls: AtomicU32::new(0),
         answer,
@@ -54,20 +54,20 @@
     }
 }
 
-fn changed() -> FeedAnswer {
-    FeedAnswer {
+fn changed() -> FeedResponse {
+    FeedResponse {
         mark: mark(8),
         rows: vec![FeedRow {
             key: "a".to_owned(),
             value: Some(vec![1, 2]),
         }],
         age: Duration::ZERO,
-        is_whole: false,
+        is_snapshot: false,
     }
 }
 
-fn question() -> FeedQuestion {
-    FeedQuestion {
+fn question() -> FeedRequest {
+    FeedRequest {
         table: "t".to_owned(),
         mark: Some(mark(7)),
         wait: Duration::from_millis(500),
@@ -96,9 +96,9 @@
 #[gtest]
 #[tokio::test]
 async fn an_answer_without_changes_is_not_given_twice() {
-    let store = store(Ok(FeedAnswer {
+    let store = store(Ok(FeedResponse {
         mark: mark(7),
-        ..FeedAnswer::default()
+        ..FeedResponse::default()
     }));
     let relay = relay_to(&store);
     for _ in 0..3 {
@@ -152,7 +152,7 @@
     relay.set_pace("t", Duration::from_secs(3_600));
     let first = relay.serve(question(), BootClock::now()).await;
     expect_that!(first, ok(anything()));
-    let next = FeedQuestion {
+    let next = FeedRequest {
         mark: Some(mark(8)),
         wait: Duration::from_millis(20),
         ..question()
@@ -172,12 +172,12 @@
 async fn a_reader_says_in_time_that_the_store_is_silent() {
     struct SilentStore;
     impl FeedSource for SilentStore {
-        fn changes(&self, _: FeedQuestion) -> SourceFuture<'static, FeedAnswer> {
+        fn changes(&self, _: FeedRequest) -> SourceFuture<'static, FeedResponse> {
             Box::pin(std::future::pending())
         }
     }
     let relay = FeedRelay::open(Arc::new(SilentStore), Arc::new(CostLedger::default()));
-    let asked = FeedQuestion {
+    let asked = FeedRequest {
         wait: Duration::ZERO,
         ..question()
     };
@@ -188,19 +188,19 @@
 #[gtest]
 #[tokio::test]
 async fn a_whole_table_is_read_once_for_all_that_start_together() {
-    let store = store(Ok(FeedAnswer {
-        is_whole: true,
+    let store = store(Ok(FeedResponse {
+        is_snapshot: true,
         ..changed()
     }));
     let relay = relay_to(&store);
-    let whole = FeedQuestion {
+    let whole = FeedRequest {
         mark: None,
         wait: Duration::ZERO,
         ..question()
     };
     let asks = (0..58).map(|_| relay.answer(whole.clone(), BootClock::now()));
     for answer in join_all(asks).await {
-        expect_true!(answer.is_ok_and(|answer| answer.is_complete()));
+        expect_true!(answer.is_ok_and(|answer| answer.is_up_to_date()));
     }
     expect_that!(store.calls.load(Ordering::SeqCst), eq(1));
 }
@@ -280,14 +280,14 @@
 struct ScriptedStore(Arc<ZoneScript>);
 
 impl FeedSource for ScriptedStore {
-    fn changes(&self, _: FeedQuestion) -> SourceFuture<'static, FeedAnswer> {
+    fn changes(&self, _: FeedRequest) -> SourceFuture<'static, FeedResponse> {
         self.0.note(FeedEvent::StoreAsked);
         Box::pin(async { Ok(changed()) })
     }
 }
 
 /// Asks as a follower in a zone of these readers, and returns what happened.
-async fn follow(conducts: &[ReaderConduct], question: FeedQuestion) -> Vec<FeedEvent> {
+async fn follow(conducts: &[ReaderConduct], question: FeedRequest) -> Vec<FeedEvent> {
     let script = Arc::new(ZoneScript {
         conducts: conducts.to_vec(),
         events: Mutex::default(),
@@ -365,7 +365,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_that_knows_nothing_asks_the_next_reader_beside_one_that_is_not_up() {
     use ReaderConduct::{Answers, Silent};
-    let whole = FeedQuestion {
+    let whole = FeedRequest {
         mark: None,
         ..question()
     };
@@ -386,7 +386,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_that_knows_nothing_asks_the_store_when_no_reader_answers() {
     use ReaderConduct::{Silent, TurnedAway};
-    let whole = FeedQuestion {
+    let whole = FeedRequest {
         mark: None,
         ..question()
     };
--- a/crates/fleet/tests/gauge.rs
+++ b/crates/fleet/tests/gauge.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use briarswitch_fleet::gauge::GaugeBoard;
+use briarswitch_fleet::gauge::GaugeMap;
 use googletest::prelude::*;
 
 /// Symptom: with 71 nodes the groups of lost members were ended 2.5 to 3.8 s after the loss.
@@ -11,13 +11,13 @@
 /// Cause: a controller asked the members of groups only that it suspected itself.
 #[gtest]
 fn controllers_hear_of_silence_that_only_other_nodes_see() {
-    let gauges = GaugeBoard::default();
+    let gauges = GaugeMap::default();
     let now = Duration::from_secs(10);
     let target = "t1".to_owned();
     gauges
-        .of(&target)
-        .suspect_as_told(now + Duration::from_millis(500));
-    expect_true!(gauges.suspected_anywhere(now).contains(&target));
+        .get(&target)
+        .suspect_from_peer(now + Duration::from_millis(500));
+    expect_true!(gauges.all_suspects(now).contains(&target));
     // Told on, two nodes would keep each other's word alive.
-    expect_that!(gauges.suspects(now), is_empty());
+    expect_that!(gauges.local_suspects(now), is_empty());
 }
--- a/crates/fleet/tests/order_sender.rs
+++ b/crates/fleet/tests/order_sender.rs
@@ -31,12 +31,12 @@
 }
 
 impl TargetControl for ScriptedTarget {
-    fn reach<'a>(
+    fn probe<'a>(
         &'a self,
         _: &'a str,
         _: Duration,
     ) -> BoxFuture<'a, std::result::Result<(), ReportError>> {
-        Box::pin(async { Err(ReportError::Silent) })
+        Box::pin(async { Err(ReportError::NoResponse) })
     }
 
     fn report<'a>(
@@ -45,7 +45,7 @@
         _: &'a str,
         _: Duration,
     ) -> BoxFuture<'a, std::result::Result<TargetReport, ReportError>> {
-        Box::pin(async { Err(ReportError::Silent) })
+        Box::pin(async { Err(ReportError::NoResponse) })
     }
 
     fn order<'a>(
--- a/crates/fleet/tests/support/platform.rs
+++ b/crates/fleet/tests/support/platform.rs
@@ -135,10 +135,10 @@
         state.unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn whole(&self, table: &str) -> FeedAnswer {
+    fn whole(&self, table: &str) -> FeedResponse {
         let state = self.lock();
         let rows = state.tables.get(table).into_iter().flatten();
-        FeedAnswer {
+        FeedResponse {
             mark: mark_of(state.version),
             rows: rows
                 .map(|(key, value)| FeedRow {
@@ -147,25 +147,25 @@
                 })
                 .collect(),
             age: Duration::ZERO,
-            is_whole: true,
+            is_snapshot: true,
         }
     }
 
-    fn after(&self, table: &str, mark: FeedMark) -> FeedAnswer {
+    fn after(&self, table: &str, mark: FeedMark) -> FeedResponse {
         let state = self.lock();
         let later = state
             .history
             .iter()
             .filter(|(version, of, _)| *version > mark.version && of == table);
-        FeedAnswer {
+        FeedResponse {
             mark: mark_of(state.version),
             rows: later.map(|(_, _, row)| row.clone()).collect(),
             age: Duration::ZERO,
-            is_whole: false,
+            is_snapshot: false,
         }
     }
 
-    async fn feed(&self, question: FeedQuestion) -> FeedAnswer {
+    async fn feed(&self, question: FeedRequest) -> FeedResponse {
         let Some(mark) = question.mark else {
             return self.whole(&question.table);
         };
@@ -216,7 +216,7 @@
             nodes: Arc::new(DoorNodes(Arc::clone(self))),
             targets: Arc::new(StubControl),
             suspects: Arc::new(DoorSuspects(Arc::clone(self))),
-            dialect: Arc::new(StubDialect),
+            protocol: Arc::new(StubDialect),
         }
     }
 
@@ -231,7 +231,7 @@
 struct DoorFeed(Arc<NodeDoor>);
 
 impl FeedSource for DoorFeed {
-    fn changes(&self, question: FeedQuestion) -> SourceFuture<'static, FeedAnswer> {
+    fn changes(&self, question: FeedRequest) -> SourceFuture<'static, FeedResponse> {
         let door = Arc::clone(&self.0);
         Box::pin(async move {
             door.pass()?;
@@ -257,12 +257,12 @@
         CONFIG_TABLE
     }
 
-    fn news(&self, answer: &FeedAnswer) -> Result<ConfigNews, SourceError> {
+    fn decode(&self, answer: &FeedResponse) -> Result<ConfigUpdate, SourceError> {
         let book = &self.0.shared.book;
-        Ok(ConfigNews {
+        Ok(ConfigUpdate {
             mark: answer.mark,
-            book: (!answer.rows.is_empty()).then(|| Box::new(book.clone())),
-            is_newest: answer.is_complete(),
+            config: (!answer.rows.is_empty()).then(|| Box::new(book.clone())),
+            is_newest: answer.is_up_to_date(),
             age: answer.age,
         })
     }
@@ -275,17 +275,17 @@
         TARGET_TABLE
     }
 
-    fn news(&self, answer: &FeedAnswer) -> DirectoryNews {
+    fn decode(&self, answer: &FeedResponse) -> DirectoryUpdate {
         let state = self.0.lock();
         let changes = answer.rows.iter().map(|row| match &row.value {
             Some(_) => TargetChange::Put(Box::new(state.records[&row.key].clone())),
             None => TargetChange::Removed(row.key.clone()),
         });
         let changes = changes.collect();
-        if answer.is_whole {
-            DirectoryNews::Whole(answer.mark, changes)
+        if answer.is_snapshot {
+            DirectoryUpdate::Snapshot(answer.mark, changes)
         } else {
-            DirectoryNews::Changes(answer.mark, changes)
+            DirectoryUpdate::Changes(answer.mark, changes)
         }
     }
 }
@@ -306,20 +306,20 @@
         })
     }
 
-    fn next(&self, mark: Option<FeedMark>, wait: Duration) -> SourceFuture<'_, NodeNews> {
+    fn poll_entries(&self, mark: Option<FeedMark>, wait: Duration) -> SourceFuture<'_, NodeUpdate> {
         Box::pin(async move {
             self.0.pass()?;
             let table = NODE_TABLE.to_owned();
             let answer = self
                 .0
                 .platform
-                .feed(FeedQuestion { table, mark, wait })
+                .feed(FeedRequest { table, mark, wait })
                 .await;
             let is_alone = self.0.is_alone.load(Ordering::SeqCst);
             let state = self.0.platform.lock();
             let rows = answer.rows.iter().filter(|_| !is_alone);
             let entries = rows.filter_map(|row| state.nodes.get(&row.key).cloned());
-            Ok(NodeNews {
+            Ok(NodeUpdate {
                 mark: answer.mark,
                 nodes: entries.collect(),
             })
@@ -335,7 +335,7 @@
         SUSPECT_TABLE
     }
 
-    fn news(&self, answer: &FeedAnswer) -> Vec<SuspectChange> {
+    fn decode(&self, answer: &FeedResponse) -> Vec<SuspectChange> {
         let state = self.0.platform.lock();
         let rows = answer.rows.iter().filter_map(|row| {
             let held = state.suspects.get(&row.key).copied()?;
@@ -367,7 +367,7 @@
 struct StubControl;
 
 impl TargetControl for StubControl {
-    fn reach<'a>(
+    fn probe<'a>(
         &'a self,
         address: &'a str,
         limit: Duration,
@@ -377,7 +377,7 @@
             match tokio::time::timeout(limit, opening).await {
                 Ok(Ok(_)) => Ok(()),
                 Ok(Err(_)) => Err(ReportError::Refused),
-                Err(_) => Err(ReportError::Silent),
+                Err(_) => Err(ReportError::NoResponse),
             }
         })
     }
@@ -389,7 +389,7 @@
         limit: Duration,
     ) -> BoxFuture<'a, Result<TargetReport, ReportError>> {
         Box::pin(async move {
-            self.reach(address, limit).await?;
+            self.probe(address, limit).await?;
             Err(ReportError::Unreadable)
         })
     }
@@ -415,20 +415,20 @@
     Some(value.to_owned())
 }
 
-impl CallerDialect for StubDialect {
-    fn ask(&self, head: &Parts) -> CallerAsk {
-        CallerAsk {
+impl CallerProtocol for StubDialect {
+    fn parse_request(&self, head: &Parts) -> CallerRequest {
+        CallerRequest {
             attempt: text(&head.headers, "attempt").unwrap_or_default(),
             host: text(&head.headers, "host").unwrap_or_default(),
             key: text(&head.headers, "key"),
             model: text(&head.headers, "model"),
             prompt_tokens: 10,
             last_event: text(&head.headers, "last-event"),
-            ..CallerAsk::default()
+            ..CallerRequest::default()
         }
     }
 
-    fn to_target(&self, head: &HeaderMap, mark: TargetMark<'_>) -> HeaderMap {
+    fn target_headers(&self, head: &HeaderMap, mark: TargetRequestInfo<'_>) -> HeaderMap {
         let mut headers = HeaderMap::new();
         let attempt = text(head, "attempt").unwrap_or_default();
         let fields = [
@@ -444,21 +444,21 @@
         headers
     }
 
-    fn facts(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFacts {
-        AnswerFacts {
+    fn parse_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseInfo {
+        ResponseInfo {
             attempt: text(headers, "attempt"),
             is_signed: headers.contains_key("signed"),
             is_not_run: status == StatusCode::SERVICE_UNAVAILABLE,
-            is_other_life: status == StatusCode::MISDIRECTED_REQUEST,
-            ..AnswerFacts::default()
+            is_other_incarnation: status == StatusCode::MISDIRECTED_REQUEST,
+            ..ResponseInfo::default()
         }
     }
 
-    fn to_caller(&self, _: &HeaderMap) -> HeaderMap {
+    fn caller_headers(&self, _: &HeaderMap) -> HeaderMap {
         HeaderMap::new()
     }
 
-    fn mark_own(&self, headers: &mut HeaderMap, attempt: &str) {
+    fn add_attempt_id(&self, headers: &mut HeaderMap, attempt: &str) {
         if let Ok(value) = HeaderValue::from_str(attempt) {
             headers.insert(ATTEMPT, value);
         }
--- a/crates/fleet/tests/tracker.rs
+++ b/crates/fleet/tests/tracker.rs
@@ -71,19 +71,19 @@
     }
 
     fn is_asked(&mut self) -> bool {
-        !self.tracker.due(self.now).is_empty()
+        !self.tracker.take_due(self.now).is_empty()
     }
 
     fn report(&mut self, sequence: u64) {
         let told = Ok(report(sequence));
         self.tracker
-            .note_report(TARGET, told, false, &engine(), self.now);
+            .record_report(TARGET, told, false, &engine(), self.now);
     }
 
     /// Has the target asked after a while.
     fn ask_later(&mut self, after: Duration) -> bool {
         self.now += after;
-        self.tracker.hasten(TARGET, self.now);
+        self.tracker.poll_now(TARGET, self.now);
         self.is_asked()
     }
 
@@ -97,7 +97,7 @@
             },
             reason: "test",
         };
-        self.tracker.note_order(&order, result, self.now);
+        self.tracker.record_order_result(&order, result, self.now);
     }
 
     fn standing(&self) -> TargetStanding {
--- a/crates/node/src/suspects.rs
+++ b/crates/node/src/suspects.rs
@@ -7,7 +7,7 @@
 use briarswitch_core::prelude::*;
 use briarswitch_core::print::RequestPrint;
 use briarswitch_fleet::ports::{
-    FeedAnswer, FeedMark, FeedRow, ReportError, SourceError, SourceFuture, StoreClock,
+    FeedMark, FeedResponse, FeedRow, ReportError, SourceError, SourceFuture, StoreClock,
     SuspectChange, SuspectKey, SuspectRegistry, SuspectRow,
 };
 use briarswitch_fleet::run_facts::{RunFacts, TargetLife};
@@ -46,7 +46,7 @@
 
 impl TableSuspects {
     /// Reads all rows.
-    async fn read(&self) -> Result<FeedAnswer, SourceError> {
+    async fn read(&self) -> Result<FeedResponse, SourceError> {
         let request = ReadRequest {
             keys: Vec::new(),
             prefixes: vec![PREFIX.to_owned()],
@@ -57,10 +57,10 @@
             key: row.key,
             value: Some(row.value.to_string().into_bytes()),
         });
-        Ok(FeedAnswer {
+        Ok(FeedResponse {
             rows: rows.collect(),
-            is_whole: true,
-            ..FeedAnswer::default()
+            is_snapshot: true,
+            ..FeedResponse::default()
         })
     }
 }
@@ -70,7 +70,7 @@
         PREFIX
     }
 
-    fn news(&self, answer: &FeedAnswer) -> Vec<SuspectChange> {
+    fn decode(&self, answer: &FeedResponse) -> Vec<SuspectChange> {
         answer.rows.iter().filter_map(change).collect()
     }
 
@@ -142,7 +142,7 @@
         self: Arc<Self>,
         mark: Option<FeedMark>,
         _wait: Duration,
-    ) -> SourceFuture<'static, FeedAnswer> {
+    ) -> SourceFuture<'static, FeedResponse> {
         Box::pin(async move {
             if mark.is_some() {
                 tokio::time::sleep(self.shared.settings.control.config_poll).await;
@@ -168,7 +168,7 @@
             match tokio::time::timeout(limit, TcpStream::connect(&facts.address)).await {
                 Ok(Ok(_)) => Ok(LifeSign::Listens),
                 Ok(Err(_)) => Err(ReportError::Refused),
-                Err(_) => Err(ReportError::Silent),
+                Err(_) => Err(ReportError::NoResponse),
             }
         })
     }
