--- a/crates/fleet/src/controller.rs
+++ b/crates/fleet/src/controller.rs
@@ -31,22 +31,22 @@
 use crate::tracker::{TargetTracker, TrackedTarget};
 
 /// Time between rounds.
-const ROUND: Duration = Duration::from_millis(50);
+const ROUND_INTERVAL: Duration = Duration::from_millis(50);
 /// Time after the start in which nodes find each other before any of them gives an order.
-const SETTLE_TIME: Duration = Duration::from_millis(900);
+const DISCOVERY_TIME: Duration = Duration::from_millis(900);
 /// Time between two lines on what the models have; only nodes that give orders write them.
-const SUPPLY_INTERVAL: Duration = Duration::from_secs(1);
+const SUPPLY_LOG_INTERVAL: Duration = Duration::from_secs(1);
 /// Time without a new target after which the directory counts as complete at the first start.
 ///
 /// Targets register one after the other; groups formed from the first few would be of whichever
 /// model needs the fewest.
-const LISTING_TIME: Duration = Duration::from_millis(700);
+const LISTING_QUIET_TIME: Duration = Duration::from_millis(700);
 /// Time to wait for a report; a healthy target answers in a few milliseconds.
-const REPORT_TIME: Duration = Duration::from_millis(160);
+const POLL_TIMEOUT: Duration = Duration::from_millis(160);
 /// Lateness of the node's own timer beyond which a missing report proves nothing.
-const OWN_LATENESS: Duration = Duration::from_millis(60);
+const MAX_TIMER_DELAY: Duration = Duration::from_millis(60);
 /// Age of the configuration from which no weights are exchanged.
-const EXCHANGE_AGE: Duration = Duration::from_secs(2);
+const MAX_REBALANCE_CONFIG_AGE: Duration = Duration::from_secs(2);
 /// Loads under way beyond what the weight store does at once.
 ///
 /// Each of them slows all the others, but none waits for the news of one that has ended.
@@ -59,16 +59,16 @@
 pub struct GroupController {
     shared: Arc<FleetShared>,
     tracker: TargetTracker,
-    keepers: IndexMap<DomainKey, DomainKeeper>,
-    census: IndexMap<DomainKey, DomainCounts>,
-    loads: IndexMap<TargetId, ModelId>,
+    reconcilers: IndexMap<DomainKey, DomainKeeper>,
+    counts: IndexMap<DomainKey, DomainCounts>,
+    loading_models: IndexMap<TargetId, ModelId>,
     layouts: IndexMap<ServiceId, ServiceLayouts>,
     trend: DemandTrend,
-    suspected: IndexSet<TargetId>,
+    known_suspects: IndexSet<TargetId>,
     scope: Option<Arc<ControlScope>>,
-    started: Moment,
-    listed: (usize, Moment),
-    supply_logged: Moment,
+    started_at: Moment,
+    target_count: (usize, Moment),
+    supply_logged_at: Moment,
 }
 
 /// Message to [`GroupController`].
@@ -101,16 +101,16 @@
         Self {
             shared,
             tracker: TargetTracker::default(),
-            keepers: IndexMap::new(),
-            census: IndexMap::new(),
-            loads: IndexMap::new(),
+            reconcilers: IndexMap::new(),
+            counts: IndexMap::new(),
+            loading_models: IndexMap::new(),
             layouts: IndexMap::new(),
             trend: DemandTrend::default(),
-            suspected: IndexSet::new(),
+            known_suspects: IndexSet::new(),
             scope: None,
-            started: BootClock::now(),
-            listed: (0, BootClock::now()),
-            supply_logged: Moment::ZERO,
+            started_at: BootClock::now(),
+            target_count: (0, BootClock::now()),
+            supply_logged_at: Moment::ZERO,
         }
     }
 
@@ -118,45 +118,45 @@
         let now = link.now();
         let book = self.shared.book.load();
         let directory = self.shared.directory.load();
-        let is_settled = now >= self.started + SETTLE_TIME;
+        let is_discovery_over = now >= self.started_at + DISCOVERY_TIME;
         let Some(book) = book
             .as_ref()
             .as_ref()
-            .filter(|_| directory.is_listed && is_settled)
+            .filter(|_| directory.is_listed && is_discovery_over)
         else {
             return;
         };
         let scope = self.scope(book, &directory);
-        self.update_keepers(&scope.own_domains);
+        self.update_reconcilers(&scope.own_domains);
         let listed = scope.own_targets.iter().map(Arc::as_ref);
         let unlisted = scope.unlisted_members.iter().map(Arc::as_ref);
         self.tracker.sync(listed, unlisted, now);
         if !scope.own_domains.is_empty() {
-            self.look_at_suspects(now);
+            self.poll_suspected_groups(now);
         }
         for (target, address) in self.tracker.take_due(now) {
-            self.ask(target, address, link);
+            self.poll(target, address, link);
         }
-        let is_listed = self.is_listing_done(scope.engine_targets.len(), now);
+        let is_listing_complete = self.is_listing_complete(scope.engine_targets.len(), now);
         let tracker = &self.tracker;
-        self.loads
+        self.loading_models
             .retain(|id, _| tracker.targets().contains_key(id));
-        self.count_loads();
-        if !is_listed || scope.own_domains.is_empty() {
+        self.publish_loading();
+        if !is_listing_complete || scope.own_domains.is_empty() {
             return;
         }
         let services = book.services.values();
         let services = services.filter(|service| service.engine.is_some());
         let records: Vec<&TargetRecord> = scope.engine_targets.iter().map(Arc::as_ref).collect();
-        let is_log_due = now >= self.supply_logged + SUPPLY_INTERVAL;
+        let is_log_due = now >= self.supply_logged_at + SUPPLY_LOG_INTERVAL;
         if is_log_due {
-            self.supply_logged = now;
+            self.supply_logged_at = now;
         }
         for service in services {
             if is_log_due {
                 self.log_supply(service, now);
             }
-            self.tend(service, &records, &scope.own_domains, now, link);
+            self.plan_service(service, &records, &scope.own_domains, now, link);
         }
     }
 
@@ -164,7 +164,7 @@
     ///
     /// Few of the nodes give orders at all, and all look at every target twenty times a second.
     fn scope(&mut self, book: &TrafficBook, directory: &Arc<DirectoryView>) -> Arc<ControlScope> {
-        let basis = ScopeInputs {
+        let inputs = ScopeInputs {
             version: book.version,
             directory: Arc::clone(directory),
             live: self.shared.live.load(),
@@ -172,17 +172,17 @@
         if let Some(scope) = self
             .scope
             .as_ref()
-            .filter(|scope| scope.is_current_for(&basis))
+            .filter(|scope| scope.is_current_for(&inputs))
         {
             return Arc::clone(scope);
         }
-        let scope = Arc::new(ControlScope::new(book, basis));
+        let scope = Arc::new(ControlScope::new(book, inputs));
         self.scope = Some(Arc::clone(&scope));
         scope
     }
 
     /// Plans the groups of one service in the domains that are this node's.
-    fn tend(
+    fn plan_service(
         &mut self,
         service: &ServiceSpec,
         records: &[&TargetRecord],
@@ -194,69 +194,72 @@
             return;
         };
         let layouts = match self.layouts.swap_remove(&service.id) {
-            Some(held) if !held.is_due(now) => held,
-            held => {
+            Some(current) if !current.is_due(now) => current,
+            outdated => {
                 let records = of_service(records, &service.id);
-                self.lay_out(engine, &records, own, held.unwrap_or_default(), now)
+                self.plan_layouts(engine, &records, own, outdated.unwrap_or_default(), now)
             }
         };
         for key in own.iter().filter(|key| key.service == service.id) {
             if let Some(layout) = layouts.of_domain(&key.domain) {
                 let budget = layouts.load_budget(engine, self.load_budget(engine));
-                self.plan(key, engine, layout, budget, now, link);
+                self.plan_domain(key, engine, layout, budget, now, link);
             }
         }
         self.layouts.insert(service.id.clone(), layouts);
     }
 
     /// Decides anew what all domains of a service should hold.
-    fn lay_out(
+    fn plan_layouts(
         &mut self,
         engine: &EngineModel,
         records: &[&TargetRecord],
         own: &IndexSet<DomainKey>,
-        held: ServiceLayouts,
+        previous: ServiceLayouts,
         now: Moment,
     ) -> ServiceLayouts {
-        let items = self.stock_items(records, own);
+        let items = self.inventory_items(records, own);
         let is_own = |domain: &DomainId| own.iter().any(|key| key.domain == *domain);
-        let stock = inventory_of(engine, &domains_of(records), &items, is_own);
+        let inventory = inventory_of(engine, &domains_of(records), &items, is_own);
         let demand = self.demand(now);
-        let is_start = self.is_start();
-        if !is_start {
+        let is_first_start = self.is_first_start();
+        if !is_first_start {
             self.trend.add_sample(&demand, now);
         }
         // Who is cut off sees only a part of what callers ask for and of what others hold.
-        let is_in_touch = self.shared.book_age() < EXCHANGE_AGE;
-        let trend = self.trend.mean().filter(|_| is_in_touch);
+        let is_connected = self.shared.book_age() < MAX_REBALANCE_CONFIG_AGE;
+        let trend = self.trend.mean().filter(|_| is_connected);
         let elsewhere = self.shared.elsewhere.load();
-        let coming = elsewhere.loading.iter();
-        let coming = coming.map(|(model, count)| (model.clone(), *count as usize));
-        held.replan(LayoutInputs {
+        let loading = elsewhere.loading.iter();
+        let loading = loading.map(|(model, count)| (model.clone(), *count as usize));
+        previous.replan(LayoutInputs {
             engine,
-            inventory: &stock,
+            inventory: &inventory,
             demand: &demand,
             trend: trend.as_ref(),
-            loading: &coming.collect(),
-            is_start,
+            loading: &loading.collect(),
+            is_first_start,
             now,
         })
     }
 
     /// Returns what targets hold: by their own reports in this node's domains, else by the directory.
-    fn stock_items<'a>(
+    fn inventory_items<'a>(
         &'a self,
         records: &[&'a TargetRecord],
         own: &IndexSet<DomainKey>,
     ) -> Vec<InventoryItem<'a>> {
-        let staying = records.iter().filter(|record| !record.is_draining);
-        let items = staying.filter_map(|record| {
+        let remaining = records.iter().filter(|record| !record.is_draining);
+        let items = remaining.filter_map(|record| {
             let listed = InventoryItem::from(*record);
             if !own.iter().any(|key| key.contains(record)) {
                 return Some(listed);
             }
             let facts = &self.tracker.targets().get(&record.id)?.facts;
-            let loading = self.loads.get(&record.id).filter(|_| facts.is_busy);
+            let loading = self
+                .loading_models
+                .get(&record.id)
+                .filter(|_| facts.is_busy);
             let weights = HeldWeights {
                 membership: facts.membership.as_ref(),
                 model: facts.model.as_ref(),
@@ -269,28 +272,28 @@
     }
 
     /// Returns whether the whole system starts and no caller has come yet.
-    fn is_start(&self) -> bool {
+    fn is_first_start(&self) -> bool {
         let has_traffic = self.shared.has_traffic.load(Ordering::Relaxed);
         !has_traffic && self.shared.settings.is_first_start
     }
 
-    fn is_listing_done(&mut self, count: usize, now: Moment) -> bool {
-        if count != self.listed.0 {
-            self.listed = (count, now);
+    fn is_listing_complete(&mut self, count: usize, now: Moment) -> bool {
+        if count != self.target_count.0 {
+            self.target_count = (count, now);
         }
         let has_traffic = self.shared.has_traffic.load(Ordering::Relaxed);
-        has_traffic || now >= self.listed.1 + LISTING_TIME
+        has_traffic || now >= self.target_count.1 + LISTING_QUIET_TIME
     }
 
-    fn update_keepers(&mut self, own: &IndexSet<DomainKey>) {
-        let lost = self.keepers.keys().filter(|key| !own.contains(*key));
+    fn update_reconcilers(&mut self, own: &IndexSet<DomainKey>) {
+        let lost = self.reconcilers.keys().filter(|key| !own.contains(*key));
         for key in lost {
             log::info!(domain = key.domain.as_str(); "domain_left");
         }
-        self.keepers.retain(|key, _| own.contains(key));
-        self.census.retain(|key, _| own.contains(key));
+        self.reconcilers.retain(|key, _| own.contains(key));
+        self.counts.retain(|key, _| own.contains(key));
         for key in own {
-            if !self.keepers.contains_key(key) {
+            if !self.reconcilers.contains_key(key) {
                 log::info!(domain = key.domain.as_str(); "domain_taken");
                 let hash = xxh3_64(format!("{}\u{0}{}", key.service, key.domain).as_bytes()) as u16;
                 let since = BootClock::now().as_millis();
@@ -299,7 +302,8 @@
                     "{}-{incarnation:x}-{hash:x}-{since:x}",
                     self.shared.settings.node
                 );
-                self.keepers.insert(key.clone(), DomainKeeper::open(prefix));
+                self.reconcilers
+                    .insert(key.clone(), DomainKeeper::open(prefix));
             }
         }
     }
@@ -309,32 +313,32 @@
     /// Other nodes' word counts as well: the more nodes there are, the fewer streams of a group pass
     /// through the one that gives its orders. On its own streams alone one of 71 nodes noticed lost
     /// members after 2.5 to 3.8 s.
-    fn look_at_suspects(&mut self, now: Moment) {
+    fn poll_suspected_groups(&mut self, now: Moment) {
         let suspects = self.shared.gauges.all_suspects(now);
         let table = self.shared.table.load();
         for group in table.all_groups() {
-            if !suspects.contains(&group.id) || self.suspected.contains(&group.id) {
+            if !suspects.contains(&group.id) || self.known_suspects.contains(&group.id) {
                 continue;
             }
             for member in group.group.iter().flat_map(|group| &group.members) {
                 self.tracker.poll_now(member, now);
             }
         }
-        self.suspected = suspects;
+        self.known_suspects = suspects;
     }
 
-    fn ask(&self, target: TargetId, address: String, link: &ServiceLink<ControllerMessage>) {
+    fn poll(&self, target: TargetId, address: String, link: &ServiceLink<ControllerMessage>) {
         self.shared.costs.count(CostKind::ReportAsked);
         let shared = Arc::clone(&self.shared);
         link.spawn(async move {
-            let asked = BootClock::now();
+            let started = BootClock::now();
             let targets = &shared.platform.targets;
-            let report = targets.report(&target, &address, REPORT_TIME).await;
-            let took = BootClock::now().saturating_sub(asked);
+            let report = targets.report(&target, &address, POLL_TIMEOUT).await;
+            let took = BootClock::now().saturating_sub(started);
             ControllerMessage::ReportReceived {
                 target,
                 report,
-                is_late: took > REPORT_TIME + OWN_LATENESS,
+                is_late: took > POLL_TIMEOUT + MAX_TIMER_DELAY,
             }
         });
     }
@@ -359,7 +363,7 @@
         }
     }
 
-    fn plan(
+    fn plan_domain(
         &mut self,
         key: &DomainKey,
         engine: &EngineModel,
@@ -379,32 +383,32 @@
             .into_iter()
             .map(|(id, tracked)| (id.clone(), tracked.facts_at(now)))
             .collect();
-        let census = DomainCounts::count(&facts, layout);
-        if self.census.get(key) != Some(&census) {
-            census.log(&key.domain, layout);
-            self.census.insert(key.clone(), census);
+        let counts = DomainCounts::count(&facts, layout);
+        if self.counts.get(key) != Some(&counts) {
+            counts.log(&key.domain, layout);
+            self.counts.insert(key.clone(), counts);
         }
-        let joins_load = self.is_start();
-        let Some(keeper) = self.keepers.get_mut(key) else {
+        let joins_load = self.is_first_start();
+        let Some(reconciler) = self.reconcilers.get_mut(key) else {
             return;
         };
         let view = DomainView {
             targets: &facts,
             engine,
             layout,
-            loading: &self.loads,
+            loading: &self.loading_models,
             load_budget,
             joins_load,
             epoch_floor: self.shared.platform.clock.millis(),
         };
-        let orders = keeper.plan(view, now);
-        for target in keeper.take_doubtful() {
+        let orders = reconciler.plan(view, now);
+        for target in reconciler.take_doubtful() {
             self.tracker.poll_now(&target, now);
         }
         for order in orders {
-            self.send(order, link);
+            self.send_order(order, link);
         }
-        self.count_loads();
+        self.publish_loading();
     }
 
     /// Returns how many loads from the weight store may begin in a round.
@@ -412,7 +416,7 @@
     /// The limit holds for all domains together; what other nodes have under way is known from the
     /// exchange. A load under way shows in the target itself, so a successor sees it too.
     fn load_budget(&self, engine: &EngineModel) -> usize {
-        if self.is_start() {
+        if self.is_first_start() {
             // Before the first caller the weight store has nothing else to do.
             return usize::MAX;
         }
@@ -423,7 +427,7 @@
     }
 
     /// Counts the loads under way in this node's domains.
-    fn count_loads(&self) {
+    fn publish_loading(&self) {
         let mut loading: IndexMap<ModelId, u32> = IndexMap::new();
         let tracked = self.tracker.targets().values();
         let live = tracked.filter(|tracked| tracked.facts.standing != TargetStanding::Silent);
@@ -432,7 +436,7 @@
             let held = facts.membership.as_ref();
             let is_joining = held.is_some_and(|held| held.state == MembershipState::Joining);
             let joined = facts.model.as_ref().filter(|_| is_joining);
-            let model = joined.or(self.loads.get(&tracked.record.id));
+            let model = joined.or(self.loading_models.get(&tracked.record.id));
             if let Some(model) = model.filter(|model| !facts.staged.contains(*model)) {
                 *loading.entry(model.clone()).or_insert(0) += 1;
             }
@@ -440,7 +444,7 @@
         self.shared.loading.publish(loading);
     }
 
-    fn send(&mut self, order: TargetOrder, link: &ServiceLink<ControllerMessage>) {
+    fn send_order(&mut self, order: TargetOrder, link: &ServiceLink<ControllerMessage>) {
         let Some(tracked) = self.tracker.targets().get(&order.target) else {
             return;
         };
@@ -452,7 +456,7 @@
             _ => None,
         };
         if let Some(model) = loaded {
-            self.loads.insert(order.target.clone(), model);
+            self.loading_models.insert(order.target.clone(), model);
         }
         log::info!(
             target_id = order.target.as_str(),
@@ -476,7 +480,7 @@
         });
     }
 
-    fn take_report(
+    fn handle_report(
         &mut self,
         target: &str,
         report: Result<TargetReport, ReportError>,
@@ -499,20 +503,20 @@
             return;
         };
         let is_answer = report.is_ok();
-        let fell = self
+        let became_silent = self
             .tracker
             .record_report(target, report, is_late, engine, now);
-        if fell {
+        if became_silent {
             log::warn!(target_id = target; "target_silent");
         }
         if is_answer {
-            for keeper in self.keepers.values_mut() {
-                keeper.note_report(target);
+            for reconciler in self.reconcilers.values_mut() {
+                reconciler.note_report(target);
             }
         }
     }
 
-    fn take_ordered(
+    fn handle_order_result(
         &mut self,
         order: &TargetOrder,
         result: OrderResult,
@@ -530,11 +534,11 @@
             "order_answered"
         );
         if result != OrderResult::Begun {
-            self.loads.swap_remove(&order.target);
+            self.loading_models.swap_remove(&order.target);
         }
         self.tracker.record_order_result(order, result, now);
-        for keeper in self.keepers.values_mut() {
-            keeper.note_result(&order.target, result);
+        for reconciler in self.reconcilers.values_mut() {
+            reconciler.note_result(&order.target, result);
         }
     }
 }
@@ -563,7 +567,7 @@
     }
 
     fn start(&mut self, link: &ServiceLink<ControllerMessage>) {
-        link.later(ROUND, ControllerMessage::Round);
+        link.later(ROUND_INTERVAL, ControllerMessage::Round);
     }
 
     fn handle(&mut self, message: ControllerMessage, link: &ServiceLink<ControllerMessage>) {
@@ -573,18 +577,18 @@
                 self.round(link);
                 let took = link.now().saturating_sub(begun);
                 self.shared.costs.count_time(CostKind::ControlRound, took);
-                link.later(ROUND, ControllerMessage::Round);
+                link.later(ROUND_INTERVAL, ControllerMessage::Round);
             }
             ControllerMessage::ReportReceived {
                 target,
                 report,
                 is_late,
-            } => self.take_report(&target, report, is_late, link.now()),
+            } => self.handle_report(&target, report, is_late, link.now()),
             ControllerMessage::OrderAnswered {
                 order,
                 result,
                 sent,
-            } => self.take_ordered(&order, result, sent, link.now()),
+            } => self.handle_order_result(&order, result, sent, link.now()),
         }
     }
 
@@ -603,7 +607,7 @@
             })
         });
         json!({
-            "domains": self.keepers.keys().map(|key| &key.domain).collect::<Vec<_>>(),
+            "domains": self.reconcilers.keys().map(|key| &key.domain).collect::<Vec<_>>(),
             "targets": targets.collect::<Vec<_>>(),
         })
     }
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -10,7 +10,7 @@
 const WINDOW: Duration = Duration::from_secs(3);
 
 /// Least time of callers seen for which rates are told; shorter ones make rates out of single requests.
-const LEAST_SEEN: Duration = Duration::from_millis(500);
+const MIN_OBSERVED: Duration = Duration::from_millis(500);
 
 /// A decaying sum of the requests' work by model.
 #[derive(Debug, Default)]
@@ -20,21 +20,21 @@
 
 #[derive(Debug, Default)]
 struct MeterState {
-    since: Moment,
+    updated_at: Moment,
     /// When the first request came.
-    first: Option<Moment>,
+    first_request: Option<Moment>,
     work: IndexMap<ModelId, f64>,
     requests: IndexMap<ModelId, f64>,
 }
 
 impl MeterState {
     fn decay(&mut self, now: Moment) {
-        let passed = now.saturating_sub(self.since);
+        let passed = now.saturating_sub(self.updated_at);
         let factor = (-passed.as_secs_f64() / WINDOW.as_secs_f64()).exp();
         for sum in self.work.values_mut().chain(self.requests.values_mut()) {
             *sum *= factor;
         }
-        self.since = now;
+        self.updated_at = now;
     }
 
     /// Returns sums as rates.
@@ -42,10 +42,13 @@
     /// A meter that has just been opened has seen less than a window. Divided by the whole of it, its rates rise for
     /// many seconds while callers ask for the same all the time.
     fn per_second(&self, sums: &IndexMap<ModelId, f64>, now: Moment) -> IndexMap<ModelId, f64> {
-        let first = self.first.unwrap_or(now);
-        let seen = now.saturating_sub(first).max(LEAST_SEEN).as_secs_f64();
+        let first_request = self.first_request.unwrap_or(now);
+        let observed = now
+            .saturating_sub(first_request)
+            .max(MIN_OBSERVED)
+            .as_secs_f64();
         let window = WINDOW.as_secs_f64();
-        let seconds = window * (1.0 - (-seen / window).exp());
+        let seconds = window * (1.0 - (-observed / window).exp());
         let rates = sums.iter();
         let rates = rates.map(|(model, sum)| (model.clone(), sum / seconds));
         rates.collect()
@@ -57,7 +60,7 @@
     pub fn record(&self, model: &str, work: Duration, now: Moment) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.decay(now);
-        state.first.get_or_insert(now);
+        state.first_request.get_or_insert(now);
         *state.work.entry(model.to_owned()).or_insert(0.0) += work.as_secs_f64();
         *state.requests.entry(model.to_owned()).or_insert(0.0) += 1.0;
     }
@@ -80,27 +83,27 @@
 /// Time over which a trend is taken, about that of a load from the weight store.
 const TREND_WINDOW: Duration = Duration::from_secs(10);
 /// Time of callers seen from which a trend says something.
-const TREND_LEAST: Duration = Duration::from_secs(3);
+const MIN_TREND_OBSERVED: Duration = Duration::from_secs(3);
 /// Longest time between two samples; what lies beyond was not seen.
-const TREND_GAP: Duration = Duration::from_secs(1);
+const MAX_TREND_GAP: Duration = Duration::from_secs(1);
 
 /// The mean of what callers asked for over some seconds.
 #[derive(Clone, Debug, Default)]
 pub struct DemandTrend {
-    sampled: Moment,
+    sampled_at: Moment,
     /// Seconds seen, the older ones for less.
-    seen: f64,
+    observed: f64,
     sums: IndexMap<ModelId, f64>,
 }
 
 impl DemandTrend {
     /// Takes in what callers ask for now.
     pub fn add_sample(&mut self, rates: &IndexMap<ModelId, f64>, now: Moment) {
-        let passed = now.saturating_sub(self.sampled);
-        let passed_seconds = passed.min(TREND_GAP).as_secs_f64();
+        let passed = now.saturating_sub(self.sampled_at);
+        let passed_seconds = passed.min(MAX_TREND_GAP).as_secs_f64();
         let factor = (-passed.as_secs_f64() / TREND_WINDOW.as_secs_f64()).exp();
-        self.sampled = now;
-        self.seen = self.seen * factor + passed_seconds;
+        self.sampled_at = now;
+        self.observed = self.observed * factor + passed_seconds;
         for sum in self.sums.values_mut() {
             *sum *= factor;
         }
@@ -125,13 +128,13 @@
     /// assert!((mean["chat"] - 2.0).abs() < 1e-9);
     /// ```
     pub fn mean(&self) -> Option<IndexMap<ModelId, f64>> {
-        if self.seen < TREND_LEAST.as_secs_f64() {
+        if self.observed < MIN_TREND_OBSERVED.as_secs_f64() {
             return None;
         }
         let means = self.sums.iter();
         Some(
             means
-                .map(|(model, sum)| (model.clone(), sum / self.seen))
+                .map(|(model, sum)| (model.clone(), sum / self.observed))
                 .collect(),
         )
     }
--- a/crates/fleet/src/domain_counts.rs
+++ b/crates/fleet/src/domain_counts.rs
@@ -23,29 +23,29 @@
 impl DomainCounts {
     /// Counts the targets of a domain that should hold the groups of a layout.
     pub fn count(targets: &IndexMap<TargetId, TargetFacts>, layout: &DomainLayout) -> Self {
-        let mut census = Self::default();
+        let mut counts = Self::default();
         for facts in targets.values() {
             match facts.standing {
-                TargetStanding::Live => census.live += 1,
-                TargetStanding::Silent => census.silent += 1,
-                TargetStanding::Draining => census.draining += 1,
-                TargetStanding::Unlisted => census.unlisted += 1,
+                TargetStanding::Live => counts.live += 1,
+                TargetStanding::Silent => counts.silent += 1,
+                TargetStanding::Draining => counts.draining += 1,
+                TargetStanding::Unlisted => counts.unlisted += 1,
             }
-            let held = facts.membership.as_ref();
-            let is_open = held.is_some_and(|held| held.state == MembershipState::Open);
+            let membership = facts.membership.as_ref();
+            let is_open = membership.is_some_and(|held| held.state == MembershipState::Open);
             if let Some(model) = facts.model.as_ref().filter(|_| is_open) {
-                *census.open.entry(model.clone()).or_insert(0) += 1;
+                *counts.open.entry(model.clone()).or_insert(0) += 1;
             }
-            census.grouped += usize::from(held.is_some());
-            let is_free = held.is_none() && facts.standing == TargetStanding::Live;
+            counts.grouped += usize::from(membership.is_some());
+            let is_free = membership.is_none() && facts.standing == TargetStanding::Live;
             let mut staged = facts.staged.iter();
             match staged.rfind(|model| layout.holders.contains_key(*model)) {
                 _ if !is_free => {}
-                Some(model) => *census.spares.entry(model.clone()).or_insert(0) += 1,
-                None => census.unstaged += 1,
+                Some(model) => *counts.spares.entry(model.clone()).or_insert(0) += 1,
+                None => counts.unstaged += 1,
             }
         }
-        census
+        counts
     }
 
     /// Writes the counts to the log.
--- a/crates/fleet/src/domains.rs
+++ b/crates/fleet/src/domains.rs
@@ -64,24 +64,24 @@
     items: &[InventoryItem<'_>],
     is_own: impl Fn(&DomainId) -> bool,
 ) -> Vec<DomainStock> {
-    let stock = domains.iter().map(|(domain, zone)| {
-        let stock = DomainStock {
+    let inventories = domains.iter().map(|(domain, zone)| {
+        let inventory = DomainStock {
             domain: (*domain).clone(),
             zone: (*zone).clone(),
             shows_loads: is_own(domain),
             ..DomainStock::default()
         };
-        (*domain, stock)
+        (*domain, inventory)
     });
-    let mut stock: IndexMap<&DomainId, DomainStock> = stock.collect();
+    let mut inventories: IndexMap<&DomainId, DomainStock> = inventories.collect();
     for item in items {
-        let Some(stock) = stock.get_mut(item.domain) else {
+        let Some(inventory) = inventories.get_mut(item.domain) else {
             continue;
         };
         match item.next_model(engine) {
-            Some(model) => *stock.holders.entry(model.clone()).or_insert(0) += 1,
-            None => stock.empty += 1,
+            Some(model) => *inventory.holders.entry(model.clone()).or_insert(0) += 1,
+            None => inventory.empty += 1,
         }
     }
-    stock.into_values().collect()
+    inventories.into_values().collect()
 }
--- a/crates/fleet/src/gauge.rs
+++ b/crates/fleet/src/gauge.rs
@@ -12,37 +12,37 @@
 /// Weight of the newest sample in the smoothed share of failures.
 const FAILURE_SMOOTHING: u32 = 4;
 /// Value that stands for a target all of whose requests fail.
-const FAILURE_FULL: u32 = 1024;
+const FAILURE_RATE_ONE: u32 = 1024;
 
 /// Part of the longest interval that each new sign of life takes from it.
-const INTERVAL_FADING: u64 = 64;
+const GAP_DECAY_DIVISOR: u64 = 64;
 
 /// Time for which the load that a target told counts; a few passes.
-const TOLD_FRESH: Duration = Duration::from_millis(150);
+const REPORTED_LOAD_TTL: Duration = Duration::from_millis(150);
 
 /// Counters of one life of a target.
 #[derive(Debug, Default)]
 pub struct TargetGauge {
     key: TargetKey,
-    own: AtomicU32,
+    local: AtomicU32,
     remote: AtomicU32,
-    fresh: AtomicU32,
-    unread: AtomicU64,
-    unread_requests: AtomicU32,
-    heard: AtomicU64,
+    unreported: AtomicU32,
+    prefill_tokens: AtomicU64,
+    prefill_requests: AtomicU32,
+    last_activity: AtomicU64,
     suspect_until: AtomicU64,
-    told_suspect_until: AtomicU64,
-    interval: AtomicU64,
-    told: AtomicU32,
-    told_waiting: AtomicU32,
-    told_at: AtomicU64,
-    failing: AtomicU32,
-    share: AtomicU32,
-    shared_at: AtomicU64,
+    peer_suspect_until: AtomicU64,
+    max_gap: AtomicU64,
+    reported_load: AtomicU32,
+    reported_waiting: AtomicU32,
+    reported_at: AtomicU64,
+    failure_rate: AtomicU32,
+    slot_share: AtomicU32,
+    slot_share_at: AtomicU64,
 }
 
 /// Time for which a share of places is used; nodes tell each other what they see about as often.
-const SHARE_FRESH: Duration = Duration::from_millis(300);
+const SLOT_SHARE_TTL: Duration = Duration::from_millis(300);
 
 fn micros(moment: Moment) -> u64 {
     u64::try_from(moment.as_micros()).unwrap_or(u64::MAX)
@@ -63,7 +63,7 @@
 
     /// Returns the requests of this node at work there.
     pub fn local_requests(&self) -> u32 {
-        self.own.load(Ordering::Relaxed)
+        self.local.load(Ordering::Relaxed)
     }
 
     /// Returns the requests of all nodes at work there, as far as they are known.
@@ -73,17 +73,18 @@
 
     /// Notes the load that the target told with an answer.
     pub fn record_reported_load(&self, running: u32, waiting: u32, now: Moment) {
-        self.told.store(running + waiting, Ordering::Relaxed);
-        self.told_waiting.store(waiting, Ordering::Relaxed);
-        self.told_at.store(micros(now), Ordering::Relaxed);
+        self.reported_load
+            .store(running + waiting, Ordering::Relaxed);
+        self.reported_waiting.store(waiting, Ordering::Relaxed);
+        self.reported_at.store(micros(now), Ordering::Relaxed);
     }
 
     /// Returns the requests at work there: what is known of all nodes, or what the target told if
     /// that is more and fresh.
     pub fn estimated_load(&self, now: Moment) -> u32 {
-        let told = self.told.load(Ordering::Relaxed);
-        if self.told_age(now) < TOLD_FRESH {
-            self.active_requests().max(told)
+        let reported = self.reported_load.load(Ordering::Relaxed);
+        if self.report_age(now) < REPORTED_LOAD_TTL {
+            self.active_requests().max(reported)
         } else {
             self.active_requests()
         }
@@ -91,22 +92,23 @@
 
     /// Returns whether requests have just waited there for a place.
     pub fn is_queueing(&self, now: Moment) -> bool {
-        self.told_waiting.load(Ordering::Relaxed) > 0 && self.told_age(now) < TOLD_FRESH
+        self.reported_waiting.load(Ordering::Relaxed) > 0
+            && self.report_age(now) < REPORTED_LOAD_TTL
     }
 
-    fn told_age(&self, now: Moment) -> Duration {
-        let at = self.told_at.load(Ordering::Relaxed);
+    fn report_age(&self, now: Moment) -> Duration {
+        let at = self.reported_at.load(Ordering::Relaxed);
         Duration::from_micros(micros(now).saturating_sub(at))
     }
 
     /// Returns the prompt tokens sent there that were not answered by an event yet.
     pub fn prefill_tokens(&self) -> u64 {
-        self.unread.load(Ordering::Relaxed)
+        self.prefill_tokens.load(Ordering::Relaxed)
     }
 
     /// Returns the requests sent there that were not answered by an event yet.
     pub fn prefill_requests(&self) -> u32 {
-        self.unread_requests.load(Ordering::Relaxed)
+        self.prefill_requests.load(Ordering::Relaxed)
     }
 
     /// Sets the requests that other nodes say they have there.
@@ -116,45 +118,45 @@
 
     /// Returns the requests sent there that other nodes can not know of yet.
     pub fn unreported_requests(&self) -> u32 {
-        self.fresh.load(Ordering::Relaxed)
+        self.unreported.load(Ordering::Relaxed)
     }
 
     /// Notes that other nodes know of all requests sent there.
     pub fn clear_unreported(&self) {
-        self.fresh.store(0, Ordering::Relaxed);
+        self.unreported.store(0, Ordering::Relaxed);
     }
 
     /// Returns this node's places at the target, asking `share` if they may have changed.
-    pub fn slot_share(&self, now: Moment, share: impl FnOnce() -> u32) -> u32 {
-        let before = self.shared_at.load(Ordering::Relaxed);
+    pub fn slot_share(&self, now: Moment, recalculate: impl FnOnce() -> u32) -> u32 {
+        let before = self.slot_share_at.load(Ordering::Relaxed);
         let age = Duration::from_micros(micros(now).saturating_sub(before));
-        if before == 0 || age > SHARE_FRESH {
-            self.share.store(share(), Ordering::Relaxed);
-            self.shared_at.store(micros(now), Ordering::Relaxed);
+        if before == 0 || age > SLOT_SHARE_TTL {
+            self.slot_share.store(recalculate(), Ordering::Relaxed);
+            self.slot_share_at.store(micros(now), Ordering::Relaxed);
         }
-        self.share.load(Ordering::Relaxed)
+        self.slot_share.load(Ordering::Relaxed)
     }
 
     /// Notes that bytes came from the target, which takes any suspicion from it.
     pub fn record_activity(&self, now: Moment) {
-        let before = self.heard.swap(micros(now), Ordering::Relaxed);
-        let interval = micros(now).saturating_sub(before);
+        let before = self.last_activity.swap(micros(now), Ordering::Relaxed);
+        let gap = micros(now).saturating_sub(before);
         // The longest of the last intervals, forgotten slowly.
-        let held = self.interval.load(Ordering::Relaxed);
-        let faded = held - held / INTERVAL_FADING;
-        self.interval.store(interval.max(faded), Ordering::Relaxed);
+        let previous = self.max_gap.load(Ordering::Relaxed);
+        let decayed = previous - previous / GAP_DECAY_DIVISOR;
+        self.max_gap.store(gap.max(decayed), Ordering::Relaxed);
         self.clear_suspicion();
     }
 
     /// Returns the longest of the last intervals between signs of life.
     pub fn max_activity_gap(&self) -> Duration {
-        Duration::from_micros(self.interval.load(Ordering::Relaxed))
+        Duration::from_micros(self.max_gap.load(Ordering::Relaxed))
     }
 
     /// Returns how long the target has been silent towards this node.
     pub fn silence(&self, now: Moment) -> Duration {
-        let heard = self.heard.load(Ordering::Relaxed);
-        Duration::from_micros(micros(now).saturating_sub(heard))
+        let last_activity = self.last_activity.load(Ordering::Relaxed);
+        Duration::from_micros(micros(now).saturating_sub(last_activity))
     }
 
     /// Keeps new work away until a moment, unless the target is heard before.
@@ -167,20 +169,20 @@
     ///
     /// This is not told on: two nodes that repeat each other's word would never stop.
     pub fn suspect_from_peer(&self, until: Moment) {
-        self.told_suspect_until
+        self.peer_suspect_until
             .fetch_max(micros(until), Ordering::Relaxed);
     }
 
     /// Takes any suspicion from the target.
     fn clear_suspicion(&self) {
         self.suspect_until.store(0, Ordering::Relaxed);
-        self.told_suspect_until.store(0, Ordering::Relaxed);
+        self.peer_suspect_until.store(0, Ordering::Relaxed);
     }
 
     /// Returns whether new work is kept away at `now`.
     pub fn is_suspect(&self, now: Moment) -> bool {
         self.is_locally_suspect(now)
-            || micros(now) < self.told_suspect_until.load(Ordering::Relaxed)
+            || micros(now) < self.peer_suspect_until.load(Ordering::Relaxed)
     }
 
     /// Returns whether this node itself suspects the target.
@@ -190,15 +192,15 @@
 
     /// Notes whether a request was served or failed there.
     pub fn record_outcome(&self, is_failure: bool) {
-        let sample = if is_failure { FAILURE_FULL } else { 0 };
-        let held = self.failing.load(Ordering::Relaxed);
-        let next = (held * (FAILURE_SMOOTHING - 1) + sample) / FAILURE_SMOOTHING;
-        self.failing.store(next, Ordering::Relaxed);
+        let sample = if is_failure { FAILURE_RATE_ONE } else { 0 };
+        let previous = self.failure_rate.load(Ordering::Relaxed);
+        let next = (previous * (FAILURE_SMOOTHING - 1) + sample) / FAILURE_SMOOTHING;
+        self.failure_rate.store(next, Ordering::Relaxed);
     }
 
     /// Returns the smoothed share of failed requests, 0 to 1.
     pub fn failure_rate(&self) -> f64 {
-        f64::from(self.failing.load(Ordering::Relaxed)) / f64::from(FAILURE_FULL)
+        f64::from(self.failure_rate.load(Ordering::Relaxed)) / f64::from(FAILURE_RATE_ONE)
     }
 }
 
@@ -207,30 +209,32 @@
 pub struct SlotGuard {
     gauge: Arc<TargetGauge>,
     /// Tokens of the prompt until it is read.
-    unread: Option<u64>,
+    prefill_tokens: Option<u64>,
 }
 
 impl SlotGuard {
     /// Takes a place for a request with a prompt of `tokens`.
     pub fn acquire(gauge: &Arc<TargetGauge>, tokens: u64, now: Moment) -> Self {
-        if gauge.own.fetch_add(1, Ordering::Relaxed) == 0 {
+        if gauge.local.fetch_add(1, Ordering::Relaxed) == 0 {
             // Silence counts only while there is something to hear.
-            gauge.heard.store(micros(now), Ordering::Relaxed);
+            gauge.last_activity.store(micros(now), Ordering::Relaxed);
         }
-        gauge.unread.fetch_add(tokens, Ordering::Relaxed);
-        gauge.unread_requests.fetch_add(1, Ordering::Relaxed);
-        gauge.fresh.fetch_add(1, Ordering::Relaxed);
+        gauge.prefill_tokens.fetch_add(tokens, Ordering::Relaxed);
+        gauge.prefill_requests.fetch_add(1, Ordering::Relaxed);
+        gauge.unreported.fetch_add(1, Ordering::Relaxed);
         Self {
             gauge: Arc::clone(gauge),
-            unread: Some(tokens),
+            prefill_tokens: Some(tokens),
         }
     }
 
     /// Notes that the prompt was read, which the first event shows.
     pub fn end_prefill(&mut self) {
-        if let Some(tokens) = self.unread.take() {
-            self.gauge.unread.fetch_sub(tokens, Ordering::Relaxed);
-            self.gauge.unread_requests.fetch_sub(1, Ordering::Relaxed);
+        if let Some(tokens) = self.prefill_tokens.take() {
+            self.gauge
+                .prefill_tokens
+                .fetch_sub(tokens, Ordering::Relaxed);
+            self.gauge.prefill_requests.fetch_sub(1, Ordering::Relaxed);
         }
     }
 }
@@ -238,7 +242,7 @@
 impl Drop for SlotGuard {
     fn drop(&mut self) {
         self.end_prefill();
-        self.gauge.own.fetch_sub(1, Ordering::Relaxed);
+        self.gauge.local.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
--- a/crates/fleet/src/layouts.rs
+++ b/crates/fleet/src/layouts.rs
@@ -16,10 +16,10 @@
 /// Time between two decisions on exchanges, each of which tries every number of targets in every domain.
 ///
 /// Meanwhile the nodes hear of the loads that the others have begun.
-const EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
+const REBALANCE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Part of the loads under way at once that exchanges may bring them to.
-const EXCHANGE_PART: f64 = 0.6;
+const REBALANCE_LOAD_SHARE: f64 = 0.6;
 
 /// What a decision rests on.
 #[derive(Clone, Copy, Debug)]
@@ -35,7 +35,7 @@
     /// Targets that are loading each model's weights where the stock does not show it.
     pub loading: &'a IndexMap<ModelId, usize>,
     /// Whether the whole system starts and no caller has come yet.
-    pub is_start: bool,
+    pub is_first_start: bool,
     /// Moment.
     pub now: Moment,
 }
@@ -43,11 +43,11 @@
 /// What the domains of a service should hold, and when that was decided.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceLayouts {
-    planned: Moment,
-    exchanged: Moment,
-    is_exchange: bool,
+    planned_at: Moment,
+    rebalanced_at: Moment,
+    is_rebalance: bool,
     /// Targets of each domain, where it was decided before the first caller.
-    start_of: Option<Vec<usize>>,
+    startup_sizes: Option<Vec<usize>>,
     of_domain: IndexMap<DomainId, DomainLayout>,
 }
 
@@ -56,7 +56,7 @@
     ///
     /// An exchange is carried out in one round, so that the loads which may begin at a time are counted once.
     pub fn is_due(&self, now: Moment) -> bool {
-        self.is_exchange || now >= self.planned + LAYOUT_INTERVAL
+        self.is_rebalance || now >= self.planned_at + LAYOUT_INTERVAL
     }
 
     /// Returns what a domain should hold.
@@ -69,11 +69,11 @@
     /// While weights are exchanged, all domains may begin before their nodes hear of each other, and some of the
     /// loads are kept for targets that come in place of lost ones.
     pub fn load_budget(&self, engine: &EngineModel, budget: usize) -> usize {
-        if !self.is_exchange {
+        if !self.is_rebalance {
             return budget;
         }
-        let kept = engine.loads_at_once as f64 * (1.0 - EXCHANGE_PART);
-        let left = budget.saturating_sub(kept.round() as usize);
+        let reserved = engine.loads_at_once as f64 * (1.0 - REBALANCE_LOAD_SHARE);
+        let left = budget.saturating_sub(reserved.round() as usize);
         let domains = self.of_domain.len().max(1);
         left.min((engine.loads_at_once / domains).max(1))
     }
@@ -82,41 +82,42 @@
     ///
     /// Before the first caller only the number of targets counts, and the search takes tens of milliseconds at
     /// 12,000 of them, so it is made again only when that changes.
-    pub fn replan(self, basis: LayoutInputs<'_>) -> Self {
-        let targets: Vec<usize> = basis.inventory.iter().map(DomainStock::targets).collect();
-        if basis.is_start && self.start_of.as_ref() == Some(&targets) {
+    pub fn replan(self, inputs: LayoutInputs<'_>) -> Self {
+        let targets: Vec<usize> = inputs.inventory.iter().map(DomainStock::targets).collect();
+        if inputs.is_first_start && self.startup_sizes.as_ref() == Some(&targets) {
             return Self {
-                planned: basis.now,
+                planned_at: inputs.now,
                 ..self
             };
         }
-        let trend = basis.trend.filter(|_| !basis.is_start);
-        let trend = trend.filter(|_| basis.now >= self.exchanged + EXCHANGE_INTERVAL);
-        let exchanged = trend.map(|demand| {
+        let trend = inputs.trend.filter(|_| !inputs.is_first_start);
+        let trend = trend.filter(|_| inputs.now >= self.rebalanced_at + REBALANCE_INTERVAL);
+        let rebalanced = trend.map(|demand| {
             plan_exchange(ExchangeTerms {
-                engine: basis.engine,
+                engine: inputs.engine,
                 demand,
-                domains: basis.inventory,
-                coming: basis.loading,
+                domains: inputs.inventory,
+                coming: inputs.loading,
             })
         });
-        let phase = if basis.is_start {
+        let phase = if inputs.is_first_start {
             LayoutPhase::Start
         } else {
             LayoutPhase::Serving
         };
-        let is_exchange = exchanged.is_some();
+        let is_rebalance = rebalanced.is_some();
         Self {
-            planned: basis.now,
-            exchanged: if is_exchange {
-                basis.now
+            planned_at: inputs.now,
+            rebalanced_at: if is_rebalance {
+                inputs.now
             } else {
-                self.exchanged
+                self.rebalanced_at
             },
-            is_exchange,
-            start_of: basis.is_start.then_some(targets),
-            of_domain: exchanged
-                .unwrap_or_else(|| plan_layout(basis.engine, basis.demand, basis.inventory, phase)),
+            is_rebalance,
+            startup_sizes: inputs.is_first_start.then_some(targets),
+            of_domain: rebalanced.unwrap_or_else(|| {
+                plan_layout(inputs.engine, inputs.demand, inputs.inventory, phase)
+            }),
         }
     }
 }
--- a/crates/fleet/src/order_sender.rs
+++ b/crates/fleet/src/order_sender.rs
@@ -8,9 +8,9 @@
 use crate::ports::TargetControl;
 
 /// Time to wait for the answer to one sending; targets answer in a few milliseconds.
-const ANSWER_TIME: Duration = Duration::from_millis(80);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(80);
 /// Time from the first sending after which an order that was not answered is not sent again.
-const ORDER_TIME: Duration = Duration::from_millis(400);
+const RESEND_WINDOW: Duration = Duration::from_millis(400);
 
 /// Sends an order until it is answered, and returns what became of it.
 ///
@@ -21,26 +21,26 @@
     order: &TargetOrder,
     address: &str,
 ) -> OrderResult {
-    let mut last = BootClock::now();
-    let end = last + ORDER_TIME;
-    let mut is_repeated = false;
+    let mut last_attempt = BootClock::now();
+    let end = last_attempt + RESEND_WINDOW;
+    let mut is_resent = false;
     loop {
-        let sending = targets.order(
+        let attempt = targets.order(
             &order.target,
             address,
             order.expected,
             &order.action,
-            ANSWER_TIME,
+            ATTEMPT_TIMEOUT,
         );
-        match sending.await {
+        match attempt.await {
             // The conflict may be with an earlier sending that took effect; the target's report tells.
-            OrderResult::Conflict if is_repeated => return OrderResult::Lost,
-            OrderResult::Lost if last + ANSWER_TIME * 2 <= end => is_repeated = true,
+            OrderResult::Conflict if is_resent => return OrderResult::Lost,
+            OrderResult::Lost if last_attempt + ATTEMPT_TIMEOUT * 2 <= end => is_resent = true,
             result => return result,
         }
         // A connection may fail long before the time for an answer is over.
-        let next = last + ANSWER_TIME;
-        tokio::time::sleep(next.saturating_sub(BootClock::now())).await;
-        last = BootClock::now();
+        let next_attempt = last_attempt + ATTEMPT_TIMEOUT;
+        tokio::time::sleep(next_attempt.saturating_sub(BootClock::now())).await;
+        last_attempt = BootClock::now();
     }
 }
--- a/crates/fleet/src/routing_table.rs
+++ b/crates/fleet/src/routing_table.rs
@@ -48,8 +48,8 @@
 /// Targets by service, and by model where a service's targets are engines.
 #[derive(Clone, Debug, Default)]
 pub struct RoutingTable {
-    plain: IndexMap<ServiceId, Vec<Arc<RouteTarget>>>,
-    models: IndexMap<ServiceId, IndexMap<ModelId, Vec<Arc<RouteTarget>>>>,
+    single_targets: IndexMap<ServiceId, Vec<Arc<RouteTarget>>>,
+    groups_by_model: IndexMap<ServiceId, IndexMap<ModelId, Vec<Arc<RouteTarget>>>>,
 }
 
 impl RoutingTable {
@@ -57,11 +57,11 @@
     pub fn build(
         book: &TrafficBook,
         targets: &TargetBook,
-        before: &Self,
+        previous: &Self,
         gauges: &GaugeMap,
     ) -> Self {
         let mut table = Self::default();
-        let unlisted = unlisted_members(targets, before);
+        let unlisted = unlisted_members(targets, previous);
         for service in book.services.values() {
             let of_service = targets
                 .targets()
@@ -69,14 +69,16 @@
                 .filter(|record| record.service == service.id);
             match &service.engine {
                 None => {
-                    let open = of_service.filter(|record| !record.is_draining);
-                    let plain = open.map(|record| route(record, None, gauges)).collect();
-                    table.plain.insert(service.id.clone(), plain);
+                    let accepting = of_service.filter(|record| !record.is_draining);
+                    let routes = accepting
+                        .map(|record| route_target(record, None, gauges))
+                        .collect();
+                    table.single_targets.insert(service.id.clone(), routes);
                 }
                 Some(engine) => {
                     let models =
-                        whole_groups(of_service.map(Arc::as_ref), &unlisted, engine, gauges);
-                    table.models.insert(service.id.clone(), models);
+                        complete_groups(of_service.map(Arc::as_ref), &unlisted, engine, gauges);
+                    table.groups_by_model.insert(service.id.clone(), models);
                 }
             }
         }
@@ -85,12 +87,12 @@
 
     /// Returns the single targets of a service.
     pub fn single_targets(&self, service: &str) -> &[Arc<RouteTarget>] {
-        self.plain.get(service).map_or(&[], Vec::as_slice)
+        self.single_targets.get(service).map_or(&[], Vec::as_slice)
     }
 
     /// Returns the groups that serve a model.
     pub fn groups(&self, service: &str, model: &str) -> &[Arc<RouteTarget>] {
-        let models = self.models.get(service);
+        let models = self.groups_by_model.get(service);
         models
             .and_then(|models| models.get(model))
             .map_or(&[], Vec::as_slice)
@@ -98,11 +100,18 @@
 
     /// Returns all groups.
     pub fn all_groups(&self) -> impl Iterator<Item = &Arc<RouteTarget>> {
-        self.models.values().flat_map(IndexMap::values).flatten()
+        self.groups_by_model
+            .values()
+            .flat_map(IndexMap::values)
+            .flatten()
     }
 }
 
-fn route(record: &TargetRecord, group: Option<RouteGroup>, gauges: &GaugeMap) -> Arc<RouteTarget> {
+fn route_target(
+    record: &TargetRecord,
+    group: Option<RouteGroup>,
+    gauges: &GaugeMap,
+) -> Arc<RouteTarget> {
     Arc::new(RouteTarget {
         id: record.id.clone(),
         incarnation: record.incarnation,
@@ -121,47 +130,54 @@
 /// Returns the members whose entries are gone, of groups that were whole before.
 ///
 /// A node that has not itself seen every member under the group's name and epoch sends nothing there.
-fn unlisted_members<'a>(targets: &'a TargetBook, before: &RoutingTable) -> MemberMap<'a> {
+fn unlisted_members<'a>(targets: &'a TargetBook, previous: &RoutingTable) -> MemberMap<'a> {
     let unlisted = targets.unlisted();
     if unlisted.is_empty() {
         return MemberMap::default();
     }
-    let groups = before
+    let groups = previous
         .all_groups()
         .filter_map(|target| target.group.as_ref());
-    let whole: IndexSet<(&GroupId, Epoch)> = groups.map(|group| (&group.id, group.epoch)).collect();
+    let complete: IndexSet<(&GroupId, Epoch)> =
+        groups.map(|group| (&group.id, group.epoch)).collect();
     let members = unlisted.values().filter_map(|record| {
-        let held = record.membership.as_ref()?;
-        let is_known = whole.contains(&(&held.group, held.epoch));
-        is_known.then_some(((&held.group, held.epoch, held.rank), &record.id))
+        let membership = record.membership.as_ref()?;
+        let is_known = complete.contains(&(&membership.group, membership.epoch));
+        is_known.then_some((
+            (&membership.group, membership.epoch, membership.rank),
+            &record.id,
+        ))
     });
     members.collect()
 }
 
 /// Returns the groups of a service that take requests, by model.
-fn whole_groups<'a>(
+fn complete_groups<'a>(
     records: impl Iterator<Item = &'a TargetRecord>,
     unlisted: &MemberMap<'a>,
     engine: &EngineModel,
     gauges: &GaugeMap,
 ) -> IndexMap<ModelId, Vec<Arc<RouteTarget>>> {
     let mut members = unlisted.clone();
-    let mut heads = Vec::new();
+    let mut leaders = Vec::new();
     for record in records {
-        let Some(held) = &record.membership else {
+        let Some(membership) = &record.membership else {
             continue;
         };
-        members.insert((&held.group, held.epoch, held.rank), &record.id);
-        let is_open = held.rank == 0 && held.state == MembershipState::Open;
+        members.insert(
+            (&membership.group, membership.epoch, membership.rank),
+            &record.id,
+        );
+        let is_open = membership.rank == 0 && membership.state == MembershipState::Open;
         if is_open && !record.is_draining {
-            heads.push((record, held));
+            leaders.push((record, membership));
         }
     }
     let mut models: IndexMap<ModelId, Vec<Arc<RouteTarget>>> = IndexMap::new();
-    for (head, held) in heads {
-        if let Some(group) = whole_group(head, held, &members, engine) {
+    for (leader, membership) in leaders {
+        if let Some(group) = complete_group(leader, membership, &members, engine) {
             let of_model = models.entry(group.model.clone()).or_default();
-            of_model.push(route(head, Some(group), gauges));
+            of_model.push(route_target(leader, Some(group), gauges));
         }
     }
     models
@@ -171,19 +187,20 @@
 ///
 /// An engine accepts requests while members are missing, and they then stall. A member that died is noticed
 /// by its group's silence, and the controller, which asks each member whose entry is gone, ends the group.
-fn whole_group(
-    head: &TargetRecord,
-    held: &Membership,
+fn complete_group(
+    leader: &TargetRecord,
+    membership: &Membership,
     members: &MemberMap<'_>,
     engine: &EngineModel,
 ) -> Option<RouteGroup> {
-    let model = head.models.first()?;
+    let model = leader.models.first()?;
     let size = engine.models.get(model)?.size;
-    let member = |rank| members.get(&(&held.group, held.epoch, rank));
-    let ranks = std::iter::once(Some(&head.id)).chain((1..size).map(|rank| member(rank).copied()));
+    let member = |rank| members.get(&(&membership.group, membership.epoch, rank));
+    let ranks =
+        std::iter::once(Some(&leader.id)).chain((1..size).map(|rank| member(rank).copied()));
     Some(RouteGroup {
-        id: held.group.clone(),
-        epoch: held.epoch,
+        id: membership.group.clone(),
+        epoch: membership.epoch,
         model: model.clone(),
         members: ranks.map(|id| id.cloned()).collect::<Option<Vec<_>>>()?,
     })
--- a/crates/fleet/src/scope.rs
+++ b/crates/fleet/src/scope.rs
@@ -49,7 +49,7 @@
     pub own_targets: Vec<Arc<TargetRecord>>,
     /// Members of groups there whose entries are gone.
     pub unlisted_members: Vec<Arc<TargetRecord>>,
-    basis: ScopeInputs,
+    inputs: ScopeInputs,
 }
 
 impl ControlScope {
@@ -57,12 +57,12 @@
     ///
     /// The domain's own zone goes first, since a zone that is cut off has to mend itself. Two nodes that
     /// both believe a domain theirs do no harm: the targets obey only one of them.
-    pub fn new(book: &TrafficBook, basis: ScopeInputs) -> Self {
+    pub fn new(book: &TrafficBook, inputs: ScopeInputs) -> Self {
         let ScopeInputs {
             directory, live, ..
-        } = &basis;
-        let mut engines = Vec::new();
-        let mut own = IndexSet::new();
+        } = &inputs;
+        let mut engine_targets = Vec::new();
+        let mut own_domains = IndexSet::new();
         for service in book
             .services
             .values()
@@ -76,32 +76,33 @@
                 of_service.iter().map(|record| record.as_ref()).collect();
             for (domain, zone) in domains_of(&records) {
                 if live.first_for(domain, zone).is_none() {
-                    own.insert(DomainKey {
+                    own_domains.insert(DomainKey {
                         service: service.id.clone(),
                         domain: domain.clone(),
                     });
                 }
             }
-            engines.extend(of_service.into_iter().cloned());
+            engine_targets.extend(of_service.into_iter().cloned());
         }
-        let is_mine = |record: &&Arc<TargetRecord>| own.iter().any(|key| key.contains(record));
-        let mine = engines.iter().filter(is_mine).cloned().collect();
+        let is_own =
+            |record: &&Arc<TargetRecord>| own_domains.iter().any(|key| key.contains(record));
+        let own_targets = engine_targets.iter().filter(is_own).cloned().collect();
         let unlisted = directory.book.unlisted().values();
-        let unlisted = unlisted.filter(is_mine).cloned().collect();
+        let unlisted_members = unlisted.filter(is_own).cloned().collect();
         Self {
-            engine_targets: engines,
-            own_targets: mine,
-            unlisted_members: unlisted,
-            own_domains: own,
-            basis,
+            engine_targets,
+            own_targets,
+            unlisted_members,
+            own_domains,
+            inputs,
         }
     }
 
     /// Returns whether the scope follows from the same; what nodes see of callers decides nothing.
-    pub fn is_current_for(&self, basis: &ScopeInputs) -> bool {
-        let held = &self.basis;
-        held.version == basis.version
-            && Arc::ptr_eq(&held.directory, &basis.directory)
-            && held.live.composition() == basis.live.composition()
+    pub fn is_current_for(&self, inputs: &ScopeInputs) -> bool {
+        let current = &self.inputs;
+        current.version == inputs.version
+            && Arc::ptr_eq(&current.directory, &inputs.directory)
+            && current.live.composition() == inputs.live.composition()
     }
 }
--- a/crates/fleet/src/tracker.rs
+++ b/crates/fleet/src/tracker.rs
@@ -16,23 +16,23 @@
 ///
 /// A group at work shows by its streams that it lives, and what changes in a target shows in the
 /// directory; this finds members that die while nothing runs. Questions are paid for.
-const IDLE_INTERVAL: Duration = Duration::from_millis(5_000);
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(5_000);
 /// Time between questions to a target that is joining, once its expected time is over.
-const JOINING_INTERVAL: Duration = Duration::from_millis(250);
+const JOINING_POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Least time between two questions to one target.
-const LEAST_INTERVAL: Duration = Duration::from_millis(80);
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(80);
 /// Time between questions to a member whose entry is gone; nothing else tells whether it lives.
-const UNLISTED_INTERVAL: Duration = Duration::from_millis(1_000);
+const UNLISTED_POLL_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Questions in a row without an answer after which a target counts as silent.
-const SILENT_AFTER: u32 = 2;
+const SILENT_AFTER_FAILURES: u32 = 2;
 /// Time to join again for the model of the last group, and a little more.
-const REJOIN_CHECK: Duration = Duration::from_millis(220);
+const REJOIN_POLL_DELAY: Duration = Duration::from_millis(220);
 /// Age of a report by which a target may be chosen for a group.
 ///
 /// A target that has restarted since needs its warmup, over a second, before a group with it can serve.
-const FRESH_TIME: Duration = Duration::from_millis(500);
+const REPORT_MAX_AGE: Duration = Duration::from_millis(500);
 /// Time that is added to an expected one before it is checked.
-const CHECK_SLACK: Duration = Duration::from_millis(30);
+const JOIN_POLL_MARGIN: Duration = Duration::from_millis(30);
 
 /// One target.
 #[derive(Clone, Debug)]
@@ -45,14 +45,14 @@
     pub is_resolved: bool,
     is_listed: bool,
     failures: u32,
-    is_asked: bool,
-    next: Moment,
-    last: Moment,
+    is_poll_pending: bool,
+    next_poll: Moment,
+    last_poll: Moment,
     joining_since: Option<Moment>,
-    acknowledged: Moment,
-    reported: Option<Moment>,
+    acknowledged_at: Moment,
+    reported_at: Option<Moment>,
     /// Most orders that it has itself reported, and when it first did.
-    counted: (u64, Moment),
+    highest_count: (u64, Moment),
     is_replaced: bool,
 }
 
@@ -60,7 +60,7 @@
     /// Returns what the planner is told at `now`.
     pub fn facts_at(&self, now: Moment) -> TargetFacts {
         TargetFacts {
-            is_fresh: self.reported.is_some_and(|at| now < at + FRESH_TIME),
+            is_fresh: self.reported_at.is_some_and(|at| now < at + REPORT_MAX_AGE),
             ..self.facts.clone()
         }
     }
@@ -82,24 +82,24 @@
             is_resolved: false,
             is_listed: true,
             failures: 0,
-            is_asked: false,
-            next: now,
-            last: Moment::ZERO,
+            is_poll_pending: false,
+            next_poll: now,
+            last_poll: Moment::ZERO,
             joining_since: None,
-            acknowledged: Moment::ZERO,
-            reported: None,
-            counted: (0, Moment::ZERO),
+            acknowledged_at: Moment::ZERO,
+            reported_at: None,
+            highest_count: (0, Moment::ZERO),
             is_replaced: false,
         }
     }
 
     fn poll_by(&mut self, at: Moment) {
-        let at = at.max(self.last + LEAST_INTERVAL);
-        self.next = self.next.min(at);
+        let at = at.max(self.last_poll + MIN_POLL_INTERVAL);
+        self.next_poll = self.next_poll.min(at);
     }
 
     fn status(&self) -> TargetStanding {
-        if self.is_replaced || self.failures >= SILENT_AFTER {
+        if self.is_replaced || self.failures >= SILENT_AFTER_FAILURES {
             TargetStanding::Silent
         } else if !self.is_listed {
             TargetStanding::Unlisted
@@ -146,8 +146,8 @@
                 tracked.is_listed = is_listed;
                 tracked.poll_by(now);
             }
-            let is_news = tracked.record != *record;
-            if is_news {
+            let is_changed = tracked.record != *record;
+            if is_changed {
                 tracked.record = record.clone();
                 // Only a target that lives writes its entry.
                 tracked.is_replaced = false;
@@ -166,11 +166,11 @@
     /// Returns the targets to ask now, and marks them as asked.
     pub fn take_due(&mut self, now: Moment) -> Vec<(TargetId, String)> {
         let due = self.targets.iter_mut().filter(|(_, tracked)| {
-            !tracked.is_replaced && !tracked.is_asked && now >= tracked.next
+            !tracked.is_replaced && !tracked.is_poll_pending && now >= tracked.next_poll
         });
         due.map(|(id, tracked)| {
-            tracked.is_asked = true;
-            tracked.last = now;
+            tracked.is_poll_pending = true;
+            tracked.last_poll = now;
             (id.clone(), tracked.record.address.clone())
         })
         .collect()
@@ -197,7 +197,7 @@
         let Some(tracked) = self.targets.get_mut(target) else {
             return false;
         };
-        tracked.is_asked = false;
+        tracked.is_poll_pending = false;
         let before = tracked.status();
         match report {
             Ok(report) if tracked.is_from_other_target(&report, engine.report_lag) => {
@@ -207,18 +207,18 @@
             Ok(report) => {
                 tracked.failures = 0;
                 tracked.is_resolved = true;
-                tracked.reported = Some(now);
+                tracked.reported_at = Some(now);
                 tracked.apply_report(report, engine.report_lag, now);
-                tracked.next = tracked.next_poll_time(engine, now);
+                tracked.next_poll = tracked.next_poll_time(engine, now);
             }
-            Err(_) if is_late => tracked.next = now + LEAST_INTERVAL,
+            Err(_) if is_late => tracked.next_poll = now + MIN_POLL_INTERVAL,
             Err(_) => {
                 tracked.failures += 1;
-                if tracked.failures >= SILENT_AFTER {
+                if tracked.failures >= SILENT_AFTER_FAILURES {
                     tracked.is_resolved = true;
-                    tracked.next = now + JOINING_INTERVAL * 2;
+                    tracked.next_poll = now + JOINING_POLL_INTERVAL * 2;
                 } else {
-                    tracked.next = now;
+                    tracked.next_poll = now;
                 }
             }
         }
@@ -239,16 +239,16 @@
         let is_leave = matches!(order.action, TargetAction::Leave { .. });
         let was_member = facts.membership.as_ref().map(|held| &held.group) == order.action.group();
         // Leaving is over when it is answered, so it is told as done and not as begun.
-        let is_in_force =
+        let has_taken_effect =
             result == OrderResult::Begun || (result == OrderResult::Held && is_leave && was_member);
         // An answer of another life than the one looked at says nothing of what is known now.
-        if !is_in_force || order.incarnation != facts.incarnation {
+        if !has_taken_effect || order.incarnation != facts.incarnation {
             tracked.poll_by(now);
             return;
         }
         facts.sequence = facts.sequence.max(order.expected + 1);
         facts.is_busy = !is_leave;
-        tracked.acknowledged = now;
+        tracked.acknowledged_at = now;
         let effect = order
             .action
             .effect(&order.target, facts.membership.as_ref());
@@ -256,7 +256,7 @@
             facts.model = Some(model.clone());
             facts.epoch_seen = facts.epoch_seen.max(*epoch);
             tracked.joining_since = Some(now);
-            tracked.next = now + REJOIN_CHECK;
+            tracked.next_poll = now + REJOIN_POLL_DELAY;
         }
         facts.membership = effect;
         if facts.membership.is_none() {
@@ -273,7 +273,7 @@
     fn apply_report(&mut self, report: TargetReport, lag: Duration, now: Moment) {
         self.reset_after_restart(report.incarnation);
         let facts = &mut self.facts;
-        let is_recent = now < self.acknowledged + lag * 2;
+        let is_recent = now < self.acknowledged_at + lag * 2;
         if is_recent && report.sequence < facts.sequence {
             return;
         }
@@ -284,8 +284,8 @@
             let models = report.staged.join(",");
             log::info!(target_id = self.record.id.as_str(), models = models.as_str(); "weights_staged");
         }
-        if report.sequence > self.counted.0 {
-            self.counted = (report.sequence, now);
+        if report.sequence > self.highest_count.0 {
+            self.highest_count = (report.sequence, now);
         }
         facts.membership = report.membership;
         facts.model = report.model;
@@ -299,9 +299,9 @@
     /// A target may end and another one start at its address. Reports do not say whose they are, so the
     /// new one's would pass for the old one's, which would count as live for as long as it is remembered.
     fn is_from_other_target(&self, report: &TargetReport, lag: Duration) -> bool {
-        let (count, since) = self.counted;
+        let (count, since) = self.highest_count;
         // Reports lag, so one that was asked for soon after may show the count before.
-        let is_settled = self.last >= since + lag * 2;
+        let is_settled = self.last_poll >= since + lag * 2;
         report.incarnation == self.facts.incarnation && is_settled && report.sequence < count
     }
 
@@ -326,8 +326,8 @@
         self.facts.incarnation = incarnation;
         self.facts.sequence = 0;
         self.facts.epoch_seen = 0;
-        self.acknowledged = Moment::ZERO;
-        self.counted = (0, Moment::ZERO);
+        self.acknowledged_at = Moment::ZERO;
+        self.highest_count = (0, Moment::ZERO);
         self.joining_since = None;
     }
 
@@ -340,19 +340,19 @@
         if !is_joining {
             self.joining_since = None;
             let interval = if self.is_listed {
-                IDLE_INTERVAL
+                IDLE_POLL_INTERVAL
             } else {
-                UNLISTED_INTERVAL
+                UNLISTED_POLL_INTERVAL
             };
             return now + interval;
         }
         let since = *self.joining_since.get_or_insert(now);
         let model = self.facts.model.as_ref();
         let model = model.and_then(|id| engine.models.get(id));
-        let expected = model.map(|model| since + model.warmup + CHECK_SLACK);
+        let expected = model.map(|model| since + model.warmup + JOIN_POLL_MARGIN);
         match expected {
             Some(at) if now < at => at,
-            _ => now + JOINING_INTERVAL,
+            _ => now + JOINING_POLL_INTERVAL,
         }
     }
 }
--- a/crates/fleet/tests/assembly.rs
+++ b/crates/fleet/tests/assembly.rs
@@ -28,33 +28,33 @@
 /// Targets of the domain; two groups of three and two spares.
 const TARGETS: usize = 8;
 /// Targets of a group.
-const SIZE: usize = 3;
+const GROUP_SIZE: usize = 3;
 /// Time of one step.
 const STEP: Duration = Duration::from_millis(50);
 /// Time during which things go wrong.
-const FAULTY: Duration = Duration::from_secs(25);
+const FAULT_TIME: Duration = Duration::from_secs(25);
 /// Time given to recover; late orders are carried out up to 12 s after they were sent.
-const CALM: Duration = Duration::from_secs(30);
+const RECOVERY_TIME: Duration = Duration::from_secs(30);
 /// Time after which a group with a lost member serves no more.
-const STALL: Duration = Duration::from_secs(4);
+const STALL_TIMEOUT: Duration = Duration::from_secs(4);
 /// Time for which the entry of a target that is cut off from the directory is missing.
-const LAPSE: Duration = Duration::from_secs(4);
+const LAPSE_TIME: Duration = Duration::from_secs(4);
 /// Time after which both controllers have seen an entry.
-const SEEN_TIME: Duration = Duration::from_secs(1);
+const PROPAGATION_TIME: Duration = Duration::from_secs(1);
 /// Time to load weights that are not on the host.
 const LOAD_TIME: Duration = Duration::from_secs(3);
 /// Time that a closed group takes to finish its work.
 const CLOSE_TIME: Duration = Duration::from_millis(600);
 /// Time between two changes of what callers ask for.
-const SWING: Duration = Duration::from_secs(7);
+const DEMAND_INTERVAL: Duration = Duration::from_secs(7);
 /// The model that callers ask for at first, and the one of smaller groups that they swing to.
-const MODELS: [(&str, usize); 2] = [("m", SIZE), ("n", 2)];
+const MODELS: [(&str, usize); 2] = [("m", GROUP_SIZE), ("n", 2)];
 /// Lag of the count of orders in reports.
 const REPORT_LAG: Duration = Duration::from_millis(200);
 
 #[derive(Clone, Debug)]
-struct HeldGroup {
-    held: Membership,
+struct GroupState {
+    membership: Membership,
     model: ModelId,
     members: Vec<TargetId>,
     ready_at: Moment,
@@ -70,7 +70,7 @@
     address: String,
     /// Zero where targets do not tell their lives apart.
     incarnation: Incarnation,
-    group: Option<HeldGroup>,
+    group: Option<GroupState>,
     sequence: u64,
     sequence_log: Vec<(Moment, u64)>,
     epoch_seen: Epoch,
@@ -82,25 +82,25 @@
 
 /// What a target that starts again is called.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Naming {
+enum Successor {
     /// As no target before it.
-    New,
+    NewId,
     /// As in its earlier life.
-    Kept,
+    SameId,
     /// As no target before it, at the address of its earlier life, whose entry stays and is written once more.
-    NewAtAddress,
+    NewIdSameAddress,
 }
 
 /// What callers ask for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Asking {
+enum Demand {
     /// One model.
     Steady,
     /// One model and two by turns.
-    Swinging,
+    Alternating,
 }
 
-struct LateOrder {
+struct DelayedOrder {
     at: Moment,
     order: TargetOrder,
 }
@@ -113,20 +113,20 @@
 
 struct Controller {
     tracker: TargetTracker,
-    keeper: DomainKeeper,
+    reconciler: DomainKeeper,
     book: TargetBook,
     loads: IndexMap<TargetId, ModelId>,
-    cut: Vec<TargetId>,
+    unreachable: Vec<TargetId>,
 }
 
-struct World {
+struct Simulation {
     rng: StdRng,
     now: Moment,
     targets: IndexMap<TargetId, SimTarget>,
     directory: Vec<(Moment, Vec<TargetRecord>)>,
     /// Targets whose entries have lapsed, and until when.
     lapsed: IndexMap<TargetId, Moment>,
-    late: Vec<LateOrder>,
+    delayed: Vec<DelayedOrder>,
     stale: Vec<StaleEntry>,
     /// Addresses of all targets that ever were.
     addresses: IndexMap<TargetId, String>,
@@ -134,14 +134,14 @@
     controllers: Vec<Controller>,
     engine: EngineModel,
     is_faulty: bool,
-    naming: Naming,
-    asking: Asking,
+    successor: Successor,
+    demand: Demand,
     /// Moment from which on callers ask for the same.
-    settled: Moment,
-    lives: usize,
-    broken: Vec<String>,
+    demand_fixed_at: Moment,
+    started_count: usize,
+    violations: Vec<String>,
     /// Groups that were ended though nothing was wrong with them.
-    ended_whole: Vec<GroupId>,
+    wrongly_dissolved: Vec<GroupId>,
 }
 
 fn engine() -> EngineModel {
@@ -165,52 +165,52 @@
     }
 }
 
-impl World {
-    fn open(seed: u64, naming: Naming, asking: Asking) -> Self {
+impl Simulation {
+    fn new(seed: u64, successor: Successor, demand: Demand) -> Self {
         let controllers = ["a", "b"].map(|name| Controller {
             tracker: TargetTracker::default(),
-            keeper: DomainKeeper::open(format!("{name}-{seed}")),
+            reconciler: DomainKeeper::open(format!("{name}-{seed}")),
             book: TargetBook::default(),
             loads: IndexMap::new(),
-            cut: Vec::new(),
+            unreachable: Vec::new(),
         });
-        let mut world = Self {
+        let mut simulation = Self {
             rng: StdRng::seed_from_u64(seed),
             now: Duration::from_secs(100),
             targets: IndexMap::new(),
             directory: Vec::new(),
             lapsed: IndexMap::new(),
-            late: Vec::new(),
+            delayed: Vec::new(),
             stale: Vec::new(),
             addresses: IndexMap::new(),
             ever_ready: Vec::new(),
             controllers: controllers.into(),
             engine: engine(),
             is_faulty: true,
-            naming,
-            asking,
-            settled: Duration::from_secs(100) + FAULTY,
-            lives: 0,
-            broken: Vec::new(),
-            ended_whole: Vec::new(),
+            successor,
+            demand,
+            demand_fixed_at: Duration::from_secs(100) + FAULT_TIME,
+            started_count: 0,
+            violations: Vec::new(),
+            wrongly_dissolved: Vec::new(),
         };
         for _ in 0..TARGETS {
-            world.start_target();
+            simulation.start_target();
         }
-        world
+        simulation
     }
 
     fn start_target(&mut self) {
-        let id = format!("t{}", self.lives + 1);
+        let id = format!("t{}", self.started_count + 1);
         self.start_as(id.clone(), id);
     }
 
     fn start_as(&mut self, id: TargetId, address: String) {
-        self.lives += 1;
+        self.started_count += 1;
         self.addresses.insert(id.clone(), address.clone());
-        let incarnation = match self.naming {
-            Naming::New | Naming::Kept => self.lives as Incarnation,
-            Naming::NewAtAddress => 0,
+        let incarnation = match self.successor {
+            Successor::NewId | Successor::SameId => self.started_count as Incarnation,
+            Successor::NewIdSameAddress => 0,
         };
         let target = SimTarget {
             is_alive: true,
@@ -234,17 +234,17 @@
 
     fn step(&mut self) {
         self.now += STEP;
-        self.disturb();
-        self.move_targets();
-        self.carry_out_late();
-        self.list();
+        self.inject_faults();
+        self.advance_targets();
+        self.carry_out_delayed();
+        self.publish_directory();
         for index in 0..self.controllers.len() {
-            self.control(index);
+            self.run_controller(index);
         }
         self.check_open_groups();
     }
 
-    fn disturb(&mut self) {
+    fn inject_faults(&mut self) {
         if self.chance(0.02) {
             let index = self.rng.random_range(0..self.targets.len());
             self.targets[index].is_alive = false;
@@ -253,37 +253,37 @@
             let dead = self.targets.iter().find(|(_, target)| !target.is_alive);
             if let Some(id) = dead.map(|(id, _)| id.clone()) {
                 self.targets.swap_remove(&id);
-                match self.naming {
-                    Naming::New | Naming::NewAtAddress => self.start_target(),
-                    Naming::Kept => self.start_as(id.clone(), id),
+                match self.successor {
+                    Successor::NewId | Successor::NewIdSameAddress => self.start_target(),
+                    Successor::SameId => self.start_as(id.clone(), id),
                 }
             }
         }
         // Most restarts are over before anybody has noticed that the target was gone.
-        if self.naming == Naming::Kept && self.chance(0.1) {
+        if self.successor == Successor::SameId && self.chance(0.1) {
             let index = self.rng.random_range(0..self.targets.len());
             let (id, _) = self.targets.get_index(index).expect("an index in range");
             self.start_as(id.clone(), id.clone());
         }
-        if self.naming == Naming::NewAtAddress && self.chance(0.02) {
+        if self.successor == Successor::NewIdSameAddress && self.chance(0.02) {
             let index = self.rng.random_range(0..self.targets.len());
-            self.start_at_address(index);
+            self.start_at_same_address(index);
         }
         if self.chance(0.02) {
             let index = self.rng.random_range(0..self.targets.len());
             let (id, _) = self.targets.get_index(index).expect("an index in range");
-            let until = self.now + LAPSE;
+            let until = self.now + LAPSE_TIME;
             self.lapsed.insert(id.clone(), until);
         }
         if self.chance(0.01) {
             let index = self.rng.random_range(0..self.targets.len());
             let id = self.targets.get_index(index).map(|(id, _)| id.clone());
             let side = self.rng.random_range(0..2);
-            self.controllers[side].cut.extend(id);
+            self.controllers[side].unreachable.extend(id);
         }
         if self.chance(0.02) || !self.is_faulty {
             for controller in &mut self.controllers {
-                controller.cut.clear();
+                controller.unreachable.clear();
             }
         }
     }
@@ -292,38 +292,38 @@
     ///
     /// Both controllers have seen its entry: of targets that were first seen in another order than they lived in,
     /// nobody can tell which one has ended.
-    fn start_at_address(&mut self, index: usize) {
+    fn start_at_same_address(&mut self, index: usize) {
         let now = self.now;
         let listed = self.targets.get_index(index).filter(|(id, target)| {
             let hidden = self.lapsed.get(*id).copied().unwrap_or_default();
-            target.is_alive && now >= target.started.max(hidden) + SEEN_TIME
+            target.is_alive && now >= target.started.max(hidden) + PROPAGATION_TIME
         });
         let Some((id, target)) = listed.map(|(id, target)| (id.clone(), target.clone())) else {
             return;
         };
         self.targets.swap_remove(&id);
-        let again = now + LAPSE + Duration::from_millis(self.rng.random_range(0..4_000));
+        let again = now + LAPSE_TIME + Duration::from_millis(self.rng.random_range(0..4_000));
         self.stale.push(StaleEntry {
             record: record_of(&id, &target),
-            spans: [(now, now + LAPSE), (again, again + LAPSE)],
+            spans: [(now, now + LAPSE_TIME), (again, again + LAPSE_TIME)],
         });
-        let id = format!("t{}", self.lives + 1);
+        let id = format!("t{}", self.started_count + 1);
         self.start_as(id.clone(), target.address);
         let hidden = Duration::from_millis(self.rng.random_range(0..4_000));
         self.lapsed.insert(id, now + hidden);
     }
 
-    fn move_targets(&mut self) {
+    fn advance_targets(&mut self) {
         let now = self.now;
         let standing: Vec<(TargetId, Option<(GroupId, Epoch)>)> = self
             .targets
             .iter()
             .filter(|(_, target)| target.is_alive)
             .map(|(id, target)| {
-                let held = target.group.as_ref().map(|group| &group.held);
+                let membership = target.group.as_ref().map(|group| &group.membership);
                 (
                     id.clone(),
-                    held.map(|held| (held.group.clone(), held.epoch)),
+                    membership.map(|held| (held.group.clone(), held.epoch)),
                 )
             })
             .collect();
@@ -334,46 +334,46 @@
             let Some(group) = target.group.as_mut().filter(|_| target.is_alive) else {
                 continue;
             };
-            if group.held.state == MembershipState::Joining && now >= group.ready_at {
-                group.held.state = MembershipState::Ready;
-                let held = &group.held;
+            if group.membership.state == MembershipState::Joining && now >= group.ready_at {
+                group.membership.state = MembershipState::Ready;
+                let membership = &group.membership;
                 self.ever_ready
-                    .push((id.clone(), held.group.clone(), held.epoch));
+                    .push((id.clone(), membership.group.clone(), membership.epoch));
             }
             if group.closed_at.is_some_and(|at| now >= at) {
                 group.closed_at = None;
-                group.held.state = MembershipState::Ready;
+                group.membership.state = MembershipState::Ready;
             }
-            if group.held.state != MembershipState::Open {
+            if group.membership.state != MembershipState::Open {
                 continue;
             }
-            let key = (group.held.group.clone(), group.held.epoch);
-            let is_whole = group.members.iter().all(|member| {
+            let key = (group.membership.group.clone(), group.membership.epoch);
+            let is_complete = group.members.iter().all(|member| {
                 standing
                     .iter()
                     .any(|(other, held)| other == member && held.as_ref() == Some(&key))
             });
-            if is_whole {
+            if is_complete {
                 group.stalled_since = None;
-            } else if now >= *group.stalled_since.get_or_insert(now) + STALL {
-                group.held.state = MembershipState::Broken;
+            } else if now >= *group.stalled_since.get_or_insert(now) + STALL_TIMEOUT {
+                group.membership.state = MembershipState::Broken;
             }
         }
     }
 
-    fn carry_out_late(&mut self) {
+    fn carry_out_delayed(&mut self) {
         let now = self.now;
-        let (due, rest) = std::mem::take(&mut self.late)
+        let (due, rest) = std::mem::take(&mut self.delayed)
             .into_iter()
-            .partition::<Vec<_>, _>(|late| now >= late.at);
-        self.late = rest;
-        for late in due {
-            self.obey(&late.order);
+            .partition::<Vec<_>, _>(|delayed| now >= delayed.at);
+        self.delayed = rest;
+        for delayed in due {
+            self.execute(&delayed.order);
         }
     }
 
     /// Keeps the directory's past, which controllers see some hundred milliseconds late.
-    fn list(&mut self) {
+    fn publish_directory(&mut self) {
         let (now, lapsed) = (self.now, &self.lapsed);
         let is_lapsed = |id: &TargetId| lapsed.get(id).is_some_and(|until| now < *until);
         let alive = self.targets.iter().filter(|(_, target)| target.is_alive);
@@ -394,7 +394,7 @@
         }
     }
 
-    fn control(&mut self, index: usize) {
+    fn run_controller(&mut self, index: usize) {
         let age = self.rng.random_range(0..self.directory.len().min(8));
         let records = self.directory[self.directory.len() - 1 - age].1.clone();
         let now = self.now;
@@ -419,19 +419,19 @@
                 .tracker
                 .record_report(&id, report, false, &self.engine, now);
             if is_answer {
-                controller.keeper.note_report(&id);
+                controller.reconciler.note_report(&id);
             }
         }
         let orders = self.plan(index);
         for order in orders {
-            self.check_restarted(&order);
+            self.check_dissolution(&order);
             let result = self.send(&order, index);
             let controller = &mut self.controllers[index];
             if let TargetAction::Stage { model } = &order.action {
                 controller.loads.insert(order.target.clone(), model.clone());
             }
             controller.tracker.record_order_result(&order, result, now);
-            controller.keeper.note_result(&order.target, result);
+            controller.reconciler.note_result(&order.target, result);
         }
     }
 
@@ -445,18 +445,18 @@
             .iter()
             .map(|(id, tracked)| (id.clone(), tracked.facts_at(self.now)))
             .collect();
-        let layout = layout_of(self.asking, self.now.min(self.settled), &facts);
+        let layout = layout_of(self.demand, self.now.min(self.demand_fixed_at), &facts);
         let view = DomainView {
             targets: &facts,
             engine: &self.engine,
             layout: &layout,
             loading: &controller.loads,
-            load_budget: SIZE,
+            load_budget: GROUP_SIZE,
             joins_load: false,
             epoch_floor: self.now.as_millis() as Epoch,
         };
-        let orders = controller.keeper.plan(view, self.now);
-        for target in controller.keeper.take_doubtful() {
+        let orders = controller.reconciler.plan(view, self.now);
+        for target in controller.reconciler.take_doubtful() {
             controller.tracker.poll_now(&target, self.now);
         }
         orders
@@ -468,16 +468,16 @@
         address: &str,
         index: usize,
     ) -> std::result::Result<TargetReport, ReportError> {
-        let is_cut = self.controllers[index].cut.contains(id);
+        let is_unreachable = self.controllers[index].unreachable.contains(id);
         let target = self.at_address(address);
-        let Some(target) = target.filter(|_| !is_cut) else {
+        let Some(target) = target.filter(|_| !is_unreachable) else {
             return Err(ReportError::NoResponse);
         };
         let before = self.now - REPORT_LAG;
         let lagged = target.sequence_log.iter().rfind(|(at, _)| *at <= before);
         Ok(TargetReport {
             incarnation: target.incarnation,
-            membership: target.group.as_ref().map(|group| group.held.clone()),
+            membership: target.group.as_ref().map(|group| group.membership.clone()),
             model: target.group.as_ref().map(|group| group.model.clone()),
             staged: vec![target.staged.clone()],
             sequence: lagged.map_or(0, |(_, sequence)| *sequence),
@@ -488,18 +488,18 @@
     }
 
     fn send(&mut self, order: &TargetOrder, index: usize) -> OrderResult {
-        if self.controllers[index].cut.contains(&order.target) {
+        if self.controllers[index].unreachable.contains(&order.target) {
             return OrderResult::Lost;
         }
         if self.chance(0.1) {
             let delay = Duration::from_millis(self.rng.random_range(50..12_000));
-            self.late.push(LateOrder {
+            self.delayed.push(DelayedOrder {
                 at: self.now + delay,
                 order: order.clone(),
             });
             return OrderResult::Lost;
         }
-        let result = self.obey(order);
+        let result = self.execute(order);
         if self.chance(0.1) {
             return OrderResult::Lost;
         }
@@ -512,9 +512,9 @@
         alive.find(|target| target.address == address)
     }
 
-    fn obey(&mut self, order: &TargetOrder) -> OrderResult {
+    fn execute(&mut self, order: &TargetOrder) -> OrderResult {
         let now = self.now;
-        let serving = self.serving_head(&order.target);
+        let serving = self.serving_leader(&order.target);
         if !self.targets.contains_key(&order.target) {
             let address = &self.addresses[&order.target];
             return match self.at_address(address) {
@@ -544,10 +544,10 @@
                 let is_other = target
                     .group
                     .as_ref()
-                    .is_some_and(|held| held.held.group != *group);
-                if let (true, Some(head)) = (is_other, serving) {
-                    self.broken.push(format!(
-                        "{} joins {group} while {head} serves",
+                    .is_some_and(|joined| joined.membership.group != *group);
+                if let (true, Some(leader)) = (is_other, serving) {
+                    self.violations.push(format!(
+                        "{} joins {group} while {leader} serves",
                         order.target
                     ));
                 }
@@ -562,8 +562,8 @@
                 };
                 target.epoch_seen = *epoch;
                 target.last_model = Some(model.clone());
-                target.group = Some(HeldGroup {
-                    held: Membership {
+                target.group = Some(GroupState {
+                    membership: Membership {
                         group: group.clone(),
                         epoch: *epoch,
                         rank: members
@@ -585,10 +585,10 @@
                 let Some(held) = held.filter(|held| held.is(group, *epoch)) else {
                     return OrderResult::Conflict;
                 };
-                if held.held.rank != 0 || held.held.state != MembershipState::Ready {
+                if held.membership.rank != 0 || held.membership.state != MembershipState::Ready {
                     return OrderResult::Conflict;
                 }
-                held.held.state = MembershipState::Open;
+                held.membership.state = MembershipState::Open;
                 let unready: Vec<&TargetId> = held
                     .members
                     .iter()
@@ -598,7 +598,7 @@
                     })
                     .collect();
                 if !unready.is_empty() {
-                    self.broken
+                    self.violations
                         .push(format!("{group} opens before {unready:?} were ready"));
                 }
                 OrderResult::Begun
@@ -608,10 +608,10 @@
                 let Some(held) = held.filter(|held| held.is(group, *epoch)) else {
                     return OrderResult::Conflict;
                 };
-                if held.held.state != MembershipState::Open {
+                if held.membership.state != MembershipState::Open {
                     return OrderResult::Conflict;
                 }
-                held.held.state = MembershipState::Closing;
+                held.membership.state = MembershipState::Closing;
                 held.closed_at = Some(now + CLOSE_TIME);
                 OrderResult::Begun
             }
@@ -640,21 +640,24 @@
     }
 
     /// Returns the first member of a target's group, if it is open or stalled and not broken.
-    fn serving_head(&self, id: &TargetId) -> Option<TargetId> {
+    fn serving_leader(&self, id: &TargetId) -> Option<TargetId> {
         let held = self.targets.get(id)?.group.as_ref()?;
-        let head_id = held.members.first()?;
-        let head = self.targets.get(head_id).filter(|head| head.is_alive)?;
-        let group = head.group.as_ref()?;
-        let is_same = group.is(&held.held.group, held.held.epoch);
+        let leader_id = held.members.first()?;
+        let leader = self
+            .targets
+            .get(leader_id)
+            .filter(|leader| leader.is_alive)?;
+        let group = leader.group.as_ref()?;
+        let is_same = group.is(&held.membership.group, held.membership.epoch);
         let is_serving = matches!(
-            group.held.state,
+            group.membership.state,
             MembershipState::Open | MembershipState::Closing
         );
-        (is_same && is_serving).then(|| head_id.clone())
+        (is_same && is_serving).then(|| leader_id.clone())
     }
 
     /// Checks that a group is ended for the life of a member only if it has not the members that were chosen.
-    fn check_restarted(&mut self, order: &TargetOrder) {
+    fn check_dissolution(&mut self, order: &TargetOrder) {
         let (TargetAction::Leave { group, epoch }, "member_restarted") =
             (&order.action, order.reason)
         else {
@@ -667,48 +670,50 @@
                 .and_then(|target| target.group.as_ref());
             held.is_some_and(|held| held.is(group, *epoch))
         };
-        let head = self.targets.get(&order.target);
-        let members = head.and_then(|head| head.group.as_ref());
+        let leader = self.targets.get(&order.target);
+        let members = leader.and_then(|leader| leader.group.as_ref());
         if members.is_some_and(|held| held.members.iter().all(is_in)) {
-            self.ended_whole.push(group.clone());
+            self.wrongly_dissolved.push(group.clone());
         }
     }
 
     fn check_open_groups(&mut self) {
-        let open: Vec<&HeldGroup> = self
+        let open: Vec<&GroupState> = self
             .targets
             .values()
             .filter(|target| target.is_alive)
             .filter_map(|target| target.group.as_ref())
-            .filter(|group| group.held.state == MembershipState::Open && group.held.rank == 0)
+            .filter(|group| {
+                group.membership.state == MembershipState::Open && group.membership.rank == 0
+            })
             .filter(|group| group.stalled_since.is_none())
             .collect();
         for (index, group) in open.iter().enumerate() {
             for other in &open[index + 1..] {
                 if group.members.iter().any(|id| other.members.contains(id)) {
-                    let names = (&group.held.group, &other.held.group);
-                    self.broken.push(format!("{names:?} share a member"));
+                    let names = (&group.membership.group, &other.membership.group);
+                    self.violations.push(format!("{names:?} share a member"));
                 }
             }
         }
     }
 
-    fn whole_groups(&self) -> usize {
-        let heads = self.targets.values().filter(|target| target.is_alive);
-        heads
+    fn complete_groups(&self) -> usize {
+        let leaders = self.targets.values().filter(|target| target.is_alive);
+        leaders
             .filter_map(|target| target.group.as_ref())
             .filter(|group| {
-                group.held.rank == 0
-                    && group.held.state == MembershipState::Open
+                group.membership.rank == 0
+                    && group.membership.state == MembershipState::Open
                     && group.stalled_since.is_none()
             })
             .count()
     }
 }
 
-impl HeldGroup {
+impl GroupState {
     fn is(&self, group: &GroupId, epoch: Epoch) -> bool {
-        self.held.group == *group && self.held.epoch == epoch
+        self.membership.group == *group && self.membership.epoch == epoch
     }
 }
 
@@ -728,20 +733,20 @@
             .iter()
             .map(|group| group.model.clone())
             .collect(),
-        membership: target.group.as_ref().map(|group| group.held.clone()),
+        membership: target.group.as_ref().map(|group| group.membership.clone()),
     }
 }
 
 /// Returns what a domain should hold, by the targets that a controller counts on.
-fn layout_of(asking: Asking, now: Moment, facts: &IndexMap<TargetId, TargetFacts>) -> DomainLayout {
-    let (large, small) = match asking {
-        Asking::Steady => (TARGETS, 0),
-        Asking::Swinging => {
+fn layout_of(demand: Demand, now: Moment, facts: &IndexMap<TargetId, TargetFacts>) -> DomainLayout {
+    let (large, small) = match demand {
+        Demand::Steady => (TARGETS, 0),
+        Demand::Alternating => {
             let live = facts.values();
             let live = live.filter(|facts| facts.standing == TargetStanding::Live);
             let live = live.count();
-            let is_small_asked = (now.as_millis() / SWING.as_millis()) % 2 == 1;
-            let small = if is_small_asked { live / 4 * 2 } else { 0 };
+            let is_small_demanded = (now.as_millis() / DEMAND_INTERVAL.as_millis()) % 2 == 1;
+            let small = if is_small_demanded { live / 4 * 2 } else { 0 };
             (live - small, small)
         }
     };
@@ -752,55 +757,58 @@
     }
 }
 
-fn run(seed: u64, naming: Naming, asking: Asking) -> World {
-    let mut world = World::open(seed, naming, asking);
-    let end = world.now + FAULTY;
-    while world.now < end {
-        world.step();
+fn run(seed: u64, successor: Successor, demand: Demand) -> Simulation {
+    let mut simulation = Simulation::new(seed, successor, demand);
+    let end = simulation.now + FAULT_TIME;
+    while simulation.now < end {
+        simulation.step();
     }
-    world.is_faulty = false;
-    let end = world.now + CALM;
-    while world.now < end {
-        world.step();
+    simulation.is_faulty = false;
+    let end = simulation.now + RECOVERY_TIME;
+    while simulation.now < end {
+        simulation.step();
     }
-    world
+    simulation
 }
 
 /// What a run ended with.
 struct RunResult {
     seed: u64,
-    broken: Vec<String>,
-    ended_whole: Vec<GroupId>,
+    violations: Vec<String>,
+    wrongly_dissolved: Vec<GroupId>,
     groups: usize,
-    whole_sets: usize,
+    complete_sets: usize,
 }
 
 /// Seeds played; both checks read the same runs.
 const SEEDS: u64 = 300;
 
-static RUNS: LazyLock<Vec<RunResult>> = LazyLock::new(|| play(Naming::New, Asking::Steady));
-static RESTARTS: LazyLock<Vec<RunResult>> = LazyLock::new(|| play(Naming::Kept, Asking::Steady));
-static SWINGS: LazyLock<Vec<RunResult>> = LazyLock::new(|| play(Naming::Kept, Asking::Swinging));
+static NEW_ID_RUNS: LazyLock<Vec<RunResult>> =
+    LazyLock::new(|| run_seeds(Successor::NewId, Demand::Steady));
+static SAME_ID_RUNS: LazyLock<Vec<RunResult>> =
+    LazyLock::new(|| run_seeds(Successor::SameId, Demand::Steady));
+static ALTERNATING_RUNS: LazyLock<Vec<RunResult>> =
+    LazyLock::new(|| run_seeds(Successor::SameId, Demand::Alternating));
 
-static SUCCESSORS: LazyLock<Vec<RunResult>> =
-    LazyLock::new(|| play(Naming::NewAtAddress, Asking::Steady));
+static SAME_ADDRESS_RUNS: LazyLock<Vec<RunResult>> =
+    LazyLock::new(|| run_seeds(Successor::NewIdSameAddress, Demand::Steady));
 
-fn play(naming: Naming, asking: Asking) -> Vec<RunResult> {
+fn run_seeds(successor: Successor, demand: Demand) -> Vec<RunResult> {
     let runs = (0..SEEDS).map(|seed| {
-        let world = run(seed, naming, asking);
-        let live = world.targets.values().filter(|target| target.is_alive);
+        let simulation = run(seed, successor, demand);
+        let live = simulation.targets.values().filter(|target| target.is_alive);
         let live = live.count();
-        let whole_sets = match asking {
-            Asking::Steady => live / SIZE,
+        let complete_sets = match demand {
+            Demand::Steady => live / GROUP_SIZE,
             // Callers ask for both at the end.
-            Asking::Swinging => live / 4 + (live - live / 4 * 2) / SIZE,
+            Demand::Alternating => live / 4 + (live - live / 4 * 2) / GROUP_SIZE,
         };
         RunResult {
             seed,
-            groups: world.whole_groups(),
-            whole_sets,
-            broken: world.broken,
-            ended_whole: world.ended_whole,
+            groups: simulation.complete_groups(),
+            complete_sets,
+            violations: simulation.violations,
+            wrongly_dissolved: simulation.wrongly_dissolved,
         }
     });
     runs.collect()
@@ -813,9 +821,9 @@
 /// Seeds 10 and 28: an order to join, repeated on a newer condition, brought a target back into a
 /// group that it had been ordered out of.
 #[gtest]
-fn orders_on_old_knowledge_never_open_early_or_take_a_serving_member() {
-    for run in RUNS.iter() {
-        expect_that!(run.broken, is_empty(), "seed {}", run.seed);
+fn orders_based_on_outdated_state_never_open_early_or_take_a_serving_member() {
+    for run in NEW_ID_RUNS.iter() {
+        expect_that!(run.violations, is_empty(), "seed {}", run.seed);
     }
 }
 
@@ -824,9 +832,9 @@
 ///
 /// Seed 211: two controllers in step refused each other's orders to join for ever.
 #[gtest]
-fn every_whole_set_of_targets_serves_once_faults_stop() {
-    for run in RUNS.iter() {
-        expect_that!(run.groups, eq(run.whole_sets), "seed {}", run.seed);
+fn every_complete_set_of_targets_serves_after_faults_end() {
+    for run in NEW_ID_RUNS.iter() {
+        expect_that!(run.groups, eq(run.complete_sets), "seed {}", run.seed);
     }
 }
 
@@ -836,9 +844,9 @@
 /// Cause: the count of orders starts anew with each life, and the epoch of the new group was only one
 /// more than what the targets of the domain still knew.
 #[gtest]
-fn late_orders_to_an_earlier_life_never_open_early_or_take_a_serving_member() {
-    for run in RESTARTS.iter() {
-        expect_that!(run.broken, is_empty(), "seed {}", run.seed);
+fn delayed_orders_to_an_earlier_incarnation_never_open_early_or_take_a_serving_member() {
+    for run in SAME_ID_RUNS.iter() {
+        expect_that!(run.violations, is_empty(), "seed {}", run.seed);
     }
 }
 
@@ -846,52 +854,52 @@
 /// Events: it had begun more orders before its restart than it counts now.
 /// Cause: its reports passed for older ones than what was believed of it.
 #[gtest]
-fn every_whole_set_serves_though_targets_restart_under_their_names() {
-    for run in RESTARTS.iter() {
-        expect_that!(run.groups, eq(run.whole_sets), "seed {}", run.seed);
+fn every_complete_set_serves_after_targets_restart_under_the_same_id() {
+    for run in SAME_ID_RUNS.iter() {
+        expect_that!(run.groups, eq(run.complete_sets), "seed {}", run.seed);
     }
 }
 
 /// Guards against exchanges that take a member from a group which still serves, or open one early, while two
 /// controllers see the need at other moments, loads end late, and orders to close or leave are held up.
 #[gtest]
-fn exchanges_never_open_early_or_take_a_serving_member() {
-    for run in SWINGS.iter() {
-        expect_that!(run.broken, is_empty(), "seed {}", run.seed);
+fn rebalancing_never_opens_early_or_takes_a_serving_member() {
+    for run in ALTERNATING_RUNS.iter() {
+        expect_that!(run.violations, is_empty(), "seed {}", run.seed);
     }
 }
 
 /// Guards against targets that stay idle for ever after an exchange that was begun by one controller and seen
 /// by another.
 #[gtest]
-fn every_whole_set_serves_once_callers_ask_for_the_same_again() {
-    for run in SWINGS.iter() {
-        expect_that!(run.groups, eq(run.whole_sets), "seed {}", run.seed);
+fn every_complete_set_serves_after_the_demand_settles() {
+    for run in ALTERNATING_RUNS.iter() {
+        expect_that!(run.groups, eq(run.complete_sets), "seed {}", run.seed);
     }
 }
 
 /// Guards against a target that has ended and passes for live, since another one answers at its address: groups
 /// opened early, or members taken from one that serves.
 #[gtest]
-fn targets_at_the_addresses_of_ended_ones_are_never_taken_from_a_serving_group() {
-    for run in SUCCESSORS.iter() {
-        expect_that!(run.broken, is_empty(), "seed {}", run.seed);
+fn reused_addresses_never_open_early_or_take_a_serving_member() {
+    for run in SAME_ADDRESS_RUNS.iter() {
+        expect_that!(run.violations, is_empty(), "seed {}", run.seed);
     }
 }
 
 /// Guards against groups that are ended for a member whose place an ended target seems to have, by the report of
 /// the one that answers at its address.
 #[gtest]
-fn no_whole_group_is_ended_for_an_entry_of_an_ended_target() {
-    for run in SUCCESSORS.iter() {
-        expect_that!(run.ended_whole, is_empty(), "seed {}", run.seed);
+fn no_complete_group_is_dissolved_for_the_entry_of_an_ended_target() {
+    for run in SAME_ADDRESS_RUNS.iter() {
+        expect_that!(run.wrongly_dissolved, is_empty(), "seed {}", run.seed);
     }
 }
 
 /// Guards against targets that wait for ever in groups with one that has ended.
 #[gtest]
-fn every_whole_set_serves_though_targets_start_at_the_addresses_of_ended_ones() {
-    for run in SUCCESSORS.iter() {
-        expect_that!(run.groups, eq(run.whole_sets), "seed {}", run.seed);
+fn every_complete_set_serves_after_addresses_are_reused() {
+    for run in SAME_ADDRESS_RUNS.iter() {
+        expect_that!(run.groups, eq(run.complete_sets), "seed {}", run.seed);
     }
 }
--- a/crates/fleet/tests/gauge.rs
+++ b/crates/fleet/tests/gauge.rs
@@ -10,7 +10,7 @@
 /// gives the group its orders.
 /// Cause: a controller asked the members of groups only that it suspected itself.
 #[gtest]
-fn controllers_hear_of_silence_that_only_other_nodes_see() {
+fn suspicions_of_other_nodes_are_seen_but_not_forwarded() {
     let gauges = GaugeMap::default();
     let now = Duration::from_secs(10);
     let target = "t1".to_owned();
--- a/crates/fleet/tests/order_sender.rs
+++ b/crates/fleet/tests/order_sender.rs
@@ -13,20 +13,20 @@
 
 /// A target that says to each sending what it was told to say, and nothing to those after.
 struct ScriptedTarget {
-    answers: Mutex<VecDeque<OrderResult>>,
-    sendings: Mutex<usize>,
+    results: Mutex<VecDeque<OrderResult>>,
+    attempts: Mutex<usize>,
 }
 
 impl ScriptedTarget {
-    fn open(answers: impl IntoIterator<Item = OrderResult>) -> Self {
+    fn new(results: impl IntoIterator<Item = OrderResult>) -> Self {
         Self {
-            answers: Mutex::new(answers.into_iter().collect()),
-            sendings: Mutex::new(0),
+            results: Mutex::new(results.into_iter().collect()),
+            attempts: Mutex::new(0),
         }
     }
 
-    fn sendings(&self) -> usize {
-        *self.sendings.lock().unwrap_or_else(PoisonError::into_inner)
+    fn attempts(&self) -> usize {
+        *self.attempts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -56,10 +56,10 @@
         _: &'a TargetAction,
         _: Duration,
     ) -> BoxFuture<'a, OrderResult> {
-        let mut answers = self.answers.lock().unwrap_or_else(PoisonError::into_inner);
-        let answer = answers.pop_front().unwrap_or(OrderResult::Lost);
-        *self.sendings.lock().unwrap_or_else(PoisonError::into_inner) += 1;
-        Box::pin(async move { answer })
+        let mut results = self.results.lock().unwrap_or_else(PoisonError::into_inner);
+        let result = results.pop_front().unwrap_or(OrderResult::Lost);
+        *self.attempts.lock().unwrap_or_else(PoisonError::into_inner) += 1;
+        Box::pin(async move { result })
     }
 }
 
@@ -78,43 +78,43 @@
 
 /// Guards against groups that form seconds late because each lost answer is waited for in full.
 #[tokio::test]
-async fn an_order_that_is_not_answered_is_sent_again() {
-    let target = ScriptedTarget::open([OrderResult::Lost, OrderResult::Lost, OrderResult::Begun]);
+async fn an_order_without_a_response_is_resent() {
+    let target = ScriptedTarget::new([OrderResult::Lost, OrderResult::Lost, OrderResult::Begun]);
     let result = deliver(&target, &order(), "address").await;
     assert_that!(result, eq(OrderResult::Begun));
-    assert_that!(target.sendings(), eq(3));
+    assert_that!(target.attempts(), eq(3));
 }
 
 /// Guards against a group that is given up for a conflict with an order of its own.
 #[tokio::test]
-async fn a_conflict_after_a_lost_answer_leaves_the_outcome_open() {
-    let target = ScriptedTarget::open([OrderResult::Lost, OrderResult::Conflict]);
+async fn a_conflict_after_a_lost_response_leaves_the_result_unknown() {
+    let target = ScriptedTarget::new([OrderResult::Lost, OrderResult::Conflict]);
     let result = deliver(&target, &order(), "address").await;
     assert_that!(result, eq(OrderResult::Lost));
 }
 
 /// Guards against orders that are sent again though the target has answered.
 #[tokio::test]
-async fn an_answer_ends_the_sending() {
-    for answer in [
+async fn a_response_ends_the_attempts() {
+    for expected in [
         OrderResult::Begun,
         OrderResult::Held,
         OrderResult::Conflict,
         OrderResult::Gone,
         OrderResult::Refused,
     ] {
-        let target = ScriptedTarget::open([answer]);
+        let target = ScriptedTarget::new([expected]);
         let result = deliver(&target, &order(), "address").await;
-        assert_that!(result, eq(answer));
-        assert_that!(target.sendings(), eq(1));
+        assert_that!(result, eq(expected));
+        assert_that!(target.attempts(), eq(1));
     }
 }
 
 /// Guards against a target out of reach that is sent orders without end, or without a pause.
 #[tokio::test]
-async fn a_target_that_never_answers_is_sent_a_few() {
-    let target = ScriptedTarget::open([]);
+async fn an_unreachable_target_gets_a_limited_number_of_attempts() {
+    let target = ScriptedTarget::new([]);
     let result = deliver(&target, &order(), "address").await;
     assert_that!(result, eq(OrderResult::Lost));
-    assert_that!(target.sendings(), all![gt(1), le(5)]);
+    assert_that!(target.attempts(), all![gt(1), le(5)]);
 }
--- a/crates/fleet/tests/tracker.rs
+++ b/crates/fleet/tests/tracker.rs
@@ -50,19 +50,19 @@
 }
 
 /// A tracker of one target, and what time it is.
-struct TrackerStub {
+struct TrackerFixture {
     tracker: TargetTracker,
     now: Moment,
 }
 
-impl TrackerStub {
-    fn open() -> Self {
-        let mut stub = Self {
+impl TrackerFixture {
+    fn new() -> Self {
+        let mut fixture = Self {
             tracker: TargetTracker::default(),
             now: Duration::from_secs(100),
         };
-        stub.list(&record());
-        stub
+        fixture.list(&record());
+        fixture
     }
 
     fn list(&mut self, record: &TargetRecord) {
@@ -70,21 +70,21 @@
             .sync([record].into_iter(), std::iter::empty(), self.now);
     }
 
-    fn is_asked(&mut self) -> bool {
+    fn is_polled(&mut self) -> bool {
         !self.tracker.take_due(self.now).is_empty()
     }
 
     fn report(&mut self, sequence: u64) {
-        let told = Ok(report(sequence));
+        let report = Ok(report(sequence));
         self.tracker
-            .record_report(TARGET, told, false, &engine(), self.now);
+            .record_report(TARGET, report, false, &engine(), self.now);
     }
 
     /// Has the target asked after a while.
-    fn ask_later(&mut self, after: Duration) -> bool {
+    fn poll_after(&mut self, after: Duration) -> bool {
         self.now += after;
         self.tracker.poll_now(TARGET, self.now);
-        self.is_asked()
+        self.is_polled()
     }
 
     fn order(&mut self, result: OrderResult) {
@@ -108,49 +108,49 @@
 /// Guards against groups formed of a target that has ended, again and again, because the one at its address
 /// answers questions for it.
 #[gtest]
-fn a_target_whose_order_reached_another_one_is_not_counted_on() {
-    let mut stub = TrackerStub::open();
-    expect_true!(stub.is_asked());
-    stub.report(0);
-    expect_that!(stub.standing(), eq(TargetStanding::Live));
-    stub.order(OrderResult::Gone);
-    expect_that!(stub.standing(), eq(TargetStanding::Silent));
-    expect_false!(stub.ask_later(Duration::from_secs(10)));
+fn a_target_whose_order_reached_another_one_is_silent() {
+    let mut fixture = TrackerFixture::new();
+    expect_true!(fixture.is_polled());
+    fixture.report(0);
+    expect_that!(fixture.standing(), eq(TargetStanding::Live));
+    fixture.order(OrderResult::Gone);
+    expect_that!(fixture.standing(), eq(TargetStanding::Silent));
+    expect_false!(fixture.poll_after(Duration::from_secs(10)));
 }
 
 /// Guards against the same before any order has been sent: the count of a target never falls within its life.
 #[gtest]
-fn a_target_whose_count_of_orders_fell_is_not_counted_on() {
-    let mut stub = TrackerStub::open();
-    expect_true!(stub.is_asked());
-    stub.report(3);
-    expect_true!(stub.ask_later(Duration::from_secs(1)));
-    stub.report(0);
-    expect_that!(stub.standing(), eq(TargetStanding::Silent));
+fn a_target_whose_order_count_decreased_is_silent() {
+    let mut fixture = TrackerFixture::new();
+    expect_true!(fixture.is_polled());
+    fixture.report(3);
+    expect_true!(fixture.poll_after(Duration::from_secs(1)));
+    fixture.report(0);
+    expect_that!(fixture.standing(), eq(TargetStanding::Silent));
 }
 
 /// Guards against a live target that is given up for a report that lags behind the one before.
 #[gtest]
-fn a_count_that_lags_proves_nothing() {
-    let mut stub = TrackerStub::open();
-    expect_true!(stub.is_asked());
-    stub.report(3);
-    expect_true!(stub.ask_later(Duration::from_millis(100)));
-    stub.report(2);
-    expect_that!(stub.standing(), eq(TargetStanding::Live));
+fn a_lagging_order_count_does_not_make_a_target_silent() {
+    let mut fixture = TrackerFixture::new();
+    expect_true!(fixture.is_polled());
+    fixture.report(3);
+    expect_true!(fixture.poll_after(Duration::from_millis(100)));
+    fixture.report(2);
+    expect_that!(fixture.standing(), eq(TargetStanding::Live));
 }
 
 /// Guards against a live target that stays given up although it writes its entry.
 #[gtest]
-fn a_target_that_writes_its_entry_again_is_counted_on_again() {
-    let mut stub = TrackerStub::open();
-    expect_true!(stub.is_asked());
-    stub.report(0);
-    stub.order(OrderResult::Gone);
-    stub.list(&TargetRecord {
+fn a_replaced_target_that_writes_its_entry_is_live_again() {
+    let mut fixture = TrackerFixture::new();
+    expect_true!(fixture.is_polled());
+    fixture.report(0);
+    fixture.order(OrderResult::Gone);
+    fixture.list(&TargetRecord {
         slots: 2,
         ..record()
     });
-    expect_that!(stub.standing(), eq(TargetStanding::Live));
-    expect_true!(stub.ask_later(Duration::from_secs(1)));
+    expect_that!(fixture.standing(), eq(TargetStanding::Live));
+    expect_true!(fixture.poll_after(Duration::from_secs(1)));
 }
