--- a/crates/fleet/src/controller.rs
+++ b/crates/fleet/src/controller.rs
@@ -187,7 +187,7 @@
         &mut self,
         service: &ServiceSpec,
         records: &[&TargetRecord],
-        own: &IndexSet<DomainKey>,
+        own_domains: &IndexSet<DomainKey>,
         now: Moment,
         link: &ServiceLink<ControllerMessage>,
     ) {
@@ -198,10 +198,16 @@
             Some(current) if !current.is_due(now) => current,
             outdated => {
                 let records = of_service(records, &service.id);
-                self.plan_layouts(engine, &records, own, outdated.unwrap_or_default(), now)
+                self.plan_layouts(
+                    engine,
+                    &records,
+                    own_domains,
+                    outdated.unwrap_or_default(),
+                    now,
+                )
             }
         };
-        for key in own.iter().filter(|key| key.service == service.id) {
+        for key in own_domains.iter().filter(|key| key.service == service.id) {
             if let Some(layout) = layouts.of_domain(&key.domain) {
                 let budget = layouts.load_budget(engine, self.load_budget(engine));
                 self.plan_domain(key, engine, layout, budget, now, link);
@@ -215,12 +221,12 @@
         &mut self,
         engine: &EngineModel,
         records: &[&TargetRecord],
-        own: &IndexSet<DomainKey>,
+        own_domains: &IndexSet<DomainKey>,
         previous: ServiceLayouts,
         now: Moment,
     ) -> ServiceLayouts {
-        let items = self.inventory_items(records, own);
-        let is_own = |domain: &DomainId| own.iter().any(|key| key.domain == *domain);
+        let items = self.inventory_items(records, own_domains);
+        let is_own = |domain: &DomainId| own_domains.iter().any(|key| key.domain == *domain);
         let inventory = inventory_of(engine, &domains_of(records), &items, is_own);
         let demand = self.demand(now);
         let is_first_start = self.is_first_start();
@@ -249,12 +255,12 @@
     fn inventory_items<'a>(
         &'a self,
         records: &[&'a TargetRecord],
-        own: &IndexSet<DomainKey>,
+        own_domains: &IndexSet<DomainKey>,
     ) -> Vec<InventoryItem<'a>> {
         let remaining = records.iter().filter(|record| !record.is_draining);
         let items = remaining.filter_map(|record| {
             let listed = InventoryItem::from(*record);
-            if !own.iter().any(|key| key.contains(record)) {
+            if !own_domains.iter().any(|key| key.contains(record)) {
                 return Some(listed);
             }
             let facts = &self.tracker.targets().get(&record.id)?.facts;
@@ -287,14 +293,17 @@
         has_traffic || now >= self.target_count.1 + LISTING_QUIET_TIME
     }
 
-    fn update_reconcilers(&mut self, own: &IndexSet<DomainKey>) {
-        let lost = self.reconcilers.keys().filter(|key| !own.contains(*key));
+    fn update_reconcilers(&mut self, own_domains: &IndexSet<DomainKey>) {
+        let lost = self
+            .reconcilers
+            .keys()
+            .filter(|key| !own_domains.contains(*key));
         for key in lost {
             log::info!(domain = key.domain.as_str(); "domain_left");
         }
-        self.reconcilers.retain(|key, _| own.contains(key));
-        self.counts.retain(|key, _| own.contains(key));
-        for key in own {
+        self.reconcilers.retain(|key, _| own_domains.contains(key));
+        self.counts.retain(|key, _| own_domains.contains(key));
+        for key in own_domains {
             if !self.reconcilers.contains_key(key) {
                 log::info!(domain = key.domain.as_str(); "domain_taken");
                 let hash = xxh3_64(format!("{}\u{0}{}", key.service, key.domain).as_bytes()) as u16;
@@ -422,10 +431,10 @@
             // Before the first request, nothing else needs the weight store.
             return usize::MAX;
         }
-        let elsewhere = self.shared.elsewhere.read().all_loading();
-        let own: u32 = self.shared.loading.read().values().sum();
+        let remote = self.shared.elsewhere.read().all_loading();
+        let local: u32 = self.shared.loading.read().values().sum();
         let limit = engine.loads_at_once + EXTRA_LOADS;
-        limit.saturating_sub((own + elsewhere) as usize)
+        limit.saturating_sub((local + remote) as usize)
     }
 
     /// Publishes the number of loads in progress in this node's domains, by model.
@@ -435,8 +444,9 @@
         let live = tracked.filter(|tracked| tracked.facts.standing != TargetStanding::Silent);
         for tracked in live {
             let facts = &tracked.facts;
-            let held = facts.membership.as_ref();
-            let is_joining = held.is_some_and(|held| held.state == MembershipState::Joining);
+            let membership = facts.membership.as_ref();
+            let is_joining =
+                membership.is_some_and(|membership| membership.state == MembershipState::Joining);
             let joined = facts.model.as_ref().filter(|_| is_joining);
             let model = joined.or(self.loading_models.get(&tracked.record.id));
             if let Some(model) = model.filter(|model| !facts.staged.contains(*model)) {
@@ -596,13 +606,13 @@
 
     fn dump(&self) -> Value {
         let targets = self.tracker.targets().iter().map(|(id, tracked)| {
-            let held = tracked.facts.membership.as_ref();
+            let membership = tracked.facts.membership.as_ref();
             json!({
                 "target": id,
                 "domain": tracked.record.domain,
-                "group": held.map(|held| &held.group),
-                "rank": held.map(|held| held.rank),
-                "state": held.map(|held| format!("{:?}", held.state)),
+                "group": membership.map(|membership| &membership.group),
+                "rank": membership.map(|membership| membership.rank),
+                "state": membership.map(|membership| format!("{:?}", membership.state)),
                 "standing": format!("{:?}", tracked.facts.standing),
                 "staged": tracked.facts.staged,
                 "sequence": tracked.facts.sequence,
--- a/crates/fleet/src/domain_counts.rs
+++ b/crates/fleet/src/domain_counts.rs
@@ -32,7 +32,8 @@
                 TargetStanding::Unlisted => counts.unlisted += 1,
             }
             let membership = facts.membership.as_ref();
-            let is_open = membership.is_some_and(|held| held.state == MembershipState::Open);
+            let is_open =
+                membership.is_some_and(|membership| membership.state == MembershipState::Open);
             if let Some(model) = facts.model.as_ref().filter(|_| is_open) {
                 *counts.open.entry(model.clone()).or_insert(0) += 1;
             }
--- a/crates/fleet/src/domains.rs
+++ b/crates/fleet/src/domains.rs
@@ -21,8 +21,8 @@
 impl<'a> InventoryItem<'a> {
     /// Returns the model that the target can serve next, if the engine has it.
     fn next_model(&self, engine: &EngineModel) -> Option<&'a ModelId> {
-        let held = self.weights.next_model()?;
-        engine.models.contains_key(held).then_some(held)
+        let model = self.weights.next_model()?;
+        engine.models.contains_key(model).then_some(model)
     }
 }
 
--- a/crates/fleet/src/fleet_suspect_host.rs
+++ b/crates/fleet/src/fleet_suspect_host.rs
@@ -60,10 +60,10 @@
         })
     }
 
-    fn is_listed(&self, life: &TargetLife) -> bool {
+    fn is_listed(&self, target: &TargetLife) -> bool {
         let directory = self.directory.load();
-        let record = directory.book.targets().get(&life.target);
-        record.is_some_and(|record| record.incarnation == life.incarnation)
+        let record = directory.book.targets().get(&target.target);
+        record.is_some_and(|record| record.incarnation == target.incarnation)
     }
 
     fn end_count(&self) -> EndCount {
--- a/crates/fleet/src/order_sender.rs
+++ b/crates/fleet/src/order_sender.rs
@@ -34,7 +34,7 @@
             ATTEMPT_TIMEOUT,
         );
         match attempt.await {
-            // The conflict may be with an earlier attempt that took effect; the target's report will tell.
+            // The conflict may be with an earlier attempt that took effect, as the target's next report will show.
             OrderResult::Conflict if is_resent => return OrderResult::Lost,
             OrderResult::Lost if last_attempt + ATTEMPT_TIMEOUT * 2 <= end => is_resent = true,
             result => return result,
--- a/crates/fleet/src/ports.rs
+++ b/crates/fleet/src/ports.rs
@@ -180,7 +180,7 @@
 /// State that a target reports about itself.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TargetReport {
-    /// Incarnation that reports; zero if the target does not tell.
+    /// Incarnation that reports; zero if the target does not report it.
     pub incarnation: Incarnation,
     /// Membership in a group.
     pub membership: Option<Membership>,
@@ -295,7 +295,7 @@
     pub last_event: Option<&'a str>,
 }
 
-/// What the head of a target's response tells about the request.
+/// What the head of a target's response says about the request.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ResponseInfo {
     /// Attempt that the response belongs to, according to the target.
@@ -322,7 +322,7 @@
     fn parse_request(&self, head: &Parts) -> CallerRequest;
 
     /// Returns the headers of the request to a target.
-    fn target_headers(&self, head: &HeaderMap, mark: TargetRequestInfo<'_>) -> HeaderMap;
+    fn target_headers(&self, head: &HeaderMap, info: TargetRequestInfo<'_>) -> HeaderMap;
 
     /// Parses the head of a target's response.
     fn parse_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseInfo;
--- a/crates/fleet/src/routing_table.rs
+++ b/crates/fleet/src/routing_table.rs
@@ -18,7 +18,7 @@
 pub struct RouteTarget {
     /// Target that has to run the request.
     pub id: TargetId,
-    /// Incarnation under that id; zero if the target does not tell.
+    /// Incarnation under that id; zero if the target does not report it.
     pub incarnation: Incarnation,
     /// Address of its listener.
     pub address: String,
@@ -57,7 +57,7 @@
 impl RoutingTable {
     /// Builds a new table.
     ///
-    /// The previous one tells which groups have been complete, so that they stay routable while a member's
+    /// The previous one shows which groups have been complete, so that they stay routable while a member's
     /// directory entry is missing.
     pub fn build(
         book: &TrafficBook,
--- a/crates/fleet/src/tracker.rs
+++ b/crates/fleet/src/tracker.rs
@@ -238,7 +238,11 @@
         }
         let facts = &mut tracked.facts;
         let is_leave = matches!(order.action, TargetAction::Leave { .. });
-        let was_member = facts.membership.as_ref().map(|held| &held.group) == order.action.group();
+        let was_member = facts
+            .membership
+            .as_ref()
+            .map(|membership| &membership.group)
+            == order.action.group();
         // An order to leave is complete when it is acknowledged, so targets respond with `Held` instead of
         // `Begun`.
         let has_taken_effect =
@@ -280,8 +284,8 @@
         if is_recent && report.sequence < facts.sequence {
             return;
         }
-        if let Some(held) = &report.membership {
-            facts.epoch_seen = facts.epoch_seen.max(held.epoch);
+        if let Some(membership) = &report.membership {
+            facts.epoch_seen = facts.epoch_seen.max(membership.epoch);
         }
         if facts.staged != report.staged {
             let models = report.staged.join(",");
@@ -341,7 +345,7 @@
             .facts
             .membership
             .as_ref()
-            .is_some_and(|held| held.state == MembershipState::Joining);
+            .is_some_and(|membership| membership.state == MembershipState::Joining);
         if !is_joining {
             self.joining_since = None;
             let interval = if self.is_listed {
--- a/crates/fleet/tests/assembly.rs
+++ b/crates/fleet/tests/assembly.rs
@@ -323,7 +323,7 @@
                 let membership = target.group.as_ref().map(|group| &group.membership);
                 (
                     id.clone(),
-                    membership.map(|held| (held.group.clone(), held.epoch)),
+                    membership.map(|membership| (membership.group.clone(), membership.epoch)),
                 )
             })
             .collect();
@@ -351,7 +351,7 @@
             let is_complete = group.members.iter().all(|member| {
                 standing
                     .iter()
-                    .any(|(other, held)| other == member && held.as_ref() == Some(&key))
+                    .any(|(other, joined)| other == member && joined.as_ref() == Some(&key))
             });
             if is_complete {
                 group.stalled_since = None;
@@ -581,15 +581,16 @@
                 OrderResult::Begun
             }
             TargetAction::Open { group, epoch } => {
-                let held = target.group.as_mut();
-                let Some(held) = held.filter(|held| held.is(group, *epoch)) else {
+                let joined = target.group.as_mut();
+                let Some(joined) = joined.filter(|joined| joined.is(group, *epoch)) else {
                     return OrderResult::Conflict;
                 };
-                if held.membership.rank != 0 || held.membership.state != MembershipState::Ready {
+                if joined.membership.rank != 0 || joined.membership.state != MembershipState::Ready
+                {
                     return OrderResult::Conflict;
                 }
-                held.membership.state = MembershipState::Open;
-                let unready: Vec<&TargetId> = held
+                joined.membership.state = MembershipState::Open;
+                let unready: Vec<&TargetId> = joined
                     .members
                     .iter()
                     .filter(|id| {
@@ -604,22 +605,22 @@
                 OrderResult::Begun
             }
             TargetAction::Close { group, epoch } => {
-                let held = target.group.as_mut();
-                let Some(held) = held.filter(|held| held.is(group, *epoch)) else {
+                let joined = target.group.as_mut();
+                let Some(joined) = joined.filter(|joined| joined.is(group, *epoch)) else {
                     return OrderResult::Conflict;
                 };
-                if held.membership.state != MembershipState::Open {
+                if joined.membership.state != MembershipState::Open {
                     return OrderResult::Conflict;
                 }
-                held.membership.state = MembershipState::Closing;
-                held.closed_at = Some(now + CLOSE_TIME);
+                joined.membership.state = MembershipState::Closing;
+                joined.closed_at = Some(now + CLOSE_TIME);
                 OrderResult::Begun
             }
             TargetAction::Leave { group, epoch } => {
                 let is_in = target
                     .group
                     .as_ref()
-                    .is_some_and(|held| held.is(group, *epoch));
+                    .is_some_and(|joined| joined.is(group, *epoch));
                 if !is_in {
                     return OrderResult::Held;
                 }
@@ -641,14 +642,14 @@
 
     /// Returns the leader of a target's group if the group is open or closing, even if it is stalled.
     fn serving_leader(&self, id: &TargetId) -> Option<TargetId> {
-        let held = self.targets.get(id)?.group.as_ref()?;
-        let leader_id = held.members.first()?;
+        let joined = self.targets.get(id)?.group.as_ref()?;
+        let leader_id = joined.members.first()?;
         let leader = self
             .targets
             .get(leader_id)
             .filter(|leader| leader.is_alive)?;
         let group = leader.group.as_ref()?;
-        let is_same = group.is(&held.membership.group, held.membership.epoch);
+        let is_same = group.is(&joined.membership.group, joined.membership.epoch);
         let is_serving = matches!(
             group.membership.state,
             MembershipState::Open | MembershipState::Closing
@@ -665,15 +666,15 @@
             return;
         };
         let is_in = |id: &TargetId| {
-            let held = self
+            let joined = self
                 .targets
                 .get(id)
                 .and_then(|target| target.group.as_ref());
-            held.is_some_and(|held| held.is(group, *epoch))
+            joined.is_some_and(|joined| joined.is(group, *epoch))
         };
         let leader = self.targets.get(&order.target);
         let members = leader.and_then(|leader| leader.group.as_ref());
-        if members.is_some_and(|held| held.members.iter().all(is_in)) {
+        if members.is_some_and(|joined| joined.members.iter().all(is_in)) {
             self.wrongly_dissolved.push(group.clone());
         }
     }
