--- a/crates/fleet/src/controller.rs
+++ b/crates/fleet/src/controller.rs
@@ -62,12 +62,15 @@
     tracker: TargetTracker,
     reconcilers: IndexMap<DomainKey, DomainKeeper>,
     counts: IndexMap<DomainKey, DomainCounts>,
+    /// Model whose weights a target was last ordered to load.
     loading_models: IndexMap<TargetId, ModelId>,
     layouts: IndexMap<ServiceId, ServiceLayouts>,
     trend: DemandTrend,
+    /// Suspected targets as of the previous round.
     known_suspects: IndexSet<TargetId>,
     scope: Option<Arc<ControlScope>>,
     started_at: Moment,
+    /// Number of listed targets, and when it last changed.
     target_count: (usize, Moment),
     supply_logged_at: Moment,
 }
@@ -117,17 +120,17 @@
 
     fn round(&mut self, link: &ServiceLink<ControllerMessage>) {
         let now = link.now();
-        let book = self.shared.book.load();
+        let config = self.shared.book.load();
         let directory = self.shared.directory.load();
         let is_discovery_over = now >= self.started_at + DISCOVERY_TIME;
-        let Some(book) = book
+        let Some(config) = config
             .as_ref()
             .as_ref()
             .filter(|_| directory.is_listed && is_discovery_over)
         else {
             return;
         };
-        let scope = self.scope(book, &directory);
+        let scope = self.scope(config, &directory);
         self.update_reconcilers(&scope.own_domains);
         let listed = scope.own_targets.iter().map(Arc::as_ref);
         let unlisted = scope.unlisted_members.iter().map(Arc::as_ref);
@@ -146,7 +149,7 @@
         if !is_listing_complete || scope.own_domains.is_empty() {
             return;
         }
-        let services = book.services.values();
+        let services = config.services.values();
         let services = services.filter(|service| service.engine.is_some());
         let records: Vec<&TargetRecord> = scope.engine_targets.iter().map(Arc::as_ref).collect();
         let is_log_due = now >= self.supply_logged_at + SUPPLY_LOG_INTERVAL;
@@ -164,9 +167,9 @@
     /// Returns this node's scope, which is only recalculated if its inputs have changed.
     ///
     /// Rounds run twenty times a second on every node, but only a few nodes control a domain.
-    fn scope(&mut self, book: &TrafficBook, directory: &Arc<DirectoryView>) -> Arc<ControlScope> {
+    fn scope(&mut self, config: &TrafficBook, directory: &Arc<DirectoryView>) -> Arc<ControlScope> {
         let inputs = ScopeInputs {
-            version: book.version,
+            version: config.version,
             directory: Arc::clone(directory),
             live: self.shared.live.load(),
         };
@@ -177,7 +180,7 @@
         {
             return Arc::clone(scope);
         }
-        let scope = Arc::new(ControlScope::new(book, inputs));
+        let scope = Arc::new(ControlScope::new(config, inputs));
         self.scope = Some(Arc::clone(&scope));
         scope
     }
@@ -499,8 +502,8 @@
         is_late: bool,
         now: Moment,
     ) {
-        let book = self.shared.book.load();
-        let Some(book) = book.as_ref() else {
+        let config = self.shared.book.load();
+        let Some(config) = config.as_ref() else {
             return;
         };
         let service = self
@@ -509,7 +512,7 @@
             .get(target)
             .map(|tracked| tracked.record.service.clone());
         let engine = service
-            .and_then(|service| book.services.get(&service))
+            .and_then(|service| config.services.get(&service))
             .and_then(|service| service.engine.as_ref());
         let Some(engine) = engine else {
             return;
--- a/crates/fleet/src/job.rs
+++ b/crates/fleet/src/job.rs
@@ -53,8 +53,8 @@
 impl RequestJob {
     /// Returns the engine that the service runs on, if any.
     pub fn engine(&self) -> Option<&EngineModel> {
-        let book = self.config.as_ref().as_ref()?;
-        book.services.get(&self.service)?.engine.as_ref()
+        let config = self.config.as_ref().as_ref()?;
+        config.services.get(&self.service)?.engine.as_ref()
     }
 
     /// Returns the request for a slot at one of the service's targets, excluding those already tried.
--- a/crates/fleet/src/routing_table.rs
+++ b/crates/fleet/src/routing_table.rs
@@ -60,14 +60,14 @@
     /// The previous one shows which groups have been complete, so that they stay routable while a member's
     /// directory entry is missing.
     pub fn build(
-        book: &TrafficBook,
+        config: &TrafficBook,
         targets: &TargetBook,
         previous: &Self,
         gauges: &GaugeMap,
     ) -> Self {
         let mut table = Self::default();
         let unlisted = unlisted_members(targets, previous);
-        for service in book.services.values() {
+        for service in config.services.values() {
             let of_service = targets
                 .targets()
                 .values()
--- a/crates/fleet/src/scope.rs
+++ b/crates/fleet/src/scope.rs
@@ -58,13 +58,13 @@
     /// Nodes in a domain's own zone come first, because a zone that is cut off from the others has to repair
     /// its groups by itself. If two nodes control the same domain for a while, the condition on each order lets
     /// targets obey only one of them.
-    pub fn new(book: &TrafficBook, inputs: ScopeInputs) -> Self {
+    pub fn new(config: &TrafficBook, inputs: ScopeInputs) -> Self {
         let ScopeInputs {
             directory, live, ..
         } = &inputs;
         let mut engine_targets = Vec::new();
         let mut own_domains = IndexSet::new();
-        for service in book
+        for service in config
             .services
             .values()
             .filter(|service| service.engine.is_some())
--- a/crates/fleet/src/tracker.rs
+++ b/crates/fleet/src/tracker.rs
@@ -50,10 +50,12 @@
     next_poll: Moment,
     last_poll: Moment,
     joining_since: Option<Moment>,
+    /// When it last acknowledged an order.
     acknowledged_at: Moment,
     reported_at: Option<Moment>,
     /// Highest number of orders that the target has reported, and when it first did so.
     highest_count: (u64, Moment),
+    /// Whether another target was found at its address.
     is_replaced: bool,
 }
 
--- a/crates/fleet/tests/assembly.rs
+++ b/crates/fleet/tests/assembly.rs
@@ -114,8 +114,8 @@
 struct Controller {
     tracker: TargetTracker,
     reconciler: DomainKeeper,
-    book: TargetBook,
-    loads: IndexMap<TargetId, ModelId>,
+    cache: TargetBook,
+    loading_models: IndexMap<TargetId, ModelId>,
     unreachable: Vec<TargetId>,
 }
 
@@ -170,8 +170,8 @@
         let controllers = ["a", "b"].map(|name| Controller {
             tracker: TargetTracker::default(),
             reconciler: DomainKeeper::open(format!("{name}-{seed}")),
-            book: TargetBook::default(),
-            loads: IndexMap::new(),
+            cache: TargetBook::default(),
+            loading_models: IndexMap::new(),
             unreachable: Vec::new(),
         });
         let mut simulation = Self {
@@ -403,11 +403,11 @@
             let listed = records
                 .into_iter()
                 .map(|record| TargetChange::Put(Box::new(record)));
-            controller.book.replace(listed.collect(), None);
-            controller.book.expire(now);
-            controller.book.forget_ended();
-            let listed = controller.book.targets().values().map(AsRef::as_ref);
-            let unlisted = controller.book.unlisted().values().map(AsRef::as_ref);
+            controller.cache.replace(listed.collect(), None);
+            controller.cache.expire(now);
+            controller.cache.forget_ended();
+            let listed = controller.cache.targets().values().map(AsRef::as_ref);
+            let unlisted = controller.cache.unlisted().values().map(AsRef::as_ref);
             controller.tracker.sync(listed, unlisted, now);
             controller.tracker.take_due(now)
         };
@@ -428,7 +428,9 @@
             let result = self.send(&order, index);
             let controller = &mut self.controllers[index];
             if let TargetAction::Stage { model } = &order.action {
-                controller.loads.insert(order.target.clone(), model.clone());
+                controller
+                    .loading_models
+                    .insert(order.target.clone(), model.clone());
             }
             controller.tracker.record_order_result(&order, result, now);
             controller.reconciler.note_result(&order.target, result);
@@ -450,7 +452,7 @@
             targets: &facts,
             engine: &self.engine,
             layout: &layout,
-            loading: &controller.loads,
+            loading: &controller.loading_models,
             load_budget: GROUP_SIZE,
             joins_load: false,
             epoch_floor: self.now.as_millis() as Epoch,
