--- a/crates/fleet/src/domains.rs
+++ b/crates/fleet/src/domains.rs
@@ -1,4 +1,4 @@
-//! The fabric domains that a list of targets makes up, and what each of them holds.
+//! The fabric domains of a list of targets, and the inventory of each.
 
 use briarswitch_core::assembly::HeldWeights;
 use briarswitch_core::engine::EngineSpec;
@@ -7,9 +7,9 @@
 use briarswitch_core::target::TargetRecord;
 use indexmap::IndexMap;
 
-/// One target that can be counted on, as the directory or its own report tells of it.
+/// The weights of one available target, by the directory or by its own report.
 #[derive(Clone, Copy, Debug)]
-pub struct StockItem<'a> {
+pub struct InventoryItem<'a> {
     /// Domain.
     pub domain: &'a DomainId,
     /// Zone.
@@ -18,15 +18,15 @@
     pub weights: HeldWeights<'a>,
 }
 
-impl<'a> StockItem<'a> {
-    /// Returns the model that the target can serve next.
-    fn held(&self, engine: &EngineSpec) -> Option<&'a ModelId> {
-        let held = self.weights.next_model()?;
-        engine.models.contains_key(held).then_some(held)
+impl<'a> InventoryItem<'a> {
+    /// Returns the model that the target can serve next, if the engine has it.
+    fn next_model(&self, engine: &EngineSpec) -> Option<&'a ModelId> {
+        let model = self.weights.next_model()?;
+        engine.models.contains_key(model).then_some(model)
     }
 }
 
-impl<'a> From<&'a TargetRecord> for StockItem<'a> {
+impl<'a> From<&'a TargetRecord> for InventoryItem<'a> {
     fn from(record: &'a TargetRecord) -> Self {
         Self {
             domain: &record.domain,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Returns the domains with the zone of most of their targets.
+/// Returns the domains in order of their names, each with the zone that most of its targets are in.
 pub fn domains_of<'a>(records: &[&'a TargetRecord]) -> IndexMap<&'a DomainId, &'a ZoneId> {
     let mut counts: IndexMap<&DomainId, IndexMap<&ZoneId, usize>> = IndexMap::new();
     for record in records {
@@ -57,31 +57,31 @@
     domains
 }
 
-/// Returns what each domain holds, in an order that all controllers agree on.
-pub fn stock_of(
+/// Returns the inventory of each domain, in the same order on all controllers.
+pub fn inventory_of(
     engine: &EngineSpec,
     domains: &IndexMap<&DomainId, &ZoneId>,
-    items: &[StockItem<'_>],
+    items: &[InventoryItem<'_>],
     is_own: impl Fn(&DomainId) -> bool,
 ) -> Vec<DomainInventory> {
-    let stock = domains.iter().map(|(domain, zone)| {
-        let stock = DomainInventory {
+    let inventories = domains.iter().map(|(domain, zone)| {
+        let inventory = DomainInventory {
             domain: (*domain).clone(),
             zone: (*zone).clone(),
             reports_loads: is_own(domain),
             ..DomainInventory::default()
         };
-        (*domain, stock)
+        (*domain, inventory)
     });
-    let mut stock: IndexMap<&DomainId, DomainInventory> = stock.collect();
+    let mut inventories: IndexMap<&DomainId, DomainInventory> = inventories.collect();
     for item in items {
-        let Some(stock) = stock.get_mut(item.domain) else {
+        let Some(inventory) = inventories.get_mut(item.domain) else {
             continue;
         };
-        match item.held(engine) {
-            Some(model) => *stock.holders.entry(model.clone()).or_insert(0) += 1,
-            None => stock.empty += 1,
+        match item.next_model(engine) {
+            Some(model) => *inventory.holders.entry(model.clone()).or_insert(0) += 1,
+            None => inventory.empty += 1,
         }
     }
-    stock.into_values().collect()
+    inventories.into_values().collect()
 }
--- a/crates/fleet/src/supply.rs
+++ b/crates/fleet/src/supply.rs
@@ -1,34 +1,34 @@
-//! How many places each model has, how many are taken, and how many its callers would fill.
+//! Supply and demand of each model.
 
 use briarswitch_core::engine::EngineSpec;
 use briarswitch_core::id::{ModelId, Moment};
 use briarswitch_core::traffic::ServiceSpec;
 use indexmap::IndexMap;
 
-use crate::table::TargetTable;
+use crate::routing_table::RoutingTable;
 
-/// What one model has and is asked for.
+/// Supply and demand of one model.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ModelSupply {
-    /// Groups that take requests.
+    /// Groups that accept requests.
     pub groups: usize,
-    /// Requests that they work on at once.
-    pub places: u32,
-    /// Requests at work there, as far as this node knows.
-    pub at_work: u32,
-    /// Groups that the callers' requests would fill.
-    pub wanted: f64,
+    /// Number of requests that these groups process concurrently.
+    pub slots: u32,
+    /// Requests at these groups, as far as this node knows.
+    pub running_requests: u32,
+    /// Demand, in groups.
+    pub demanded_groups: f64,
 }
 
-/// Returns what the models of an engine have and are asked for.
+/// Returns supply and demand of each model of an engine.
 ///
 /// ```
 /// use std::time::Duration;
 ///
 /// use briarswitch_core::engine::{EngineSpec, ModelSpec};
 /// use briarswitch_core::traffic::ServiceSpec;
-/// use briarswitch_fleet::supply::supplies;
-/// use briarswitch_fleet::table::TargetTable;
+/// use briarswitch_fleet::routing_table::RoutingTable;
+/// use briarswitch_fleet::supply::model_supplies;
 /// use indexmap::IndexMap;
 ///
 /// let models = IndexMap::from([("chat".to_owned(), ModelSpec::default())]);
@@ -36,14 +36,14 @@
 /// let service = ServiceSpec { id: "chat".to_owned(), max_connections: 9, engine: None };
 /// let demand = IndexMap::from([("chat".to_owned(), 2.5)]);
 /// let now = Duration::ZERO;
-/// let supplies = supplies(&service, &engine, &TargetTable::default(), &demand, now);
+/// let supplies = model_supplies(&service, &engine, &RoutingTable::default(), &demand, now);
 /// assert_eq!(supplies["chat"].groups, 0);
-/// assert_eq!(supplies["chat"].wanted, 2.5);
+/// assert_eq!(supplies["chat"].demanded_groups, 2.5);
 /// ```
-pub fn supplies(
+pub fn model_supplies(
     service: &ServiceSpec,
     engine: &EngineSpec,
-    table: &TargetTable,
+    table: &RoutingTable,
     demand: &IndexMap<ModelId, f64>,
     now: Moment,
 ) -> IndexMap<ModelId, ModelSupply> {
@@ -51,9 +51,12 @@
         let groups = table.groups(&service.id, model);
         let supply = ModelSupply {
             groups: groups.len(),
-            places: engine.slots * u32::try_from(groups.len()).unwrap_or(u32::MAX),
-            at_work: groups.iter().map(|group| group.gauge.load_at(now)).sum(),
-            wanted: demand.get(model).copied().unwrap_or_default(),
+            slots: engine.slots * u32::try_from(groups.len()).unwrap_or(u32::MAX),
+            running_requests: groups
+                .iter()
+                .map(|group| group.gauge.estimated_load(now))
+                .sum(),
+            demanded_groups: demand.get(model).copied().unwrap_or_default(),
         };
         (model.clone(), supply)
     });
@@ -61,18 +64,18 @@
 }
 
 impl ModelSupply {
-    /// Writes it to the log.
+    /// Logs supply and demand.
     ///
-    /// While callers wait, places that are all taken mean that groups are missing, and free ones that
-    /// requests do not find them.
+    /// If requests are waiting while all slots are taken, there are too few groups. If requests are waiting
+    /// while slots are free, the fault is in the assignment of requests.
     pub fn log(&self, service: &str, model: &str) {
         log::info!(
             service = service,
             model = model,
             groups = self.groups,
-            places = self.places,
-            at_work = self.at_work,
-            wanted = format!("{:.1}", self.wanted).as_str();
+            places = self.slots,
+            at_work = self.running_requests,
+            wanted = format!("{:.1}", self.demanded_groups).as_str();
             "model_supply"
         );
     }
--- a/crates/fleet/src/suspicion.rs
+++ b/crates/fleet/src/suspicion.rs
@@ -8,7 +8,7 @@
 
 use crate::job::RequestJob;
 use crate::peers::{PeerMessage, SilentTarget};
-use crate::table::RouteTarget;
+use crate::routing_table::RouteTarget;
 
 /// Least time without an answer after which a request that may be repeated is sent elsewhere.
 const LEAST_PATIENCE: Duration = Duration::from_millis(500);
@@ -31,11 +31,11 @@
     };
     let gauge = &target.gauge;
     let work = GroupActivity {
-        active_requests: gauge.writers(),
-        local_requests: gauge.own(),
-        prefill_requests: gauge.unread_requests(),
-        prefill_tokens: gauge.unread(),
-        max_interval: gauge.interval(),
+        active_requests: gauge.active_requests(),
+        local_requests: gauge.local_requests(),
+        prefill_requests: gauge.prefill_requests(),
+        prefill_tokens: gauge.prefill_tokens(),
+        max_interval: gauge.max_activity_gap(),
     };
     silence_limit(engine, model, &work)
 }
@@ -58,7 +58,7 @@
                 target_id = target.id.as_str(),
                 group = target.group.as_ref().map_or("", |group| group.id.as_str()),
                 silence_ms = target.gauge.silence(now).as_millis() as u64,
-                writers = target.gauge.writers();
+                writers = target.gauge.active_requests();
                 "target_suspected"
             );
             self.tell_suspicion(target);
--- a/crates/fleet/src/tracker.rs
+++ b/crates/fleet/src/tracker.rs
@@ -1,4 +1,4 @@
-//! What a controller knows of each target: its last report, its orders, and whether it answers.
+//! A controller's view of each target: its last report, its orders, and whether it responds.
 
 use std::time::Duration;
 
@@ -12,60 +12,63 @@
 
 use crate::ports::{ReportError, TargetReport};
 
-/// Time between two questions to a target about which nothing is in doubt.
+/// Interval between polls of a target that is in a stable state.
 ///
-/// A group at work shows by its streams that it lives, and what changes in a target shows in the
-/// directory; this finds members that die while nothing runs. Questions are paid for.
-const IDLE_INTERVAL: Duration = Duration::from_millis(5_000);
-/// Time between questions to a target that is joining, once its expected time is over.
-const JOINING_INTERVAL: Duration = Duration::from_millis(250);
-/// Least time between two questions to one target.
-const LEAST_INTERVAL: Duration = Duration::from_millis(80);
-/// Time between questions to a member whose entry is gone; nothing else tells whether it lives.
-const UNLISTED_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Questions in a row without an answer after which a target counts as silent.
-const SILENT_AFTER: u32 = 2;
-/// Time to join again for the model of the last group, and a little more.
-const REJOIN_CHECK: Duration = Duration::from_millis(220);
-/// Age of a report by which a target may be chosen for a group.
+/// Streams show that a group is alive while it serves, and the directory shows changes of state. These polls
+/// find members that die while idle; they are rare because each one has a cost.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(5_000);
+/// Interval between polls of a joining target whose expected join time has passed.
+const JOINING_POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Minimum time between two polls of one target.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(80);
+/// Interval between polls of a member without a directory entry, for which polls are the only sign of life.
+const UNLISTED_POLL_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Number of consecutive failed polls after which a target counts as silent.
+const SILENT_AFTER_FAILURES: u32 = 2;
+/// Delay of the poll after an order to join: a little longer than a target takes to rejoin with its last model.
+const REJOIN_POLL_DELAY: Duration = Duration::from_millis(220);
+/// Maximum age of a report that makes a target eligible for a new group.
 ///
-/// A target that has restarted since needs its warmup, over a second, before a group with it can serve.
-const FRESH_TIME: Duration = Duration::from_millis(500);
-/// Time that is added to an expected one before it is checked.
-const CHECK_SLACK: Duration = Duration::from_millis(30);
+/// A target that has restarted after the report needs over a second of warm-up before a group with it could
+/// serve.
+const REPORT_MAX_AGE: Duration = Duration::from_millis(500);
+/// Margin added to the expected join time before the target is polled.
+const JOIN_POLL_MARGIN: Duration = Duration::from_millis(30);
 
-/// One target.
+/// State of one target.
 #[derive(Clone, Debug)]
 pub struct TrackedTarget {
-    /// The directory's entry.
+    /// Directory entry.
     pub record: TargetRecord,
-    /// What the planner is told.
+    /// Facts that the planner uses.
     pub facts: TargetFacts,
-    /// Whether it has answered or is known to be silent.
+    /// Whether the target has responded or is known to be silent.
     pub is_resolved: bool,
     is_listed: bool,
     failures: u32,
-    is_asked: bool,
-    next: Moment,
-    last: Moment,
+    is_poll_pending: bool,
+    next_poll: Moment,
+    last_poll: Moment,
     joining_since: Option<Moment>,
-    acknowledged: Moment,
-    reported: Option<Moment>,
-    /// Most orders that it has itself reported, and when it first did.
-    counted: (u64, Moment),
+    /// When it last acknowledged an order.
+    acknowledged_at: Moment,
+    reported_at: Option<Moment>,
+    /// Highest number of orders that the target has reported, and when it first did so.
+    highest_count: (u64, Moment),
+    /// Whether another target was found at its address.
     is_replaced: bool,
 }
 
 impl TrackedTarget {
-    /// Returns what the planner is told at `now`.
+    /// Returns the facts that the planner uses at `now`.
     pub fn facts_at(&self, now: Moment) -> TargetFacts {
         TargetFacts {
-            is_fresh: self.reported.is_some_and(|at| now < at + FRESH_TIME),
+            is_fresh: self.reported_at.is_some_and(|at| now < at + REPORT_MAX_AGE),
             ..self.facts.clone()
         }
     }
 
-    fn open(record: TargetRecord, now: Moment) -> Self {
+    fn new(record: TargetRecord, now: Moment) -> Self {
         Self {
             facts: TargetFacts {
                 incarnation: record.incarnation,
@@ -82,24 +85,24 @@
             is_resolved: false,
             is_listed: true,
             failures: 0,
-            is_asked: false,
-            next: now,
-            last: Moment::ZERO,
+            is_poll_pending: false,
+            next_poll: now,
+            last_poll: Moment::ZERO,
             joining_since: None,
-            acknowledged: Moment::ZERO,
-            reported: None,
-            counted: (0, Moment::ZERO),
+            acknowledged_at: Moment::ZERO,
+            reported_at: None,
+            highest_count: (0, Moment::ZERO),
             is_replaced: false,
         }
     }
 
-    fn hasten(&mut self, at: Moment) {
-        let at = at.max(self.last + LEAST_INTERVAL);
-        self.next = self.next.min(at);
+    fn poll_by(&mut self, at: Moment) {
+        let at = at.max(self.last_poll + MIN_POLL_INTERVAL);
+        self.next_poll = self.next_poll.min(at);
     }
 
-    fn standing(&self) -> TargetStatus {
-        if self.is_replaced || self.failures >= SILENT_AFTER {
+    fn status(&self) -> TargetStatus {
+        if self.is_replaced || self.failures >= SILENT_AFTER_FAILURES {
             TargetStatus::Silent
         } else if !self.is_listed {
             TargetStatus::Unlisted
@@ -111,7 +114,7 @@
     }
 }
 
-/// All targets of the domains that a controller is responsible for.
+/// All targets in the domains that a controller is responsible for.
 #[derive(Clone, Debug, Default)]
 pub struct TargetTracker {
     targets: IndexMap<TargetId, TrackedTarget>,
@@ -123,10 +126,10 @@
         &self.targets
     }
 
-    /// Takes in the directory's entries, and those of members that it lists no more.
+    /// Updates the targets from the directory entries and from the last known entries of unlisted members.
     ///
-    /// An entry that disagrees with the last report only hastens the next question: entries are
-    /// older than reports, and a condition must rest on what the target itself said.
+    /// An entry that differs from the last report only triggers a poll. Entries are older than reports, and the
+    /// condition on an order must be based on what the target itself has reported.
     pub fn sync<'a>(
         &mut self,
         listed: impl Iterator<Item = &'a TargetRecord>,
@@ -141,52 +144,52 @@
             let tracked = self
                 .targets
                 .entry(record.id.clone())
-                .or_insert_with(|| TrackedTarget::open(record.clone(), now));
+                .or_insert_with(|| TrackedTarget::new(record.clone(), now));
             if tracked.is_listed != is_listed {
                 tracked.is_listed = is_listed;
-                tracked.hasten(now);
+                tracked.poll_by(now);
             }
-            let is_news = tracked.record != *record;
-            if is_news {
+            let is_changed = tracked.record != *record;
+            if is_changed {
                 tracked.record = record.clone();
-                // Only a target that lives writes its entry.
+                // Only a running target writes its entry.
                 tracked.is_replaced = false;
                 let differs = tracked.facts.membership != record.membership
                     || tracked.facts.incarnation != record.incarnation
                     || tracked.facts.staged != record.staged;
                 if differs {
-                    tracked.hasten(now);
+                    tracked.poll_by(now);
                 }
             }
-            tracked.facts.status = tracked.standing();
+            tracked.facts.status = tracked.status();
         }
         self.targets.retain(|id, _| known.contains(id.as_str()));
     }
 
-    /// Returns the targets to ask now, and marks them as asked.
-    pub fn due(&mut self, now: Moment) -> Vec<(TargetId, String)> {
+    /// Returns the targets that are due for a poll, and marks their polls as pending.
+    pub fn take_due(&mut self, now: Moment) -> Vec<(TargetId, String)> {
         let due = self.targets.iter_mut().filter(|(_, tracked)| {
-            !tracked.is_replaced && !tracked.is_asked && now >= tracked.next
+            !tracked.is_replaced && !tracked.is_poll_pending && now >= tracked.next_poll
         });
         due.map(|(id, tracked)| {
-            tracked.is_asked = true;
-            tracked.last = now;
+            tracked.is_poll_pending = true;
+            tracked.last_poll = now;
             (id.clone(), tracked.record.address.clone())
         })
         .collect()
     }
 
-    /// Has a target asked at once.
-    pub fn hasten(&mut self, target: &str, now: Moment) {
+    /// Schedules a poll of a target as soon as the minimum interval allows.
+    pub fn poll_now(&mut self, target: &str, now: Moment) {
         if let Some(tracked) = self.targets.get_mut(target) {
-            tracked.hasten(now);
+            tracked.poll_by(now);
         }
     }
 
-    /// Takes in a report, or that there was none; returns whether the target fell silent by it.
+    /// Records a report or a failed poll; returns whether the target became silent by it.
     ///
-    /// A question whose own timer ran late proves nothing and is asked again.
-    pub fn note_report(
+    /// A failed poll whose local timer fired late proves nothing and is repeated.
+    pub fn record_report(
         &mut self,
         target: &str,
         report: Result<TargetReport, ReportError>,
@@ -197,59 +200,64 @@
         let Some(tracked) = self.targets.get_mut(target) else {
             return false;
         };
-        tracked.is_asked = false;
-        let before = tracked.standing();
+        tracked.is_poll_pending = false;
+        let before = tracked.status();
         match report {
-            Ok(report) if tracked.is_of_another(&report, engine.report_lag) => {
+            Ok(report) if tracked.is_from_other_target(&report, engine.report_lag) => {
                 tracked.is_resolved = true;
-                tracked.replace("count_fell");
+                tracked.mark_replaced("count_fell");
             }
             Ok(report) => {
                 tracked.failures = 0;
                 tracked.is_resolved = true;
-                tracked.reported = Some(now);
-                tracked.take(report, engine.report_lag, now);
-                tracked.next = tracked.next_question(engine, now);
+                tracked.reported_at = Some(now);
+                tracked.apply_report(report, engine.report_lag, now);
+                tracked.next_poll = tracked.next_poll_time(engine, now);
             }
-            Err(_) if is_late => tracked.next = now + LEAST_INTERVAL,
+            Err(_) if is_late => tracked.next_poll = now + MIN_POLL_INTERVAL,
             Err(_) => {
                 tracked.failures += 1;
-                if tracked.failures >= SILENT_AFTER {
+                if tracked.failures >= SILENT_AFTER_FAILURES {
                     tracked.is_resolved = true;
-                    tracked.next = now + JOINING_INTERVAL * 2;
+                    tracked.next_poll = now + JOINING_POLL_INTERVAL * 2;
                 } else {
-                    tracked.next = now;
+                    tracked.next_poll = now;
                 }
             }
         }
-        tracked.facts.status = tracked.standing();
+        tracked.facts.status = tracked.status();
         before != TargetStatus::Silent && tracked.facts.status == TargetStatus::Silent
     }
 
-    /// Takes in what became of an order.
-    pub fn note_order(&mut self, order: &TargetOrder, result: OrderResult, now: Moment) {
+    /// Records the result of an order.
+    pub fn record_order_result(&mut self, order: &TargetOrder, result: OrderResult, now: Moment) {
         let Some(tracked) = self.targets.get_mut(&order.target) else {
             return;
         };
         if result == OrderResult::OtherIncarnation && order.incarnation == tracked.facts.incarnation
         {
-            tracked.replace("order_misdirected");
+            tracked.mark_replaced("order_misdirected");
             return;
         }
         let facts = &mut tracked.facts;
         let is_leave = matches!(order.action, TargetAction::Leave { .. });
-        let was_member = facts.membership.as_ref().map(|held| &held.group) == order.action.group();
-        // Leaving is over when it is answered, so it is told as done and not as begun.
-        let is_in_force =
+        let was_member = facts
+            .membership
+            .as_ref()
+            .map(|membership| &membership.group)
+            == order.action.group();
+        // An order to leave is complete when it is acknowledged, so targets respond with `Held` instead of
+        // `Begun`.
+        let has_taken_effect =
             result == OrderResult::Begun || (result == OrderResult::Held && is_leave && was_member);
-        // An answer of another life than the one looked at says nothing of what is known now.
-        if !is_in_force || order.incarnation != facts.incarnation {
-            tracked.hasten(now);
+        // A response of another incarnation says nothing about the known state.
+        if !has_taken_effect || order.incarnation != facts.incarnation {
+            tracked.poll_by(now);
             return;
         }
         facts.sequence = facts.sequence.max(order.expected + 1);
         facts.is_busy = !is_leave;
-        tracked.acknowledged = now;
+        tracked.acknowledged_at = now;
         let effect = order
             .action
             .effect(&order.target, facts.membership.as_ref());
@@ -257,7 +265,7 @@
             facts.model = Some(model.clone());
             facts.epoch_seen = facts.epoch_seen.max(*epoch);
             tracked.joining_since = Some(now);
-            tracked.next = now + REJOIN_CHECK;
+            tracked.next_poll = now + REJOIN_POLL_DELAY;
         }
         facts.membership = effect;
         if facts.membership.is_none() {
@@ -267,26 +275,27 @@
 }
 
 impl TrackedTarget {
-    /// Takes a report over, unless it is older than the last order that was acknowledged.
+    /// Applies a report, unless it is older than the last acknowledged order.
     ///
-    /// Reports lag. For a moment after an order one may show the count before it; an order on that
-    /// condition would be refused for nothing. Later the report is right, whatever was believed.
-    fn take(&mut self, report: TargetReport, lag: Duration, now: Moment) {
-        self.forget_other_life(report.incarnation);
+    /// Reports lag behind: shortly after an order, one may contain the count from before it, and an order with
+    /// that count as its condition would be refused. After that time the report prevails over the assumed
+    /// state.
+    fn apply_report(&mut self, report: TargetReport, lag: Duration, now: Moment) {
+        self.reset_after_restart(report.incarnation);
         let facts = &mut self.facts;
-        let is_recent = now < self.acknowledged + lag * 2;
+        let is_recent = now < self.acknowledged_at + lag * 2;
         if is_recent && report.sequence < facts.sequence {
             return;
         }
-        if let Some(held) = &report.membership {
-            facts.epoch_seen = facts.epoch_seen.max(held.epoch);
+        if let Some(membership) = &report.membership {
+            facts.epoch_seen = facts.epoch_seen.max(membership.epoch);
         }
         if facts.staged != report.staged {
             let models = report.staged.join(",");
             log::info!(target_id = self.record.id.as_str(), models = models.as_str(); "weights_staged");
         }
-        if report.sequence > self.counted.0 {
-            self.counted = (report.sequence, now);
+        if report.sequence > self.highest_count.0 {
+            self.highest_count = (report.sequence, now);
         }
         facts.membership = report.membership;
         facts.model = report.model;
@@ -295,31 +304,33 @@
         facts.is_busy = report.is_busy;
     }
 
-    /// Returns whether a report tells of fewer orders than the target had already counted itself.
+    /// Returns whether a report must come from another target, because its count of orders is lower than
+    /// before.
     ///
-    /// A target may end and another one start at its address. Reports do not say whose they are, so the
-    /// new one's would pass for the old one's, which would count as live for as long as it is remembered.
-    fn is_of_another(&self, report: &TargetReport, lag: Duration) -> bool {
-        let (count, since) = self.counted;
-        // Reports lag, so one that was asked for soon after may show the count before.
-        let is_settled = self.last >= since + lag * 2;
+    /// If a target ends and another one starts at its address, reports do not show which of them sent them.
+    /// Without this check, the reports of the new target would keep the old one's record alive.
+    fn is_from_other_target(&self, report: &TargetReport, lag: Duration) -> bool {
+        let (count, since) = self.highest_count;
+        // Reports lag behind, so one requested shortly after the count rose may contain the previous count.
+        let is_settled = self.last_poll >= since + lag * 2;
         report.incarnation == self.facts.incarnation && is_settled && report.sequence < count
     }
 
-    /// Takes in that another target answers at the address; it counts as silent until its entry is written again.
-    fn replace(&mut self, proof: &'static str) {
+    /// Marks the target as replaced by another one at its address; it counts as silent until its entry is
+    /// written again.
+    fn mark_replaced(&mut self, proof: &'static str) {
         if !self.is_replaced {
             log::warn!(target_id = self.record.id.as_str(), proof = proof; "target_replaced");
         }
         self.is_replaced = true;
-        self.facts.status = self.standing();
+        self.facts.status = self.status();
     }
 
-    /// Forgets what was known of a life that has ended.
+    /// Discards the state of the previous incarnation.
     ///
-    /// A target that restarted under its name counts its orders anew. Were its count held against what
-    /// the earlier life had reached, its reports would pass for old ones and be dropped.
-    fn forget_other_life(&mut self, incarnation: Incarnation) {
+    /// A restarted target counts its orders from zero. Compared with the previous incarnation's count, its
+    /// reports would look outdated and be ignored.
+    fn reset_after_restart(&mut self, incarnation: Incarnation) {
         if incarnation == self.facts.incarnation {
             return;
         }
@@ -327,33 +338,33 @@
         self.facts.incarnation = incarnation;
         self.facts.sequence = 0;
         self.facts.epoch_seen = 0;
-        self.acknowledged = Moment::ZERO;
-        self.counted = (0, Moment::ZERO);
+        self.acknowledged_at = Moment::ZERO;
+        self.highest_count = (0, Moment::ZERO);
         self.joining_since = None;
     }
 
-    fn next_question(&mut self, engine: &EngineSpec, now: Moment) -> Moment {
+    fn next_poll_time(&mut self, engine: &EngineSpec, now: Moment) -> Moment {
         let is_joining = self
             .facts
             .membership
             .as_ref()
-            .is_some_and(|held| held.state == MembershipState::Joining);
+            .is_some_and(|membership| membership.state == MembershipState::Joining);
         if !is_joining {
             self.joining_since = None;
             let interval = if self.is_listed {
-                IDLE_INTERVAL
+                IDLE_POLL_INTERVAL
             } else {
-                UNLISTED_INTERVAL
+                UNLISTED_POLL_INTERVAL
             };
             return now + interval;
         }
         let since = *self.joining_since.get_or_insert(now);
         let model = self.facts.model.as_ref();
         let model = model.and_then(|id| engine.models.get(id));
-        let expected = model.map(|model| since + model.warmup + CHECK_SLACK);
+        let expected = model.map(|model| since + model.warmup + JOIN_POLL_MARGIN);
         match expected {
             Some(at) if now < at => at,
-            _ => now + JOINING_INTERVAL,
+            _ => now + JOINING_POLL_INTERVAL,
         }
     }
 }
--- a/crates/fleet/tests/gauge.rs
+++ b/crates/fleet/tests/gauge.rs
@@ -1,23 +1,22 @@
-//! What nodes believe and tell of targets that fell silent.
+//! Suspicions of silent targets, local and from other nodes.
 
 use std::time::Duration;
 
-use briarswitch_fleet::gauge::GaugeBoard;
+use briarswitch_fleet::gauge::GaugeMap;
 use googletest::prelude::*;
 
-/// Symptom: with 71 nodes the groups of lost members were ended 2.5 to 3.8 s after the loss.
-/// Events: streams of the group fall silent at other nodes; none of them passes through the node that
-/// gives the group its orders.
-/// Cause: a controller asked the members of groups only that it suspected itself.
+/// Guards against late detection of lost members. Controllers polled only groups that they suspected
+/// themselves; when all streams of a group passed through other nodes, the group was ended 2.5 to 3.8 s after
+/// the loss (71 nodes).
 #[gtest]
-fn controllers_hear_of_silence_that_only_other_nodes_see() {
-    let gauges = GaugeBoard::default();
+fn suspicions_of_other_nodes_are_seen_but_not_forwarded() {
+    let gauges = GaugeMap::default();
     let now = Duration::from_secs(10);
     let target = "t1".to_owned();
     gauges
-        .of(&target)
-        .suspect_as_told(now + Duration::from_millis(500));
-    expect_true!(gauges.suspected_anywhere(now).contains(&target));
-    // Told on, two nodes would keep each other's word alive.
-    expect_that!(gauges.suspects(now), is_empty());
+        .get(&target)
+        .suspect_from_peer(now + Duration::from_millis(500));
+    expect_true!(gauges.all_suspects(now).contains(&target));
+    // If it were forwarded, two nodes would keep each other's suspicion alive.
+    expect_that!(gauges.local_suspects(now), is_empty());
 }
