--- a/crates/fleet/src/budget.rs
+++ b/crates/fleet/src/budget.rs
@@ -12,7 +12,7 @@
 /// Share of the bursts that the nodes' budgets add up to; the rest is kept for nodes unknown here.
 const BURST_SHARE: f64 = 0.7;
 /// Fewest nodes among which the burst of retries is divided.
-const LEAST_NODES: usize = 6;
+const MIN_NODES: usize = 6;
 
 /// Budgets by service.
 pub struct RetryBudgets {
@@ -22,7 +22,7 @@
 
 impl RetryBudgets {
     /// Opens budgets that are all empty.
-    pub fn open(shared: Arc<FleetShared>) -> Self {
+    pub fn new(shared: Arc<FleetShared>) -> Self {
         Self {
             shared,
             budgets: Mutex::default(),
@@ -57,7 +57,7 @@
 
     /// Returns this node's part of the retries beyond those that requests earn.
     fn burst(&self) -> u32 {
-        let nodes = self.shared.live.read().known_nodes().max(LEAST_NODES);
+        let nodes = self.shared.live_view.read().known_nodes().max(MIN_NODES);
         (self.shared.settings.retry_burst as f64 * BURST_SHARE / nodes as f64) as u32
     }
 
--- a/crates/fleet/src/controller.rs
+++ b/crates/fleet/src/controller.rs
@@ -116,13 +116,13 @@
 
     fn round(&mut self, link: &ServiceLink<ControllerMessage>) {
         let now = link.now();
-        let book = self.shared.book.load();
+        let book = self.shared.config.load();
         let directory = self.shared.directory.load();
         let is_settled = now >= self.started + SETTLE_TIME;
         let Some(book) = book
             .as_ref()
             .as_ref()
-            .filter(|_| directory.is_listed && is_settled)
+            .filter(|_| directory.is_loaded && is_settled)
         else {
             return;
         };
@@ -167,7 +167,7 @@
         let basis = ScopeBasis {
             version: book.version,
             directory: Arc::clone(directory),
-            live: self.shared.live.load(),
+            live: self.shared.live_view.load(),
         };
         if let Some(scope) = self.scope.as_ref().filter(|scope| scope.is_of(&basis)) {
             return Arc::clone(scope);
@@ -223,9 +223,9 @@
             self.trend.note(&demand, now);
         }
         // Who is cut off sees only a part of what callers ask for and of what others hold.
-        let is_in_touch = self.shared.book_age() < EXCHANGE_AGE;
+        let is_in_touch = self.shared.config_age() < EXCHANGE_AGE;
         let trend = self.trend.mean().filter(|_| is_in_touch);
-        let elsewhere = self.shared.elsewhere.load();
+        let elsewhere = self.shared.peer_work.load();
         let coming = elsewhere.loading.iter();
         let coming = coming.map(|(model, count)| (model.clone(), *count as usize));
         held.renew(LayoutBasis {
@@ -307,7 +307,7 @@
     /// members after 2.5 to 3.8 s.
     fn look_at_suspects(&mut self, now: Moment) {
         let suspects = self.shared.gauges.suspected_anywhere(now);
-        let table = self.shared.table.load();
+        let table = self.shared.routing_table.load();
         for group in table.all_groups() {
             if !suspects.contains(&group.id) || self.suspected.contains(&group.id) {
                 continue;
@@ -337,7 +337,7 @@
 
     fn demand(&self, now: Moment) -> IndexMap<ModelId, f64> {
         let mut demand = self.shared.demand.rates(now);
-        for (model, rate) in &self.shared.elsewhere.read().demand {
+        for (model, rate) in &self.shared.peer_work.read().demand {
             *demand.entry(model.clone()).or_insert(0.0) += rate;
         }
         demand
@@ -348,7 +348,7 @@
         let Some(engine) = &service.engine else {
             return;
         };
-        let table = self.shared.table.load();
+        let table = self.shared.routing_table.load();
         let supplies = supplies(service, engine, &table, &self.demand(now), now);
         for (model, supply) in &supplies {
             supply.log(&service.id, model);
@@ -412,8 +412,8 @@
             // Before the first caller the weight store has nothing else to do.
             return usize::MAX;
         }
-        let elsewhere = self.shared.elsewhere.read().all_loading();
-        let own: u32 = self.shared.loading.read().values().sum();
+        let elsewhere = self.shared.peer_work.read().all_loading();
+        let own: u32 = self.shared.active_loads.read().values().sum();
         let limit = engine.loads_at_once + EXTRA_LOADS;
         limit.saturating_sub((own + elsewhere) as usize)
     }
@@ -433,7 +433,7 @@
                 *loading.entry(model.clone()).or_insert(0) += 1;
             }
         }
-        self.shared.loading.publish(loading);
+        self.shared.active_loads.publish(loading);
     }
 
     fn send(&mut self, order: TargetOrder, link: &ServiceLink<ControllerMessage>) {
@@ -479,7 +479,7 @@
         is_late: bool,
         now: Moment,
     ) {
-        let book = self.shared.book.load();
+        let book = self.shared.config.load();
         let Some(book) = book.as_ref() else {
             return;
         };
--- a/crates/fleet/src/costs.rs
+++ b/crates/fleet/src/costs.rs
@@ -82,17 +82,17 @@
 
 /// Sums of all kinds.
 #[derive(Debug, Default)]
-pub struct CostLedger {
+pub struct CostCounters {
     sums: [CostSum; NAMES.len()],
 }
 
-impl CostLedger {
+impl CostCounters {
     /// Counts one occurrence.
     ///
     /// ```
-    /// use briarswitch_fleet::costs::{CostKind, CostLedger};
+    /// use briarswitch_fleet::costs::{CostKind, CostCounters};
     ///
-    /// let costs = CostLedger::default();
+    /// let costs = CostCounters::default();
     /// costs.count(CostKind::OrderSent);
     /// assert_eq!(costs.lines()[0].name, "order_sent");
     /// ```
@@ -130,7 +130,7 @@
     }
 
     /// Returns the sums as one text for the log: count, bytes and microseconds by name.
-    pub fn text(&self) -> String {
+    pub fn summary(&self) -> String {
         let lines = self.lines().into_iter();
         let texts: Vec<String> = lines
             .map(|line| {
--- a/crates/fleet/src/dispatch.rs
+++ b/crates/fleet/src/dispatch.rs
@@ -15,69 +15,69 @@
 use http::{HeaderValue, Uri};
 
 use crate::budget::RetryBudgets;
-use crate::failure::{is_promise, worst_of, FailedAttempt, FailureSign, WaitEnd};
+use crate::failure::{implies_not_run, worst_of, ConnectionFailure, FailedAttempt, HeadWaitError};
 use crate::gauge::GaugePlace;
 use crate::job::{BegunAnswer, RequestJob};
+use crate::local_reply::LocalReply;
 use crate::peers::PeerMessage;
-use crate::placer::TargetPlacer;
 use crate::ports::{AnswerFacts, TargetMark};
-use crate::refusal::OwnAnswer;
 use crate::relay::StreamRelay;
-use crate::run::{RunReports, TargetRun};
+use crate::run::{RunListeners, TargetRun};
 use crate::shared::FleetShared;
 use crate::suspicion::{patience, silence_of, SuspicionTeller};
 use crate::table::RouteTarget;
+use crate::target_selector::TargetSelector;
 use crate::trace::{RequestEnd, RequestTrace};
 
 /// Most idle connections kept for one target.
-const IDLE_CONNECTIONS: usize = 16;
+const MAX_IDLE_CONNECTIONS: usize = 16;
 /// Part of a target's connections that all nodes together may hold without using them.
 ///
 /// A target resets what comes beyond its limit, and a request that runs at most once is then lost, for
 /// nobody can say whether it ran. Six nodes that keep 16 each hold twice the 48 that the smallest
 /// services take.
-const IDLE_SHARE: f64 = 0.4;
+const IDLE_CONNECTION_SHARE: f64 = 0.4;
 /// Time to open a connection to a target; a healthy one takes a few milliseconds.
-const CONNECT_TIME: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time between looks at whether a target that an answer or stream is awaited from is silent.
-pub(crate) const SILENCE_CHECK: Duration = Duration::from_millis(40);
+pub(crate) const SILENCE_POLL_INTERVAL: Duration = Duration::from_millis(40);
 /// Attempts of one request that reached nobody in the time for it, after which it is given up.
-const UNREACHED_LIMIT: u32 = 4;
+const MAX_UNREACHED_ATTEMPTS: u32 = 4;
 /// Largest whole answer in bytes.
-const ANSWER_BYTES: usize = 64 << 20;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 /// Largest rank that targets know; zero goes first.
-const LAST_RANK: u8 = 9;
+const LOWEST_PRIORITY: u8 = 9;
 
 /// Carries requests out.
 pub struct FleetDispatcher {
     shared: Arc<FleetShared>,
     client: TargetClient,
     budgets: RetryBudgets,
-    placer: TargetPlacer,
+    selector: TargetSelector,
     suspicion: SuspicionTeller,
-    reports: RunReports,
+    run_listeners: RunListeners,
 }
 
 impl FleetDispatcher {
     /// Opens a dispatcher that tells `peers` of targets that fall silent.
     ///
     /// `reports` hear how runs end.
-    pub fn open(
+    pub fn new(
         shared: Arc<FleetShared>,
         peers: Mailbox<PeerMessage>,
-        reports: RunReports,
+        reports: RunListeners,
     ) -> Arc<Self> {
         let client = TargetClient::open(TargetLimits {
-            connect: CONNECT_TIME,
-            idle: IDLE_CONNECTIONS,
+            connect: CONNECT_TIMEOUT,
+            idle: MAX_IDLE_CONNECTIONS,
         });
         Arc::new(Self {
-            budgets: RetryBudgets::open(Arc::clone(&shared)),
-            placer: TargetPlacer::open(Arc::clone(&shared)),
+            budgets: RetryBudgets::new(Arc::clone(&shared)),
+            selector: TargetSelector::new(Arc::clone(&shared)),
             shared,
             client,
             suspicion: SuspicionTeller::open(peers),
-            reports,
+            run_listeners: reports,
         })
     }
 
@@ -87,8 +87,8 @@
     }
 
     /// Returns what finds places.
-    pub fn placer(&self) -> &TargetPlacer {
-        &self.placer
+    pub fn selector(&self) -> &TargetSelector {
+        &self.selector
     }
 
     /// Returns what keeps work from targets that fall silent.
@@ -105,59 +105,62 @@
     pub async fn run(self: &Arc<Self>, job: RequestJob, mut trace: RequestTrace) -> Response {
         self.budgets.earn(&job.service);
         if self.shared.suspects.quarantine(&job.print).is_some() {
-            return self.give_up(FailurePoint::Quarantined, &mut trace);
+            return self.reply_failed(FailurePoint::Quarantined, &mut trace);
         }
         let mut tried: Vec<TargetId> = Vec::new();
         let mut unreached = 0;
         let mut worst: Option<FailurePoint> = None;
         loop {
-            let (target, place) = match self.placer.place(&job, &tried).await {
+            let (target, place) = match self.selector.acquire(&job, &tried).await {
                 Ok(placed) => placed,
-                Err(point) => return self.give_up(worst_of(worst, point), &mut trace),
+                Err(point) => return self.reply_failed(worst_of(worst, point), &mut trace),
             };
-            note_target(&mut trace, &target);
-            trace.note_placed();
+            record_target(&mut trace, &target);
+            trace.record_slot();
             let last_event = job.ask.last_event.clone();
-            let may_move = trace.sent + 1 < job.rule.max_attempts;
+            let may_move = trace.attempts_sent + 1 < job.rule.max_attempts;
             let begun = self
-                .begin(&job, target, place, last_event.as_deref(), may_move)
+                .send(&job, target, place, last_event.as_deref(), may_move)
                 .await;
             let failed = match begun {
-                Ok(begun) if job.is_stream() => return self.stream(job, begun, trace),
-                Ok(begun) => match self.finish(&job, begun).await {
+                Ok(begun) if job.is_stream() => return self.stream_response(job, begun, trace),
+                Ok(begun) => match self.read_response(&job, begun).await {
                     Ok((head, bytes)) => {
                         trace.end(RequestEnd::Answered);
-                        return self.whole(head, bytes);
+                        return self.buffered_response(head, bytes);
                     }
                     Err(point) => FailedAttempt::after_head(point),
                 },
                 Err(failed) => failed,
             };
             let point = failed.point;
-            trace.note_failed(point.code());
+            trace.record_failed_attempt(point.code());
             tried.push(trace.target.clone());
             let reached = !matches!(
                 point,
                 FailurePoint::Connect | FailurePoint::ClosedBeforeSend
             );
-            match failed.sign {
-                _ if reached => trace.sent += 1,
+            match failed.connection {
+                _ if reached => trace.attempts_sent += 1,
                 // A refusal takes a millisecond, and each target is tried once: not worth sending the caller away.
-                FailureSign::Refused => {}
-                FailureSign::Plain | FailureSign::Broke => unreached += 1,
+                ConnectionFailure::Refused => {}
+                ConnectionFailure::None | ConnectionFailure::Broken => unreached += 1,
             }
-            trace.broken += usize::from(failed.sign == FailureSign::Broke);
+            trace.broken_runs += usize::from(failed.connection == ConnectionFailure::Broken);
             let may_repeat = point.allows_retry(job.rule.is_repeatable())
-                && self.shared.suspects.may_go_on(&job.print, trace.broken)
-                && trace.sent < job.rule.max_attempts
-                && unreached < UNREACHED_LIMIT
+                && self
+                    .shared
+                    .suspects
+                    .may_go_on(&job.print, trace.broken_runs)
+                && trace.attempts_sent < job.rule.max_attempts
+                && unreached < MAX_UNREACHED_ATTEMPTS
                 && BootClock::now() < job.deadline;
             if !may_repeat || (reached && !self.budgets.spend(&job.service)) {
-                if let Some(answer) = failed.answer {
+                if let Some(answer) = failed.response {
                     trace.end(RequestEnd::Failed);
-                    return self.whole(answer.0, answer.1);
+                    return self.buffered_response(answer.0, answer.1);
                 }
-                return self.give_up(worst_of(worst, point), &mut trace);
+                return self.reply_failed(worst_of(worst, point), &mut trace);
             }
             worst = Some(worst_of(worst, point));
         }
@@ -168,7 +171,7 @@
     /// # Errors
     ///
     /// Returns what failed, with the target's own answer where it made one.
-    pub async fn begin(
+    pub async fn send(
         &self,
         job: &RequestJob,
         target: Arc<RouteTarget>,
@@ -185,7 +188,7 @@
         if self.shared.suspects.quarantine(&job.print).is_some() {
             return Err(FailurePoint::Quarantined.into());
         }
-        let request = self.request(job, &target, left, last_event);
+        let request = self.build_request(job, &target, left, last_event);
         let address = TargetAddress {
             address: target.address.clone(),
             incarnation: 0,
@@ -195,21 +198,23 @@
         let is_fresh = !job.rule.is_repeatable();
         let client = self.client.keeping(self.idle_limit(job));
         let sending = client.send(&address, request, is_fresh);
-        let mut run = TargetRun::open(job.run_at(&target, now), self.reports.clone());
+        let mut run = TargetRun::start(job.run_at(&target, now), self.run_listeners.clone());
         match self.wait_head(sending, job, &target, now, may_move).await {
-            Ok(reply) => self.check(job, target, place, reply, run).await,
+            Ok(reply) => self.check_head(job, target, place, reply, run).await,
             Err(end) => {
                 target.gauge.note_outcome(true);
                 match end {
-                    WaitEnd::Failed(SendFailure::Broken) => run.broke("broken_before_head"),
-                    WaitEnd::Failed(SendFailure::Refused) => {
+                    HeadWaitError::Send(SendFailure::Broken) => {
+                        run.report_broken("broken_before_head")
+                    }
+                    HeadWaitError::Send(SendFailure::Refused) => {
                         // Nobody listens there. Until the directory drops it, seconds later, it would look like the
                         // target with the least work and be chosen first again and again.
-                        run.settle();
+                        run.end_unreported();
                         self.suspicion.suspect(&target, BootClock::now());
                     }
-                    WaitEnd::Failed(_) => run.settle(),
-                    WaitEnd::Deadline | WaitEnd::Moved => {}
+                    HeadWaitError::Send(_) => run.end_unreported(),
+                    HeadWaitError::Deadline | HeadWaitError::Rerouted => {}
                 }
                 Err(end.into())
             }
@@ -220,8 +225,9 @@
         let book = job.book.as_ref().as_ref();
         let service = book.and_then(|book| book.services.get(&job.service));
         let most = service.map_or(0, |service| service.max_connections);
-        let share = f64::from(most) * IDLE_SHARE / f64::from(self.shared.live.read().live_nodes());
-        (share as usize).clamp(1, IDLE_CONNECTIONS)
+        let share = f64::from(most) * IDLE_CONNECTION_SHARE
+            / f64::from(self.shared.live_view.read().live_nodes());
+        (share as usize).clamp(1, MAX_IDLE_CONNECTIONS)
     }
 
     async fn wait_head(
@@ -231,18 +237,18 @@
         target: &RouteTarget,
         sent: Moment,
         may_move: bool,
-    ) -> Result<TargetReply, WaitEnd> {
+    ) -> Result<TargetReply, HeadWaitError> {
         tokio::pin!(sending);
         let patience = patience(job);
         loop {
-            match tokio::time::timeout(SILENCE_CHECK, &mut sending).await {
+            match tokio::time::timeout(SILENCE_POLL_INTERVAL, &mut sending).await {
                 Ok(Ok(reply)) => return Ok(reply),
-                Ok(Err(failure)) => return Err(WaitEnd::Failed(failure)),
+                Ok(Err(failure)) => return Err(HeadWaitError::Send(failure)),
                 Err(_) => {}
             }
             let now = BootClock::now();
             if now >= job.deadline {
-                return Err(WaitEnd::Deadline);
+                return Err(HeadWaitError::Deadline);
             }
             let waited = now.saturating_sub(sent);
             let limit = silence_of(job, target);
@@ -252,21 +258,21 @@
             }
             // A prompt that is moved is read twice, so one that is only queued is left where it is.
             let is_worth_moving = is_silent || waited > patience.max(limit);
-            if is_worth_moving && may_move && self.can_move(job, target) {
-                return Err(WaitEnd::Moved);
+            if is_worth_moving && may_move && self.can_reroute(job, target) {
+                return Err(HeadWaitError::Rerouted);
             }
         }
     }
 
     /// Returns whether a request can go on elsewhere; if not, the slow target is still the best.
-    fn can_move(&self, job: &RequestJob, from: &RouteTarget) -> bool {
+    fn can_reroute(&self, job: &RequestJob, from: &RouteTarget) -> bool {
         let ask = job.place_ask(std::slice::from_ref(&from.id));
         job.rule.is_repeatable()
             && self.budgets.has_any(&job.service)
-            && self.placer.pick(&ask).is_some()
+            && self.selector.pick(&ask).is_some()
     }
 
-    async fn check(
+    async fn check_head(
         &self,
         job: &RequestJob,
         target: Arc<RouteTarget>,
@@ -282,7 +288,7 @@
             .facts(head.status, &head.headers);
         let now = BootClock::now();
         if facts.is_not_run || facts.is_other_life {
-            run.settle();
+            run.end_unreported();
             target.gauge.note_outcome(true);
             if facts.is_other_life || facts.at_fault.is_some() {
                 self.suspicion.suspect(&target, now);
@@ -297,7 +303,7 @@
         if !is_ours {
             return Err(FailurePoint::ForeignAnswer.into());
         }
-        if head.status.is_success() && is_whole_answer(&facts) {
+        if head.status.is_success() && is_complete_response(&facts) {
             target.gauge.note_outcome(false);
             return Ok(BegunAnswer {
                 target,
@@ -307,16 +313,16 @@
                 run,
             });
         }
-        run.settle();
+        run.end_unreported();
         target.gauge.note_outcome(true);
         if head.status.is_success() {
             return Err(FailurePoint::Truncated.into());
         }
-        Err(self.failure(job, head, &facts, body).await)
+        Err(self.target_failure(job, head, &facts, body).await)
     }
 
     /// Keeps a failure that a target made, so that it can be passed on if nothing better comes.
-    async fn failure(
+    async fn target_failure(
         &self,
         job: &RequestJob,
         head: http::response::Parts,
@@ -324,20 +330,20 @@
         body: TargetBody,
     ) -> FailedAttempt {
         let left = job.deadline.saturating_sub(BootClock::now());
-        let reading = body.read_whole(ANSWER_BYTES);
+        let reading = body.read_whole(MAX_RESPONSE_BYTES);
         let bytes = tokio::time::timeout(left, reading).await;
         let point = FailurePoint::TargetError;
         match bytes {
             // A status that promises "not run" is never passed on without the target's own word.
-            Ok(Ok(bytes)) if facts.is_signed && !is_promise(head.status) => FailedAttempt {
-                answer: Some(Box::new((head, bytes))),
+            Ok(Ok(bytes)) if facts.is_signed && !implies_not_run(head.status) => FailedAttempt {
+                response: Some(Box::new((head, bytes))),
                 ..point.into()
             },
             _ => point.into(),
         }
     }
 
-    async fn finish(
+    async fn read_response(
         &self,
         job: &RequestJob,
         begun: BegunAnswer,
@@ -350,16 +356,16 @@
             mut run,
         } = begun;
         let left = job.deadline.saturating_sub(BootClock::now());
-        let read = tokio::time::timeout(left, body.read_whole(ANSWER_BYTES)).await;
+        let read = tokio::time::timeout(left, body.read_whole(MAX_RESPONSE_BYTES)).await;
         drop(place);
-        self.placer.serve_queue();
+        self.selector.serve_queue();
         match read {
             Ok(Ok(bytes)) => {
                 run.complete(&self.shared.suspects);
                 Ok((head, bytes))
             }
             Ok(Err(_)) => {
-                run.broke("truncated");
+                run.report_broken("truncated");
                 target.gauge.note_outcome(true);
                 Err(FailurePoint::Truncated)
             }
@@ -367,7 +373,7 @@
         }
     }
 
-    fn whole(&self, head: http::response::Parts, bytes: Bytes) -> Response {
+    fn buffered_response(&self, head: http::response::Parts, bytes: Bytes) -> Response {
         let length = HeaderValue::from(bytes.len() as u64);
         let mut response = Response::new(bytes.into());
         *response.status_mut() = head.status;
@@ -376,7 +382,7 @@
         response
     }
 
-    fn stream(
+    fn stream_response(
         self: &Arc<Self>,
         job: RequestJob,
         begun: BegunAnswer,
@@ -384,46 +390,46 @@
     ) -> Response {
         let status = begun.head.status;
         let headers = self.shared.platform.dialect.to_caller(&begun.head.headers);
-        let relay = StreamRelay::spawn(Arc::clone(self), job, begun, trace);
+        let relay = StreamRelay::start(Arc::clone(self), job, begun, trace);
         let mut response = Response::new(stream_body(relay));
         *response.status_mut() = status;
         *response.headers_mut() = headers;
         response
     }
 
-    fn give_up(&self, point: FailurePoint, trace: &mut RequestTrace) -> Response {
+    fn reply_failed(&self, point: FailurePoint, trace: &mut RequestTrace) -> Response {
         trace.reason = point.code();
         trace.end(match point.outcome() {
             Outcome::NotRun => RequestEnd::NotRun,
             _ => RequestEnd::Unknown,
         });
-        let mut response = self.own_answer(point, trace).response();
+        let mut response = self.failure_reply(point, trace).into_response();
         let dialect = &self.shared.platform.dialect;
-        dialect.mark_own(response.headers_mut(), &trace.request);
+        dialect.mark_own(response.headers_mut(), &trace.request_id);
         response
     }
 
     /// Returns what a caller is told of a request that ends without a target's answer.
-    fn own_answer(&self, point: FailurePoint, trace: &RequestTrace) -> OwnAnswer {
+    fn failure_reply(&self, point: FailurePoint, trace: &RequestTrace) -> LocalReply {
         if point != FailurePoint::Quarantined {
-            return OwnAnswer::at(point);
+            return LocalReply::for_failure(point);
         }
         let left = trace
-            .print
+            .fingerprint
             .and_then(|print| self.shared.suspects.quarantine(&print));
         let left = left.unwrap_or_default();
         self.shared.metrics.count_refusal(&trace.organisation);
         log::info!(
-            request = trace.request.as_str(),
-            print = trace.print_text().as_str(),
+            request = trace.request_id.as_str(),
+            print = trace.fingerprint_text().as_str(),
             organisation = trace.organisation.as_str(),
             left_ms = left.as_millis() as u64;
             "quarantine_refused"
         );
-        OwnAnswer::quarantined(left)
+        LocalReply::quarantined(left)
     }
 
-    fn request(
+    fn build_request(
         &self,
         job: &RequestJob,
         target: &RouteTarget,
@@ -434,7 +440,7 @@
             target: &target.id,
             organisation: job.organisation.as_deref(),
             left,
-            priority: job.priority.min(LAST_RANK),
+            priority: job.priority.min(LOWEST_PRIORITY),
             last_event,
         };
         let mut request = http::Request::new(whole_body(job.body.clone()));
@@ -450,13 +456,13 @@
     }
 }
 
-fn note_target(trace: &mut RequestTrace, target: &RouteTarget) {
+fn record_target(trace: &mut RequestTrace, target: &RouteTarget) {
     trace.target.clone_from(&target.id);
     if let Some(group) = &target.group {
         trace.group.clone_from(&group.id);
     }
 }
 
-fn is_whole_answer(facts: &AnswerFacts) -> bool {
+fn is_complete_response(facts: &AnswerFacts) -> bool {
     facts.is_signed && !facts.is_recoded
 }
--- a/crates/fleet/src/end_watch.rs
+++ b/crates/fleet/src/end_watch.rs
@@ -11,7 +11,7 @@
 use serde_json::{json, Value};
 
 use crate::ports::ReportError;
-use crate::run_facts::{RunBreak, RunFacts, TargetLife};
+use crate::run_info::{RunEnd, RunInfo, TargetIncarnation};
 use crate::suspect_host::{EndProof, LifeSign, SuspectEvent, SuspectHost};
 use crate::suspect_keeper::{FatalRun, SuspectMessage};
 
@@ -50,8 +50,8 @@
 /// A run that brought no whole answer.
 #[derive(Debug)]
 struct BrokenRun {
-    facts: RunFacts,
-    end: RunBreak,
+    facts: RunInfo,
+    end: RunEnd,
     at: Moment,
 }
 
@@ -66,16 +66,16 @@
     /// Drops the runs that nobody waited for any more well before a moment.
     fn drop_abandoned(&mut self, at: Moment) {
         self.runs
-            .retain(|run| run.end == RunBreak::Broken || at < run.at + ABANDONED_TIME);
+            .retain(|run| run.end == RunEnd::Broken || at < run.at + ABANDONED_TIME);
     }
 }
 
 /// Message to [`EndWatch`].
 pub enum WatchMessage {
     /// A run brought no whole answer.
-    Ended(Box<RunFacts>, RunBreak),
+    Ended(Box<RunInfo>, RunEnd),
     /// A target answered, or not.
-    Checked(TargetLife, Result<LifeSign, ReportError>),
+    Checked(TargetIncarnation, Result<LifeSign, ReportError>),
     /// Look at what is watched.
     Look,
 }
@@ -84,7 +84,7 @@
 pub struct EndWatch {
     host: Arc<dyn SuspectHost>,
     suspects: Mailbox<SuspectMessage>,
-    lives: IndexMap<TargetLife, WatchedLife>,
+    lives: IndexMap<TargetIncarnation, WatchedLife>,
     is_looking: bool,
 }
 
@@ -99,9 +99,9 @@
         }
     }
 
-    fn take(&mut self, facts: RunFacts, end: RunBreak, link: &ServiceLink<WatchMessage>) {
+    fn take(&mut self, facts: RunInfo, end: RunEnd, link: &ServiceLink<WatchMessage>) {
         let now = link.now();
-        let life = facts.life.clone();
+        let life = facts.target.clone();
         let watched = self.lives.entry(life.clone()).or_insert(WatchedLife {
             state: LifeState::Unasked,
             since: now,
@@ -118,7 +118,7 @@
             LifeState::Unasked => {
                 watched.drop_abandoned(now);
                 watched.since = now;
-                if end == RunBreak::Broken {
+                if end == RunEnd::Broken {
                     watched.state = LifeState::Asked;
                     self.check(check, link);
                 }
@@ -131,22 +131,22 @@
         }
     }
 
-    fn check(&self, facts: RunFacts, link: &ServiceLink<WatchMessage>) {
-        if !self.host.is_listed(&facts.life) {
-            link.spawn(async move { WatchMessage::Checked(facts.life, Err(ReportError::Gone)) });
+    fn check(&self, facts: RunInfo, link: &ServiceLink<WatchMessage>) {
+        if !self.host.is_listed(&facts.target) {
+            link.spawn(async move { WatchMessage::Checked(facts.target, Err(ReportError::Gone)) });
             return;
         }
         let host = Arc::clone(&self.host);
         host.note(SuspectEvent::EndChecked);
         link.spawn(async move {
             let sign = host.life_sign(&facts, CHECK_TIME).await;
-            WatchMessage::Checked(facts.life, sign)
+            WatchMessage::Checked(facts.target, sign)
         });
     }
 
     fn take_check(
         &mut self,
-        life: &TargetLife,
+        life: &TargetIncarnation,
         answer: Result<LifeSign, ReportError>,
         now: Moment,
     ) {
@@ -163,14 +163,14 @@
         }
     }
 
-    fn set_state(&mut self, life: &TargetLife, state: LifeState) {
+    fn set_state(&mut self, life: &TargetIncarnation, state: LifeState) {
         if let Some(watched) = self.lives.get_mut(life) {
             watched.state = state;
         }
     }
 
     /// Notes that a life has ended, and with it the runs that were under way there.
-    fn note_end(&mut self, life: &TargetLife, proof: EndProof, now: Moment) {
+    fn note_end(&mut self, life: &TargetIncarnation, proof: EndProof, now: Moment) {
         let Some(watched) = self.lives.get_mut(life) else {
             return;
         };
@@ -184,7 +184,7 @@
             let group = runs.first().map_or("", |run| run.facts.group.as_str());
             self.host.note(SuspectEvent::TargetEnded(proof));
             log::warn!(
-                target_id = life.target.as_str(),
+                target_id = life.id.as_str(),
                 group = group,
                 proof = proof.name(),
                 under_way = runs.len(),
@@ -197,8 +197,8 @@
             ran: run.at.saturating_sub(run.facts.sent),
             // A run that was given up says nothing of when its target ended.
             ended: match run.end {
-                RunBreak::Broken => run.at,
-                RunBreak::Abandoned => now,
+                RunEnd::Broken => run.at,
+                RunEnd::Abandoned => now,
             },
             facts: run.facts,
         });
@@ -214,13 +214,13 @@
     fn keep_work_away(&self, now: Moment) {
         for (life, watched) in &self.lives {
             if matches!(watched.state, LifeState::Ended(_)) && self.host.is_listed(life) {
-                self.host.keep_away(&life.target, now + LOOK_INTERVAL * 2);
+                self.host.keep_away(&life.id, now + LOOK_INTERVAL * 2);
             }
         }
     }
 
     fn look(&mut self, now: Moment) {
-        let silent: Vec<TargetLife> = self
+        let silent: Vec<TargetIncarnation> = self
             .lives
             .iter()
             .filter(|(life, watched)| {
@@ -273,7 +273,7 @@
             let LifeState::Ended(proof) = watched.state else {
                 return None;
             };
-            Some(json!({"target": life.target, "proof": proof.name()}))
+            Some(json!({"target": life.id, "proof": proof.name()}))
         });
         json!({
             "watched": self.lives.len(),
--- a/crates/fleet/src/failure.rs
+++ b/crates/fleet/src/failure.rs
@@ -10,19 +10,19 @@
     /// Point of failure.
     pub point: FailurePoint,
     /// The target's own answer, if it made one that may be passed on.
-    pub answer: Option<Box<(http::response::Parts, Bytes)>>,
+    pub response: Option<Box<(http::response::Parts, Bytes)>>,
     /// What became of the connection.
-    pub sign: FailureSign,
+    pub connection: ConnectionFailure,
 }
 
 /// What became of the connection to a target where an attempt failed.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum FailureSign {
+pub enum ConnectionFailure {
     /// Nothing that says more than the point of failure.
     #[default]
-    Plain,
+    None,
     /// It broke while the target had the request.
-    Broke,
+    Broken,
     /// Nobody listened.
     Refused,
 }
@@ -31,11 +31,11 @@
     /// Returns the failure of an answer that had begun.
     pub fn after_head(point: FailurePoint) -> Self {
         let sign = match point {
-            FailurePoint::Truncated => FailureSign::Broke,
-            _ => FailureSign::Plain,
+            FailurePoint::Truncated => ConnectionFailure::Broken,
+            _ => ConnectionFailure::None,
         };
         Self {
-            sign,
+            connection: sign,
             ..point.into()
         }
     }
@@ -45,14 +45,14 @@
     fn from(point: FailurePoint) -> Self {
         Self {
             point,
-            answer: None,
-            sign: FailureSign::default(),
+            response: None,
+            connection: ConnectionFailure::default(),
         }
     }
 }
 
 /// Returns whether a status promises that the request has not run.
-pub fn is_promise(status: StatusCode) -> bool {
+pub fn implies_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::REQUEST_TIMEOUT
@@ -64,36 +64,38 @@
 
 /// Why the wait for an answer's head ended without one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum WaitEnd {
+pub enum HeadWaitError {
     /// The request could not be sent, or its connection broke.
-    Failed(SendFailure),
+    Send(SendFailure),
     /// The request's time is over.
     Deadline,
     /// The target is silent or slow, and there is another one.
-    Moved,
+    Rerouted,
 }
 
-impl From<WaitEnd> for FailedAttempt {
-    fn from(end: WaitEnd) -> Self {
+impl From<HeadWaitError> for FailedAttempt {
+    fn from(end: HeadWaitError) -> Self {
         let sign = match end {
-            WaitEnd::Failed(SendFailure::Broken) => FailureSign::Broke,
-            WaitEnd::Failed(SendFailure::Refused) => FailureSign::Refused,
-            _ => FailureSign::Plain,
+            HeadWaitError::Send(SendFailure::Broken) => ConnectionFailure::Broken,
+            HeadWaitError::Send(SendFailure::Refused) => ConnectionFailure::Refused,
+            _ => ConnectionFailure::None,
         };
         Self {
-            sign,
+            connection: sign,
             ..FailurePoint::from(end).into()
         }
     }
 }
 
-impl From<WaitEnd> for FailurePoint {
-    fn from(end: WaitEnd) -> Self {
+impl From<HeadWaitError> for FailurePoint {
+    fn from(end: HeadWaitError) -> Self {
         match end {
-            WaitEnd::Failed(SendFailure::Connect | SendFailure::Refused) => Self::Connect,
-            WaitEnd::Failed(SendFailure::ClosedBeforeSend) => Self::ClosedBeforeSend,
-            WaitEnd::Failed(SendFailure::Broken) | WaitEnd::Moved => Self::BrokenBeforeHead,
-            WaitEnd::Deadline => Self::AnswerDeadline,
+            HeadWaitError::Send(SendFailure::Connect | SendFailure::Refused) => Self::Connect,
+            HeadWaitError::Send(SendFailure::ClosedBeforeSend) => Self::ClosedBeforeSend,
+            HeadWaitError::Send(SendFailure::Broken) | HeadWaitError::Rerouted => {
+                Self::BrokenBeforeHead
+            }
+            HeadWaitError::Deadline => Self::AnswerDeadline,
         }
     }
 }
--- a/crates/fleet/src/feed.rs
+++ b/crates/fleet/src/feed.rs
@@ -19,7 +19,7 @@
 use http::Method;
 use indexmap::IndexMap;
 
-use crate::costs::{CostKind, CostLedger};
+use crate::costs::{CostCounters, CostKind};
 use crate::feed_doc::{FeedAnswerDoc, FeedQuestionDoc};
 use crate::feed_pace::{ask_at_pace, kind_of, lock, FeedPace, FlightResult};
 use crate::ports::{FeedAnswer, FeedQuestion, FeedSource, SourceError};
@@ -103,12 +103,12 @@
     paces: Mutex<IndexMap<String, Arc<Mutex<FeedPace>>>>,
     /// Milliseconds of the clock at which the store last answered.
     reached: Arc<AtomicU64>,
-    costs: Arc<CostLedger>,
+    costs: Arc<CostCounters>,
 }
 
 impl FeedRelay {
     /// Opens a relay before the store.
-    pub fn open(direct: Arc<dyn FeedSource>, costs: Arc<CostLedger>) -> Self {
+    pub fn open(direct: Arc<dyn FeedSource>, costs: Arc<CostCounters>) -> Self {
         Self {
             direct,
             client: CallerClient::open(Codec::Packed, None),
--- a/crates/fleet/src/fleet_host.rs
+++ b/crates/fleet/src/fleet_host.rs
@@ -10,7 +10,7 @@
 
 use crate::costs::CostKind;
 use crate::ports::{FeedAnswer, FeedMark, ReportError, SourceFuture, SuspectRegistry};
-use crate::run_facts::{RunFacts, TargetLife};
+use crate::run_info::{RunInfo, TargetIncarnation};
 use crate::shared::FleetShared;
 use crate::suspect_host::{EndCount, LifeSign, SuspectEvent, SuspectHost};
 use crate::suspects::SuspectBoard;
@@ -36,39 +36,39 @@
     }
 
     fn holders_of(&self, print: &RequestPrint, count: usize) -> ThingHolders {
-        self.live.read().holders_of(&print.to_string(), count)
+        self.live_view.read().holders_of(&print.to_string(), count)
     }
 
     fn life_sign<'a>(
         &'a self,
-        facts: &'a RunFacts,
+        facts: &'a RunInfo,
         limit: Duration,
     ) -> BoxFuture<'a, Result<LifeSign, ReportError>> {
         Box::pin(async move {
             let targets = &self.platform.targets;
-            let (target, address) = (&facts.life.target, &facts.address);
+            let (target, address) = (&facts.target.id, &facts.address);
             // A single target has nothing to say of itself, but it listens or not.
             if facts.group.is_empty() {
                 let reached = targets.reach(address, limit).await;
                 return reached.map(|()| LifeSign::Listens);
             }
             let report = targets.report(target, address, limit).await?;
-            let is_same = report.incarnation == facts.life.incarnation;
+            let is_same = report.incarnation == facts.target.incarnation;
             is_same.then_some(LifeSign::Lives).ok_or(ReportError::Gone)
         })
     }
 
-    fn is_listed(&self, life: &TargetLife) -> bool {
+    fn is_listed(&self, life: &TargetIncarnation) -> bool {
         let directory = self.directory.load();
-        let record = directory.book.targets().get(&life.target);
+        let record = directory.cache.targets().get(&life.id);
         record.is_some_and(|record| record.incarnation == life.incarnation)
     }
 
     fn end_count(&self) -> EndCount {
         let directory = self.directory.load();
         EndCount {
-            ends: directory.book.ended(),
-            targets: directory.book.targets().len(),
+            ends: directory.cache.ended(),
+            targets: directory.cache.targets().len(),
         }
     }
 
--- a/crates/fleet/src/job.rs
+++ b/crates/fleet/src/job.rs
@@ -13,9 +13,9 @@
 
 use crate::gauge::GaugePlace;
 use crate::ports::CallerAsk;
-use crate::queue::PlaceAsk;
 use crate::run::TargetRun;
-use crate::run_facts::{RunFacts, TargetLife};
+use crate::run_info::{RunInfo, TargetIncarnation};
+use crate::slot_queue::SlotRequest;
 use crate::table::RouteTarget;
 
 /// A request that was identified and matched by a rule.
@@ -58,9 +58,9 @@
     }
 
     /// Returns what the request needs of a target.
-    pub fn place_ask(&self, tried: &[TargetId]) -> PlaceAsk {
+    pub fn place_ask(&self, tried: &[TargetId]) -> SlotRequest {
         let model = self.engine().and(self.ask.model.clone());
-        PlaceAsk {
+        SlotRequest {
             key: (self.service.clone(), model),
             prompt_tokens: self.ask.prompt_tokens,
             tried: tried.to_vec(),
@@ -69,14 +69,14 @@
     }
 
     /// Returns what a run at a target is about that begins at `sent`.
-    pub fn run_at(&self, target: &RouteTarget, sent: Moment) -> RunFacts {
+    pub fn run_at(&self, target: &RouteTarget, sent: Moment) -> RunInfo {
         let group = target.group.as_ref().map(|group| group.id.clone());
-        RunFacts {
+        RunInfo {
             request: self.ask.attempt.clone(),
-            print: self.print,
+            fingerprint: self.print,
             organisation: self.organisation.clone().unwrap_or_default(),
-            life: TargetLife {
-                target: target.id.clone(),
+            target: TargetIncarnation {
+                id: target.id.clone(),
                 incarnation: target.incarnation,
             },
             address: target.address.clone(),
--- a/crates/fleet/src/keeper.rs
+++ b/crates/fleet/src/keeper.rs
@@ -168,17 +168,19 @@
         if let Some(book) = news.book {
             self.adopt(*book);
         }
-        if is_newest && self.shared.book.read().is_some() {
-            self.shared.confirm_book(asked.saturating_sub(news.age));
+        if is_newest && self.shared.config.read().is_some() {
+            self.shared.confirm_config(asked.saturating_sub(news.age));
         }
-        self.question = self.question.after(mark, is_newest, self.shared.book_age());
+        self.question = self
+            .question
+            .after(mark, is_newest, self.shared.config_age());
     }
 
     /// Takes a configuration over if it is newer; an older one read late changes nothing.
     fn adopt(&self, book: TrafficBook) {
         let held = self
             .shared
-            .book
+            .config
             .read()
             .as_ref()
             .as_ref()
@@ -193,8 +195,8 @@
             services = book.services.len();
             "config_adopted"
         );
-        self.shared.metrics.set_config(book.version);
-        self.shared.adopt_book(book);
+        self.shared.metrics.set_config_version(book.version);
+        self.shared.apply_config(book);
     }
 }
 
@@ -232,14 +234,14 @@
     fn dump(&self) -> Value {
         let version = self
             .shared
-            .book
+            .config
             .read()
             .as_ref()
             .as_ref()
             .map(|book| book.version);
         json!({
             "version": version,
-            "age_ms": self.shared.book_age().as_millis() as u64,
+            "age_ms": self.shared.config_age().as_millis() as u64,
             "question": format!("{:?}", self.question),
         })
     }
@@ -306,7 +308,7 @@
         match news {
             DirectoryNews::Whole(mark, listed) => {
                 self.mark = Some(mark);
-                self.view.book.replace(listed, keep);
+                self.view.cache.replace(listed, keep);
             }
             DirectoryNews::Changes(mark, changes) => {
                 self.mark = Some(mark);
@@ -314,17 +316,17 @@
                     return;
                 }
                 for change in changes {
-                    self.view.book.apply(change, keep);
+                    self.view.cache.apply(change, keep);
                 }
             }
         }
-        self.view.is_listed = true;
+        self.view.is_loaded = true;
         self.publish();
         self.await_expiry(link);
     }
 
     fn await_expiry(&mut self, link: &ServiceLink<DirectoryMessage>) {
-        if self.view.book.is_pending() && !self.is_expiring {
+        if self.view.cache.is_pending() && !self.is_expiring {
             self.is_expiring = true;
             link.later(EXPIRE_INTERVAL, DirectoryMessage::Expire);
         }
@@ -332,11 +334,11 @@
 
     fn pace(&self) -> Duration {
         let (least, longest) = DIRECTORY_PACE;
-        (DIRECTORY_SHARE * askers(&self.shared.live.read())).clamp(least, longest)
+        (DIRECTORY_SHARE * askers(&self.shared.live_view.read())).clamp(least, longest)
     }
 
     fn publish(&mut self) {
-        self.view.book.forget_ended();
+        self.view.cache.forget_ended();
         self.shared.directory.publish(self.view.clone());
         self.shared.rebuild_table();
     }
@@ -374,7 +376,7 @@
             DirectoryMessage::Expire => {
                 self.is_expiring = false;
                 // While the directory is away again, nobody can put an entry back.
-                if self.health.lost.is_none() && self.view.book.expire(now) {
+                if self.health.lost.is_none() && self.view.cache.expire(now) {
                     self.publish();
                 }
                 self.await_expiry(link);
@@ -384,7 +386,7 @@
 
     fn dump(&self) -> Value {
         json!({
-            "targets": self.view.book.targets().len(),
+            "targets": self.view.cache.targets().len(),
             "mark": self.mark,
         })
     }
--- a/crates/fleet/src/refusal.rs
+++ b/crates/fleet/src/local_reply.rs
@@ -10,12 +10,12 @@
 /// Range of the time after which callers are told to come back.
 ///
 /// Callers that were refused together must not return together.
-const RETURN_SPREAD: (Duration, Duration) =
+const RETRY_AFTER_RANGE: (Duration, Duration) =
     (Duration::from_millis(200), Duration::from_millis(600));
 
 /// An answer of the node's own.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct OwnAnswer {
+pub struct LocalReply {
     /// Status.
     pub status: StatusCode,
     /// What the body says.
@@ -24,7 +24,7 @@
     pub retry_after: Option<Duration>,
 }
 
-impl OwnAnswer {
+impl LocalReply {
     /// Returns an answer after which coming back is pointless.
     pub fn rejected(status: StatusCode, text: &'static str) -> Self {
         Self {
@@ -36,7 +36,7 @@
 
     /// Returns the promise that the request has not run and will not.
     pub fn not_run(text: &'static str) -> Self {
-        let (least, most) = RETURN_SPREAD;
+        let (least, most) = RETRY_AFTER_RANGE;
         let spread = (most - least).mul_f64(rand::random::<f64>());
         Self {
             status: StatusCode::SERVICE_UNAVAILABLE,
@@ -55,7 +55,7 @@
     }
 
     /// Returns the answer after a failed attempt; only [`Outcome::NotRun`] promises anything.
-    pub fn at(point: FailurePoint) -> Self {
+    pub fn for_failure(point: FailurePoint) -> Self {
         match point.outcome() {
             Outcome::NotRun => Self::not_run(point.code()),
             _ if point == FailurePoint::AnswerDeadline => {
@@ -66,7 +66,7 @@
     }
 
     /// Builds the response.
-    pub fn response(self) -> Response {
+    pub fn into_response(self) -> Response {
         let mut response = reply_text(self.status, self.text);
         if let Some(time) = self.retry_after {
             let text = format!("{:.2}", time.as_secs_f64());
--- a/crates/fleet/src/metrics.rs
+++ b/crates/fleet/src/metrics.rs
@@ -9,7 +9,7 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-use crate::costs::CostLedger;
+use crate::costs::CostCounters;
 
 /// Bounds of the latency histograms, in seconds; the objectives lie between 0.15 and 0.4.
 const LATENCY_BOUNDS: [f64; 12] = [
@@ -25,10 +25,10 @@
     orders: Counter<u64>,
     target_ends: Counter<u64>,
     quarantines: Counter<u64>,
-    refused: Counter<u64>,
+    quarantine_refusals: Counter<u64>,
     latency: Histogram<f64>,
-    first: Histogram<f64>,
-    config: Arc<AtomicU64>,
+    first_event: Histogram<f64>,
+    config_version: Arc<AtomicU64>,
 }
 
 /// Labels of one request.
@@ -48,7 +48,7 @@
     /// # Panics
     ///
     /// Panics when the exporter refuses an empty registry, which it never does.
-    pub fn open(costs: Arc<CostLedger>) -> Self {
+    pub fn new(costs: Arc<CostCounters>) -> Self {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
@@ -82,12 +82,12 @@
             orders: meter.u64_counter("orders").build(),
             target_ends: meter.u64_counter("target_ends").build(),
             quarantines: meter.u64_counter("quarantines").build(),
-            refused: meter.u64_counter("quarantine_refusals").build(),
+            quarantine_refusals: meter.u64_counter("quarantine_refusals").build(),
             latency: histogram("request_seconds"),
-            first: histogram("first_event_seconds"),
+            first_event: histogram("first_event_seconds"),
             registry,
             _provider: provider,
-            config,
+            config_version: config,
         }
     }
 
@@ -105,7 +105,7 @@
     /// Records the time to a stream's first event.
     pub fn record_first_event(&self, service: &str, latency: Duration) {
         let attributes = [KeyValue::new("service", service.to_owned())];
-        self.first.record(latency.as_secs_f64(), &attributes);
+        self.first_event.record(latency.as_secs_f64(), &attributes);
     }
 
     /// Counts one stream that went on at another target.
@@ -135,16 +135,16 @@
     /// Counts one refusal of a request that is not to run any more.
     pub fn count_refusal(&self, organisation: &str) {
         let attributes = [KeyValue::new("organisation", organisation.to_owned())];
-        self.refused.add(1, &attributes);
+        self.quarantine_refusals.add(1, &attributes);
     }
 
     /// Sets the version of the configuration in force.
-    pub fn set_config(&self, version: u64) {
-        self.config.store(version, Ordering::Relaxed);
+    pub fn set_config_version(&self, version: u64) {
+        self.config_version.store(version, Ordering::Relaxed);
     }
 
     /// Returns the page for the scraper.
-    pub fn page(&self) -> Vec<u8> {
+    pub fn render(&self) -> Vec<u8> {
         let mut page = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut page) {
             log::error!(error:% = error; "metrics_unreadable");
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -15,6 +15,7 @@
 use http::{Method, StatusCode};
 use tokio::sync::watch;
 
+use crate::caller_api::CallerApi;
 use crate::controller::GroupController;
 use crate::dispatch::FleetDispatcher;
 use crate::end_watch::EndWatch;
@@ -22,10 +23,9 @@
 use crate::peer_surface::PeerSurface;
 use crate::peers::PeerExchange;
 use crate::ports::FleetPlatform;
-use crate::run::RunReports;
+use crate::run::RunListeners;
 use crate::settings::FleetSettings;
 use crate::shared::{FleetPhase, FleetShared};
-use crate::surface::CallerSurface;
 use crate::suspect_host::SuspectHost;
 use crate::suspect_keeper::{SuspectKeeper, SuspectMessage};
 
@@ -34,11 +34,11 @@
 ///
 /// Requests are taken for that long. One that is taken later might not be finished before the
 /// process has to be gone, and its caller would see the connection end in the middle of the answer.
-const NOTICE_TIME: Duration = Duration::from_millis(2_800);
+const PRE_DRAIN_DELAY: Duration = Duration::from_millis(2_800);
 /// Time kept at the end of the grace for the process to go.
 const EXIT_MARGIN: Duration = Duration::from_millis(700);
 /// Time between looks at whether the last request has ended.
-const DRAIN_CHECK: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Why a node could not start.
 #[derive(Debug, thiserror::Error)]
@@ -80,7 +80,7 @@
         let health = bind("health", &mut settings.health).await?;
         let peers = bind("peers", &mut settings.peers).await?;
         let metrics = bind("metrics", &mut settings.metrics).await?;
-        let shared = FleetShared::open(settings, new_incarnation(), platform);
+        let shared = FleetShared::new(settings, new_incarnation(), platform);
         let settings = &shared.settings;
         let kernel = Kernel::spawn()?;
         kernel.mount(BookKeeper::open(Arc::clone(&shared)))?;
@@ -90,15 +90,15 @@
         let host: Arc<dyn SuspectHost> = Arc::clone(&shared) as Arc<dyn SuspectHost>;
         let suspects = kernel.mount(SuspectKeeper::open(Arc::clone(&host)))?;
         let watch = kernel.mount(EndWatch::open(host, suspects.clone()))?;
-        let reports = RunReports {
+        let reports = RunListeners {
             watch,
             suspects: suspects.clone(),
         };
-        let dispatcher = FleetDispatcher::open(Arc::clone(&shared), exchange, reports);
+        let dispatcher = FleetDispatcher::new(Arc::clone(&shared), exchange, reports);
         let (stop, stopped) = watch::channel(false);
-        let surface = CallerSurface::open(Arc::clone(&shared), dispatcher);
+        let surface = CallerApi::new(Arc::clone(&shared), dispatcher);
         let peer_surface = PeerSurface::open(Arc::clone(&shared), suspects.clone());
-        let state = StateSurface::open(Arc::clone(&shared), kernel, suspects);
+        let state = AdminApi::new(Arc::clone(&shared), kernel, suspects);
         let servers = vec![
             callers.spawn(surface, stopped.clone()),
             peers.spawn(peer_surface, stopped.clone()),
@@ -131,10 +131,10 @@
     pub async fn shutdown(self) {
         let grace = self.shared.settings.grace;
         log::info!(grace_ms = grace.as_millis() as u64; "shutdown_begun");
-        self.shared.enter(FleetPhase::Leaving);
-        let notice = NOTICE_TIME.min(grace / 2);
+        self.shared.set_phase(FleetPhase::Leaving);
+        let notice = PRE_DRAIN_DELAY.min(grace / 2);
         tokio::time::sleep(notice).await;
-        self.shared.enter(FleetPhase::Draining);
+        self.shared.set_phase(FleetPhase::Draining);
         let left = grace.saturating_sub(notice + EXIT_MARGIN);
         let drained = tokio::time::timeout(left, self.drain()).await;
         self.shared.log_costs();
@@ -145,7 +145,7 @@
 
     async fn drain(&self) {
         while self.shared.in_flight.load(Ordering::SeqCst) > 0 {
-            tokio::time::sleep(DRAIN_CHECK).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 }
@@ -170,7 +170,7 @@
 }
 
 /// Answers the balancer's check, the metrics scraper, and requests for the node's state.
-struct StateSurface {
+struct AdminApi {
     shared: Arc<FleetShared>,
     kernel: Kernel,
     suspects: Mailbox<SuspectMessage>,
@@ -179,8 +179,8 @@
 /// Path below which a request's fingerprint names what the operator releases.
 const RELEASE_PATH: &str = "/release/";
 
-impl StateSurface {
-    fn open(
+impl AdminApi {
+    fn new(
         shared: Arc<FleetShared>,
         kernel: Kernel,
         suspects: Mailbox<SuspectMessage>,
@@ -217,7 +217,7 @@
             "/ready" if self.shared.is_ready() => reply_text(StatusCode::OK, "ready"),
             "/ready" => reply_text(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
             "/metrics" => {
-                let page = self.shared.metrics.page();
+                let page = self.shared.metrics.render();
                 reply_bytes(StatusCode::OK, "text/plain; version=0.0.4", page.into())
             }
             "/costs" => reply_json(StatusCode::OK, &self.shared.costs.lines()),
@@ -227,7 +227,7 @@
     }
 }
 
-impl Handler for StateSurface {
+impl Handler for AdminApi {
     fn handle(&self, request: Request) -> BoxFuture<'_, Response> {
         Box::pin(async move {
             let path = request.uri().path().to_owned();
--- a/crates/fleet/src/peers.rs
+++ b/crates/fleet/src/peers.rs
@@ -61,7 +61,7 @@
         has_traffic: shared.has_traffic.load(Ordering::Relaxed),
         work: WorkSum {
             loads: shared.gauges.loads(),
-            loading: shared.loading.load().as_ref().clone(),
+            loading: shared.active_loads.load().as_ref().clone(),
             demand: shared.demand.rates(now),
             arrivals: shared.demand.arrivals(now),
         },
@@ -258,7 +258,7 @@
             let requests = work.loads.get(&gauge.key()).copied();
             gauge.set_remote(requests.unwrap_or(0));
         });
-        self.shared.elsewhere.publish(work);
+        self.shared.peer_work.publish(work);
         self.publish(now);
         let took = BootClock::now().saturating_sub(begun);
         self.shared.costs.count_time(CostKind::WorkFolded, took);
@@ -277,14 +277,14 @@
         self.published = version;
         let view = LiveView::of(&membership, now);
         drop(membership);
-        self.shared.live.publish(view);
+        self.shared.live_view.publish(view);
     }
 
     /// Tells the node that gives a silent target's group orders, at once.
     ///
     /// Through hubs it would hear of it up to half a second later, and the group serves nobody meanwhile.
     fn tell_suspicion(&self, silent: SilentTarget, link: &ServiceLink<PeerMessage>) {
-        let live = self.shared.live.read();
+        let live = self.shared.live_view.read();
         let Some(entry) = live.first_for(&silent.domain, &silent.zone) else {
             return;
         };
--- a/crates/fleet/src/patience.rs
+++ b/crates/fleet/src/prior_wait.rs
@@ -8,23 +8,23 @@
 /// Difference to the longest patience below which a request counts as new.
 ///
 /// A caller that tries again has waited for an answer first, which takes tens of milliseconds.
-const LEAST_WAIT: Duration = Duration::from_millis(40);
+const MIN_PRIOR_WAIT: Duration = Duration::from_millis(40);
 /// Part of a rule's callers that have to state the longest patience before less of it means anything.
 ///
 /// Callers that come back do so once, so at least half of all requests are first ones; some of those
 /// that state the longest are missed while a new longest one is learnt.
-const ALIKE_SHARE: f64 = 0.4;
+const MIN_LONGEST_SHARE: f64 = 0.4;
 /// Weight of the newest request in the part of callers that state the longest patience.
-const ALIKE_SMOOTHING: f64 = 1.0 / 32.0;
+const SHARE_SMOOTHING: f64 = 1.0 / 32.0;
 
 /// Part of the longest patience below which a caller of its own patience counts as one that has waited.
-const SHORT_PART: f64 = 0.8;
+const SHORT_TIMEOUT_FACTOR: f64 = 0.8;
 /// Part of a rule's callers from which on short patience means nothing: they are so by themselves.
-const SHORT_SHARE: f64 = 0.4;
+const MAX_SHORT_SHARE: f64 = 0.4;
 
 /// What the callers of one rule have said they would wait.
 #[derive(Clone, Copy, Debug)]
-struct RulePatience {
+struct RuleTimeouts {
     longest: Duration,
     /// Smoothed part of the callers that stated the longest.
     alike: f64,
@@ -32,9 +32,9 @@
     short: f64,
 }
 
-impl RulePatience {
+impl RuleTimeouts {
     fn note(&mut self, patience: Duration) {
-        if patience > self.longest + LEAST_WAIT {
+        if patience > self.longest + MIN_PRIOR_WAIT {
             self.alike = 0.0;
         }
         let before = self.longest;
@@ -43,28 +43,28 @@
             // By this one's measure all the others were short, so it says nothing of them yet.
             self.short = 1.0;
         }
-        let is_longest = patience + LEAST_WAIT > self.longest;
+        let is_longest = patience + MIN_PRIOR_WAIT > self.longest;
         let sample = if is_longest { 1.0 } else { 0.0 };
-        self.alike += (sample - self.alike) * ALIKE_SMOOTHING;
+        self.alike += (sample - self.alike) * SHARE_SMOOTHING;
         let sample = if patience < self.shortest() { 1.0 } else { 0.0 };
-        self.short += (sample - self.short) * ALIKE_SMOOTHING;
+        self.short += (sample - self.short) * SHARE_SMOOTHING;
     }
 
     /// Returns the least patience of a caller that comes for the first time.
     fn shortest(&self) -> Duration {
-        self.longest.mul_f64(SHORT_PART)
+        self.longest.mul_f64(SHORT_TIMEOUT_FACTOR)
     }
 
     /// Returns the time that a caller who states a patience has waited before, as far as it can be told.
     fn waited(&self, patience: Duration) -> Duration {
-        let waited = if self.alike >= ALIKE_SHARE {
+        let waited = if self.alike >= MIN_LONGEST_SHARE {
             self.longest.saturating_sub(patience)
-        } else if self.short < SHORT_SHARE {
+        } else if self.short < MAX_SHORT_SHARE {
             self.shortest().saturating_sub(patience)
         } else {
             Duration::ZERO
         };
-        if waited < LEAST_WAIT {
+        if waited < MIN_PRIOR_WAIT {
             Duration::ZERO
         } else {
             waited
@@ -80,19 +80,19 @@
 /// callers of most of those that have just come. Only one that states much less than the others can be told to
 /// have waited, unless many do.
 #[derive(Debug, Default)]
-pub struct PatienceBook {
-    rules: Mutex<IndexMap<String, RulePatience>>,
+pub struct PriorWaitEstimator {
+    rules: Mutex<IndexMap<String, RuleTimeouts>>,
 }
 
-impl PatienceBook {
+impl PriorWaitEstimator {
     /// Returns the time that a caller has waited before, judged by what it says it will wait.
     ///
     /// ```
     /// use std::time::Duration;
     ///
-    /// use briarswitch_fleet::patience::PatienceBook;
+    /// use briarswitch_fleet::prior_wait::PriorWaitEstimator;
     ///
-    /// let book = PatienceBook::default();
+    /// let book = PriorWaitEstimator::default();
     /// let at = Duration::from_millis;
     /// for _ in 0..40 {
     ///     assert_eq!(book.waited("chat", Some(at(5_000))), at(0));
@@ -104,7 +104,7 @@
             return Duration::ZERO;
         };
         let mut rules = self.rules.lock().unwrap_or_else(PoisonError::into_inner);
-        let held = rules.entry(rule.to_owned()).or_insert(RulePatience {
+        let held = rules.entry(rule.to_owned()).or_insert(RuleTimeouts {
             longest: patience,
             alike: 0.0,
             short: 0.0,
--- a/crates/fleet/src/relay.rs
+++ b/crates/fleet/src/relay.rs
@@ -10,42 +10,42 @@
 use bytes::Bytes;
 use futures::Stream;
 
-use crate::dispatch::{FleetDispatcher, SILENCE_CHECK};
-use crate::failure::FailureSign;
+use crate::dispatch::{FleetDispatcher, SILENCE_POLL_INTERVAL};
+use crate::failure::ConnectionFailure;
 use crate::gauge::GaugePlace;
 use crate::job::{BegunAnswer, RequestJob};
-use crate::queue::PlacedTarget;
+use crate::slot_queue::ReservedTarget;
 use crate::suspicion::silence_of;
 use crate::trace::{RequestEnd, RequestTrace};
 
 /// Lateness of the node's own timer beyond which silence proves nothing about the target.
-const OWN_LATENESS: Duration = Duration::from_millis(60);
+const MAX_TIMER_DELAY: Duration = Duration::from_millis(60);
 
 /// A stream under way.
 pub struct StreamRelay {
     dispatcher: Arc<FleetDispatcher>,
     job: RequestJob,
-    current: BegunAnswer,
+    response: BegunAnswer,
     splitter: EventSplitter,
     trace: RequestTrace,
     tried: Vec<TargetId>,
-    heard: Moment,
-    is_over: bool,
+    last_received: Moment,
+    has_ended: bool,
 }
 
 /// What became of a stream that was to go on at another target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum GoOnEnd {
+enum ResumeResult {
     /// It goes on.
-    Begun,
+    Resumed,
     /// Nobody listened there.
     Refused,
     /// It ends here.
     Failed,
 }
 
-enum RelayStep {
-    Piece(Bytes),
+enum StreamStep {
+    Chunk(Bytes),
     End,
     Broken,
     /// The request's time is over.
@@ -55,22 +55,22 @@
 
 impl StreamRelay {
     /// Returns the body of the caller's response.
-    pub fn spawn(
+    pub fn start(
         dispatcher: Arc<FleetDispatcher>,
         job: RequestJob,
         begun: BegunAnswer,
         mut trace: RequestTrace,
     ) -> impl Stream<Item = Result<Bytes, io::Error>> + Send + 'static {
-        trace.sent += 1;
+        trace.attempts_sent += 1;
         let relay = Self {
             tried: vec![begun.target.id.clone()],
             dispatcher,
             job,
-            current: begun,
+            response: begun,
             splitter: EventSplitter::default(),
             trace,
-            heard: BootClock::now(),
-            is_over: false,
+            last_received: BootClock::now(),
+            has_ended: false,
         };
         futures::stream::unfold(relay, |mut relay| async move {
             relay.next().await.map(|item| (item, relay))
@@ -78,30 +78,30 @@
     }
 
     async fn next(&mut self) -> Option<Result<Bytes, io::Error>> {
-        if self.is_over {
+        if self.has_ended {
             return None;
         }
         loop {
-            match self.step().await {
-                RelayStep::Piece(piece) => {
+            match self.next_step().await {
+                StreamStep::Chunk(piece) => {
                     let whole = self.splitter.push(&piece);
                     if !whole.is_empty() {
-                        self.note_events();
+                        self.record_events();
                         return Some(Ok(whole));
                     }
                 }
-                RelayStep::End => return self.end(),
-                end @ (RelayStep::Broken | RelayStep::Deadline) => {
-                    if matches!(end, RelayStep::Broken) {
-                        self.current.run.broke("stream_broken");
-                        self.trace.broken += 1;
+                StreamStep::End => return self.finish(),
+                end @ (StreamStep::Broken | StreamStep::Deadline) => {
+                    if matches!(end, StreamStep::Broken) {
+                        self.response.run.report_broken("stream_broken");
+                        self.trace.broken_runs += 1;
                     }
                     self.trace.reason = "stream_broken";
-                    if !self.resume_broken().await {
-                        return Some(Err(self.give_up()));
+                    if !self.resume_after_break().await {
+                        return Some(Err(self.abort()));
                     }
                 }
-                RelayStep::Silent => {
+                StreamStep::Silent => {
                     self.trace.reason = "stream_silent";
                     self.resume().await;
                 }
@@ -109,32 +109,33 @@
         }
     }
 
-    async fn step(&mut self) -> RelayStep {
+    async fn next_step(&mut self) -> StreamStep {
         loop {
-            let timer = tokio::time::timeout(SILENCE_CHECK, self.current.body.next());
+            let timer = tokio::time::timeout(SILENCE_POLL_INTERVAL, self.response.body.next());
             let begun = BootClock::now();
             match timer.await {
-                Ok(Ok(Some(piece))) => return RelayStep::Piece(piece),
-                Ok(Ok(None)) => return RelayStep::End,
-                Ok(Err(_)) => return RelayStep::Broken,
+                Ok(Ok(Some(piece))) => return StreamStep::Chunk(piece),
+                Ok(Ok(None)) => return StreamStep::End,
+                Ok(Err(_)) => return StreamStep::Broken,
                 Err(_) => {}
             }
             let now = BootClock::now();
             if now >= self.job.deadline {
-                return RelayStep::Deadline;
+                return StreamStep::Deadline;
             }
-            let is_late = now.saturating_sub(begun) > SILENCE_CHECK + OWN_LATENESS;
+            let is_late = now.saturating_sub(begun) > SILENCE_POLL_INTERVAL + MAX_TIMER_DELAY;
             if !is_late && self.is_silent(now) {
-                return RelayStep::Silent;
+                return StreamStep::Silent;
             }
         }
     }
 
     /// Returns whether the whole group has been silent for longer than its passes explain.
     fn is_silent(&self, now: Moment) -> bool {
-        let target = &self.current.target;
+        let target = &self.response.target;
         let limit = silence_of(&self.job, target);
-        let is_silent = now.saturating_sub(self.heard) > limit && target.gauge.silence(now) > limit;
+        let is_silent =
+            now.saturating_sub(self.last_received) > limit && target.gauge.silence(now) > limit;
         if is_silent {
             self.dispatcher.suspicion().suspect(target, now);
         }
@@ -144,35 +145,40 @@
     fn may_resume(&self) -> bool {
         let suspects = &self.dispatcher.shared().suspects;
         self.job.rule.is_repeatable()
-            && self.trace.sent < self.job.rule.max_attempts
-            && suspects.may_go_on(&self.job.print, self.trace.broken)
+            && self.trace.attempts_sent < self.job.rule.max_attempts
+            && suspects.may_go_on(&self.job.print, self.trace.broken_runs)
     }
 
-    fn note_events(&mut self) {
+    fn record_events(&mut self) {
         let now = BootClock::now();
         if self.trace.events == 0 {
-            self.current
+            self.response
                 .place
                 .iter_mut()
                 .for_each(GaugePlace::note_read);
-            self.trace.note_first();
-            if self.trace.sent == 1 {
-                let placed = self.trace.arrived + self.trace.waited.unwrap_or_default();
+            self.trace.record_first_event();
+            if self.trace.attempts_sent == 1 {
+                let placed = self.trace.arrived + self.trace.slot_wait.unwrap_or_default();
                 let time = now.saturating_sub(placed);
-                self.dispatcher.placer().note_first(&self.job, time);
+                self.dispatcher
+                    .selector()
+                    .record_first_event(&self.job, time);
             }
         } else {
-            self.trace.pause = self.trace.pause.max(now.saturating_sub(self.heard));
+            self.trace.longest_pause = self
+                .trace
+                .longest_pause
+                .max(now.saturating_sub(self.last_received));
         }
-        self.heard = now;
-        self.current.target.gauge.note_heard(now);
+        self.last_received = now;
+        self.response.target.gauge.note_heard(now);
         self.trace.events = self.splitter.events();
     }
 
     /// Ends the caller's stream; bytes of an event that never ended are passed on as they came.
-    fn end(&mut self) -> Option<Result<Bytes, io::Error>> {
-        self.is_over = true;
-        self.current
+    fn finish(&mut self) -> Option<Result<Bytes, io::Error>> {
+        self.has_ended = true;
+        self.response
             .run
             .complete(&self.dispatcher.shared().suspects);
         self.trace.end(RequestEnd::Answered);
@@ -189,56 +195,56 @@
         }
         let Some(placed) = self
             .dispatcher
-            .placer()
+            .selector()
             .pick(&self.job.place_ask(&self.tried))
         else {
             return false;
         };
-        self.go_on(placed).await == GoOnEnd::Begun
+        self.resume_at(placed).await == ResumeResult::Resumed
     }
 
     /// Goes on elsewhere after the old answer has ended, waiting for a place if none is free.
     ///
     /// Targets often end together, and the next one may be gone as well without anybody knowing yet. One that
     /// refuses the connection has not had the request, so the stream goes on to another.
-    async fn resume_broken(&mut self) -> bool {
-        self.current.place = None;
+    async fn resume_after_break(&mut self) -> bool {
+        self.response.place = None;
         while self.may_resume() {
-            let placer = self.dispatcher.placer();
+            let placer = self.dispatcher.selector();
             let is_begun = self.splitter.last().is_some();
-            let placing = placer.place_again(&self.job, &self.tried, is_begun);
+            let placing = placer.acquire_for_resume(&self.job, &self.tried, is_begun);
             let Ok(placed) = placing.await else {
                 return false;
             };
-            match self.go_on(placed).await {
-                GoOnEnd::Begun => return true,
-                GoOnEnd::Refused => {}
-                GoOnEnd::Failed => return false,
+            match self.resume_at(placed).await {
+                ResumeResult::Resumed => return true,
+                ResumeResult::Refused => {}
+                ResumeResult::Failed => return false,
             }
         }
         false
     }
 
-    async fn go_on(&mut self, (target, place): PlacedTarget) -> GoOnEnd {
+    async fn resume_at(&mut self, (target, place): ReservedTarget) -> ResumeResult {
         if !self.dispatcher.budgets().spend(&self.job.service) {
-            return GoOnEnd::Failed;
+            return ResumeResult::Failed;
         }
-        self.trace.sent += 1;
+        self.trace.attempts_sent += 1;
         let last = self.splitter.last().map(str::to_owned);
         let last = last.or_else(|| self.job.ask.last_event.clone());
         self.tried.push(target.id.clone());
         log::info!(
-            request = self.trace.request.as_str(),
-            from = self.current.target.id.as_str(),
+            request = self.trace.request_id.as_str(),
+            from = self.response.target.id.as_str(),
             to = target.id.as_str(),
             reason = self.trace.reason,
             after_event = last.as_deref().unwrap_or(""),
-            silence_ms = BootClock::now().saturating_sub(self.heard).as_millis() as u64;
+            silence_ms = BootClock::now().saturating_sub(self.last_received).as_millis() as u64;
             "stream_resumed"
         );
         let begun = self
             .dispatcher
-            .begin(&self.job, target, place, last.as_deref(), false)
+            .send(&self.job, target, place, last.as_deref(), false)
             .await;
         match begun {
             Ok(begun) => {
@@ -247,25 +253,25 @@
                     .metrics
                     .count_resume(&self.job.service);
                 self.trace.target.clone_from(&begun.target.id);
-                self.current = begun;
+                self.response = begun;
                 self.splitter.drop_tail();
-                GoOnEnd::Begun
+                ResumeResult::Resumed
             }
             Err(failed) => {
                 self.trace.reason = failed.point.code();
-                if failed.sign == FailureSign::Refused {
-                    self.trace.sent -= 1;
+                if failed.connection == ConnectionFailure::Refused {
+                    self.trace.attempts_sent -= 1;
                     self.dispatcher.budgets().give_back(&self.job.service);
-                    return GoOnEnd::Refused;
+                    return ResumeResult::Refused;
                 }
-                GoOnEnd::Failed
+                ResumeResult::Failed
             }
         }
     }
 
     /// Ends the caller's connection without the end mark, so that the answer does not look whole.
-    fn give_up(&mut self) -> io::Error {
-        self.is_over = true;
+    fn abort(&mut self) -> io::Error {
+        self.has_ended = true;
         self.trace.end(RequestEnd::Unknown);
         io::Error::other("the stream is broken")
     }
@@ -273,7 +279,7 @@
 
 impl Drop for StreamRelay {
     fn drop(&mut self) {
-        self.current.place = None;
-        self.dispatcher.placer().serve_queue();
+        self.response.place = None;
+        self.dispatcher.selector().serve_queue();
     }
 }
--- a/crates/fleet/src/run_facts.rs
+++ b/crates/fleet/src/run_info.rs
@@ -5,24 +5,24 @@
 
 /// One life of a target.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct TargetLife {
+pub struct TargetIncarnation {
     /// Name.
-    pub target: TargetId,
+    pub id: TargetId,
     /// Life under that name; zero where the target does not say.
     pub incarnation: Incarnation,
 }
 
 /// What ran where.
 #[derive(Clone, Debug)]
-pub struct RunFacts {
+pub struct RunInfo {
     /// Id of the caller's attempt.
     pub request: RequestId,
     /// Fingerprint of the request.
-    pub print: RequestPrint,
+    pub fingerprint: RequestPrint,
     /// Organisation; empty where no key is asked for.
     pub organisation: OrganisationId,
     /// Target.
-    pub life: TargetLife,
+    pub target: TargetIncarnation,
     /// Its address.
     pub address: String,
     /// Its domain.
@@ -35,7 +35,7 @@
 
 /// How a run ended that brought no whole answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum RunBreak {
+pub enum RunEnd {
     /// Its connection broke.
     Broken,
     /// Nobody waits for it any more; what became of it is not known.
--- a/crates/fleet/src/scope.rs
+++ b/crates/fleet/src/scope.rs
@@ -68,7 +68,7 @@
             .values()
             .filter(|service| service.engine.is_some())
         {
-            let targets = directory.book.targets().values();
+            let targets = directory.cache.targets().values();
             let of_service: Vec<&Arc<TargetRecord>> = targets
                 .filter(|record| record.service == service.id)
                 .collect();
@@ -86,7 +86,7 @@
         }
         let is_mine = |record: &&Arc<TargetRecord>| own.iter().any(|key| key.holds(record));
         let mine = engines.iter().filter(is_mine).cloned().collect();
-        let unlisted = directory.book.unlisted().values();
+        let unlisted = directory.cache.unlisted().values();
         let unlisted = unlisted.filter(is_mine).cloned().collect();
         Self {
             engines,
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -47,7 +47,7 @@
 struct FieldReader<'a> {
     name: &'a str,
     value: Value,
-    known: Vec<&'static str>,
+    known_fields: Vec<&'static str>,
     findings: Vec<Finding>,
 }
 
@@ -73,7 +73,7 @@
         let mut reader = FieldReader {
             name,
             value,
-            known: Vec::new(),
+            known_fields: Vec::new(),
             findings: Vec::new(),
         };
         let settings = Self {
@@ -100,11 +100,11 @@
 
 impl FieldReader<'_> {
     fn take(&mut self, field: &'static str) -> Value {
-        self.known.push(field);
+        self.known_fields.push(field);
         self.value.get(field).cloned().unwrap_or(Value::Null)
     }
 
-    fn note(&mut self, field: &str, found: &Value, expected: &str) {
+    fn report_invalid(&mut self, field: &str, found: &Value, expected: &str) {
         let place = format!("{}: {field}", self.name);
         let message = match found {
             Value::Null => format!("missing; expected {expected}"),
@@ -118,7 +118,7 @@
         match found.as_str() {
             Some(text) if !text.is_empty() => text.to_owned(),
             _ => {
-                self.note(field, &found, "a text that is not empty");
+                self.report_invalid(field, &found, "a text that is not empty");
                 String::new()
             }
         }
@@ -128,7 +128,7 @@
         let found = self.take(field);
         let text = found.as_str().unwrap_or_default();
         if text.parse::<std::net::SocketAddr>().is_err() {
-            self.note(field, &found, "an IP address with a port");
+            self.report_invalid(field, &found, "an IP address with a port");
         }
         text.to_owned()
     }
@@ -136,7 +136,7 @@
     fn flag(&mut self, field: &'static str) -> bool {
         let found = self.take(field);
         found.as_bool().unwrap_or_else(|| {
-            self.note(field, &found, "true or false");
+            self.report_invalid(field, &found, "true or false");
             false
         })
     }
@@ -146,7 +146,7 @@
         match found.as_f64() {
             Some(number) if number >= 0.0 => number,
             _ => {
-                self.note(field, &found, "a number of 0 or more");
+                self.report_invalid(field, &found, "a number of 0 or more");
                 0.0
             }
         }
@@ -160,7 +160,7 @@
         let found = self.take(field);
         let level = found.as_str().and_then(|text| text.parse().ok());
         level.unwrap_or_else(|| {
-            self.note(field, &found, "off, error, warn, info, debug or trace");
+            self.report_invalid(field, &found, "off, error, warn, info, debug or trace");
             log::LevelFilter::Info
         })
     }
@@ -168,7 +168,7 @@
     fn finish(mut self, settings: FleetSettings) -> Result<FleetSettings, Vec<Finding>> {
         let given = self.value.as_object().cloned().unwrap_or_default();
         for field in given.keys() {
-            if !self.known.contains(&field.as_str()) {
+            if !self.known_fields.contains(&field.as_str()) {
                 let place = format!("{}: {field}", self.name);
                 self.findings.push(Finding::new(place, "no such setting"));
             }
--- a/crates/fleet/src/shared.rs
+++ b/crates/fleet/src/shared.rs
@@ -13,7 +13,7 @@
 use indexmap::IndexMap;
 use tokio::sync::watch;
 
-use crate::costs::{CostKind, CostLedger};
+use crate::costs::{CostCounters, CostKind};
 use crate::demand::DemandMeter;
 use crate::feed::FeedRelay;
 use crate::gauge::GaugeBoard;
@@ -26,13 +26,13 @@
 /// Part of a key's validity after which it is no longer trusted.
 ///
 /// The rest covers what passes between the check and the request's dispatch.
-const KEY_MARGIN: f64 = 0.95;
+const KEY_TRUST_FRACTION: f64 = 0.95;
 
 /// Longest time to wait at the start for the registry of nodes.
-const PEERS_TIME: Duration = Duration::from_secs(2);
+const PEER_DISCOVERY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time after the start in which callers wait for the first configuration.
-const FIRST_BOOK_TIME: Duration = Duration::from_millis(1_000);
+const INITIAL_CONFIG_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// How far a node is in its life.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -50,9 +50,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct DirectoryView {
     /// Targets.
-    pub book: TargetBook,
+    pub cache: TargetBook,
     /// Whether it was ever read.
-    pub is_listed: bool,
+    pub is_loaded: bool,
 }
 
 /// A node's shared state.
@@ -66,50 +66,50 @@
     /// Changes of the store's tables, asked for together with other nodes.
     pub feed: FeedRelay,
     /// Configuration in force.
-    pub book: Snapshot<Option<TrafficBook>>,
+    pub config: Snapshot<Option<TrafficBook>>,
     /// Directory.
     pub directory: Snapshot<DirectoryView>,
     /// Where requests may go.
-    pub table: Snapshot<TargetTable>,
+    pub routing_table: Snapshot<TargetTable>,
     /// Requests under which targets have ended.
     pub suspects: SuspectBoard,
     /// Load and liveness of targets.
     pub gauges: GaugeBoard,
     /// The other nodes that live.
-    pub live: Snapshot<LiveView>,
+    pub live_view: Snapshot<LiveView>,
     /// Work of all other nodes.
-    pub elsewhere: Snapshot<WorkSum>,
+    pub peer_work: Snapshot<WorkSum>,
     /// Whether the registry of nodes was read, or could not be.
     pub peers_known: watch::Sender<bool>,
     /// Whether a configuration was known to be the newest one; before that no key is trusted.
-    pub book_known: watch::Sender<bool>,
+    pub config_known: watch::Sender<bool>,
     /// When the node was opened.
-    pub opened: Moment,
+    pub started_at: Moment,
     /// What callers ask for.
     pub demand: DemandMeter,
     /// What it spends on knowing what it knows.
-    pub costs: Arc<CostLedger>,
+    pub costs: Arc<CostCounters>,
     /// Counters and histograms.
     pub metrics: FleetMetrics,
     /// Requests that were read and not answered to the end.
     pub in_flight: AtomicUsize,
     /// Loads from the weight store under way in this node's domains, by model.
-    pub loading: Snapshot<IndexMap<ModelId, u32>>,
+    pub active_loads: Snapshot<IndexMap<ModelId, u32>>,
     /// Whether any caller's request has been seen, here or at a peer.
     pub has_traffic: AtomicBool,
     membership: Mutex<Membership>,
-    confirmed: AtomicU64,
+    config_confirmed_ms: AtomicU64,
     phase: AtomicU8,
 }
 
 impl FleetShared {
     /// Opens the state of a node that knows nothing yet.
-    pub fn open(
+    pub fn new(
         settings: FleetSettings,
         incarnation: Incarnation,
         platform: FleetPlatform,
     ) -> Arc<Self> {
-        let costs = Arc::new(CostLedger::default());
+        let costs = Arc::new(CostCounters::default());
         let own = NodeEntry {
             node: settings.node.clone(),
             zone: settings.zone.clone(),
@@ -121,24 +121,24 @@
             settings,
             incarnation,
             feed: FeedRelay::open(Arc::clone(&platform.feed), Arc::clone(&costs)),
-            book: Snapshot::open(None),
+            config: Snapshot::open(None),
             directory: Snapshot::open(DirectoryView::default()),
-            table: Snapshot::open(TargetTable::default()),
+            routing_table: Snapshot::open(TargetTable::default()),
             suspects: SuspectBoard::open(Arc::clone(&platform.clock)),
             gauges: GaugeBoard::default(),
-            live: Snapshot::open(LiveView::open(own.clone())),
+            live_view: Snapshot::open(LiveView::open(own.clone())),
             membership: Mutex::new(Membership::open(own)),
             peers_known: watch::Sender::new(false),
-            book_known: watch::Sender::new(false),
-            opened: BootClock::now(),
-            elsewhere: Snapshot::open(WorkSum::default()),
+            config_known: watch::Sender::new(false),
+            started_at: BootClock::now(),
+            peer_work: Snapshot::open(WorkSum::default()),
             demand: DemandMeter::default(),
-            metrics: FleetMetrics::open(Arc::clone(&costs)),
+            metrics: FleetMetrics::new(Arc::clone(&costs)),
             costs,
             in_flight: AtomicUsize::new(0),
-            loading: Snapshot::open(IndexMap::new()),
+            active_loads: Snapshot::open(IndexMap::new()),
             has_traffic: AtomicBool::new(false),
-            confirmed: AtomicU64::new(0),
+            config_confirmed_ms: AtomicU64::new(0),
             phase: AtomicU8::new(FleetPhase::Running as u8),
             platform,
         })
@@ -154,41 +154,41 @@
     }
 
     /// Moves the node on in its life.
-    pub fn enter(&self, phase: FleetPhase) {
+    pub fn set_phase(&self, phase: FleetPhase) {
         self.phase.store(phase as u8, Ordering::SeqCst);
     }
 
     /// Puts a configuration in force.
-    pub fn adopt_book(&self, book: TrafficBook) {
-        self.book.publish(Some(book));
+    pub fn apply_config(&self, book: TrafficBook) {
+        self.config.publish(Some(book));
         self.rebuild_table();
     }
 
     /// Returns the configuration in force; a node that has just started waits a moment for its first one.
     ///
     /// Callers come as soon as the node listens. One that is refused then comes back late, and once only.
-    pub async fn first_book(&self) -> Arc<Option<TrafficBook>> {
-        if *self.book_known.borrow() {
-            return self.book.load();
+    pub async fn initial_config(&self) -> Arc<Option<TrafficBook>> {
+        if *self.config_known.borrow() {
+            return self.config.load();
         }
-        let left = (self.opened + FIRST_BOOK_TIME).saturating_sub(BootClock::now());
-        let mut known = self.book_known.subscribe();
+        let left = (self.started_at + INITIAL_CONFIG_TIMEOUT).saturating_sub(BootClock::now());
+        let mut known = self.config_known.subscribe();
         let known = known.wait_for(|is_known| *is_known);
         // Without one the caller is told to come back.
         let _ = tokio::time::timeout(left, known).await;
-        self.book.load()
+        self.config.load()
     }
 
     /// Notes that the configuration held was the newest when the store was asked at `asked`.
-    pub fn confirm_book(&self, asked: Moment) {
+    pub fn confirm_config(&self, asked: Moment) {
         let millis = u64::try_from(asked.as_millis()).unwrap_or(u64::MAX);
-        self.confirmed.fetch_max(millis, Ordering::SeqCst);
-        self.book_known.send_replace(true);
+        self.config_confirmed_ms.fetch_max(millis, Ordering::SeqCst);
+        self.config_known.send_replace(true);
     }
 
     /// Returns how long ago the configuration was last known to be the newest.
-    pub fn book_age(&self) -> Duration {
-        let confirmed = Duration::from_millis(self.confirmed.load(Ordering::SeqCst));
+    pub fn config_age(&self) -> Duration {
+        let confirmed = Duration::from_millis(self.config_confirmed_ms.load(Ordering::SeqCst));
         BootClock::now().saturating_sub(confirmed)
     }
 
@@ -198,15 +198,15 @@
     /// the store was asked, on the clock that goes on during suspension, so that neither a slow
     /// answer nor a frozen machine lengthens the time for which a removed key works.
     pub fn trusts_keys(&self) -> bool {
-        let limit = self.settings.key_validity.mul_f64(KEY_MARGIN);
-        !self.settings.fails_closed || self.book_age() < limit
+        let limit = self.settings.key_validity.mul_f64(KEY_TRUST_FRACTION);
+        !self.settings.fails_closed || self.config_age() < limit
     }
 
     /// Returns whether the balancer may send callers here.
     pub fn is_ready(&self) -> bool {
         self.phase() == FleetPhase::Running
-            && self.book.read().is_some()
-            && self.directory.read().is_listed
+            && self.config.read().is_some()
+            && self.directory.read().is_loaded
             && self.trusts_keys()
     }
 
@@ -226,13 +226,13 @@
             mark,
             wait,
         };
-        self.await_peers().await;
-        self.feed.changes(&self.live.load(), question).await
+        self.wait_for_peers().await;
+        self.feed.changes(&self.live_view.load(), question).await
     }
 
     /// Writes what was spent so far to the log.
     pub fn log_costs(&self) {
-        let costs = self.costs.text();
+        let costs = self.costs.summary();
         log::info!(costs = costs.as_str(); "node_costs");
     }
 
@@ -252,31 +252,31 @@
     ///
     /// Were nodes that start together to read everything themselves, 295 of them would read the list of
     /// targets, half a megabyte, within a second.
-    async fn await_peers(&self) {
+    async fn wait_for_peers(&self) {
         let mut known = self.peers_known.subscribe();
         let known = known.wait_for(|is_known| *is_known);
         // Nobody may be found; the store is asked then.
-        let _ = tokio::time::timeout(PEERS_TIME, known).await;
+        let _ = tokio::time::timeout(PEER_DISCOVERY_TIMEOUT, known).await;
     }
 
     /// Returns this node's part of what all live nodes ask, among ranks for something.
     pub fn weight_for(&self, thing: &str, now: Moment) -> NodeWeight {
         let own = self.demand.arrivals(now).values().sum();
-        self.live.read().weight_for(thing, own)
+        self.live_view.read().weight_for(thing, own)
     }
 
     /// Rebuilds the table of targets from the directory and the configuration in force.
     pub fn rebuild_table(&self) {
-        let book = self.book.load();
+        let book = self.config.load();
         let Some(book) = book.as_ref() else {
             return;
         };
         let begun = BootClock::now();
         let directory = self.directory.load();
-        let targets = directory.book.targets();
-        let before = self.table.load();
-        let table = TargetTable::build(book, &directory.book, &before, &self.gauges);
-        self.table.publish(table);
+        let targets = directory.cache.targets();
+        let before = self.routing_table.load();
+        let table = TargetTable::build(book, &directory.cache, &before, &self.gauges);
+        self.routing_table.publish(table);
         self.gauges.retain(|id| targets.contains_key(id));
         let took = BootClock::now().saturating_sub(begun);
         self.costs.count_time(CostKind::TableBuilt, took);
--- a/crates/fleet/src/queue.rs
+++ b/crates/fleet/src/slot_queue.rs
@@ -13,16 +13,16 @@
 use crate::table::RouteTarget;
 
 /// Weight of the newest sample in the usual time to the first event.
-const FIRST_SMOOTHING: f64 = 0.1;
+const FIRST_EVENT_SMOOTHING: f64 = 0.1;
 
 /// Names the targets that requests compete for: a service, and a model where it has several.
 pub type QueueKey = (ServiceId, Option<ModelId>);
 /// A place at a target.
-pub type PlacedTarget = (Arc<RouteTarget>, GaugePlace);
+pub type ReservedTarget = (Arc<RouteTarget>, GaugePlace);
 
 /// What a waiting request needs of its target.
 #[derive(Clone, Debug)]
-pub struct PlaceAsk {
+pub struct SlotRequest {
     /// Targets it competes for.
     pub key: QueueKey,
     /// Tokens of its prompt.
@@ -35,25 +35,25 @@
 
 struct Waiter {
     ticket: u64,
-    ask: PlaceAsk,
+    slot_request: SlotRequest,
     request: WaitingRequest,
-    reply: oneshot::Sender<PlacedTarget>,
+    reply: oneshot::Sender<ReservedTarget>,
 }
 
 #[derive(Default)]
 struct QueueState {
     waiters: IndexMap<QueueKey, Vec<Waiter>>,
-    first: IndexMap<QueueKey, Duration>,
-    next: u64,
+    first_event_times: IndexMap<QueueKey, Duration>,
+    next_ticket: u64,
 }
 
 /// Requests in order of who goes next.
 #[derive(Default)]
-pub struct PlaceQueue {
+pub struct SlotQueue {
     state: Mutex<QueueState>,
 }
 
-impl PlaceQueue {
+impl SlotQueue {
     /// Returns whether anybody waits for these targets.
     pub fn has_waiters(&self, key: &QueueKey) -> bool {
         let state = self.lock();
@@ -64,15 +64,19 @@
     }
 
     /// Notes the time from a place to the first event there.
-    pub fn note_first(&self, key: &QueueKey, time: Duration) {
+    pub fn record_first_event(&self, key: &QueueKey, time: Duration) {
         let mut state = self.lock();
-        let held = state.first.entry(key.clone()).or_insert(time);
-        *held = held.mul_f64(1.0 - FIRST_SMOOTHING) + time.mul_f64(FIRST_SMOOTHING);
+        let held = state.first_event_times.entry(key.clone()).or_insert(time);
+        *held = held.mul_f64(1.0 - FIRST_EVENT_SMOOTHING) + time.mul_f64(FIRST_EVENT_SMOOTHING);
     }
 
     /// Returns the time that usually passes from a place to the first event there.
-    pub fn usual_first(&self, key: &QueueKey) -> Duration {
-        self.lock().first.get(key).copied().unwrap_or_default()
+    pub fn usual_first_event_time(&self, key: &QueueKey) -> Duration {
+        self.lock()
+            .first_event_times
+            .get(key)
+            .copied()
+            .unwrap_or_default()
     }
 
     /// Returns how many wait.
@@ -88,17 +92,17 @@
     /// Puts a request in the queue; the receiver yields its place.
     pub fn push(
         &self,
-        ask: PlaceAsk,
+        ask: SlotRequest,
         request: WaitingRequest,
-    ) -> (u64, oneshot::Receiver<PlacedTarget>) {
+    ) -> (u64, oneshot::Receiver<ReservedTarget>) {
         let (reply, place) = oneshot::channel();
         let mut state = self.lock();
-        let ticket = state.next;
-        state.next += 1;
+        let ticket = state.next_ticket;
+        state.next_ticket += 1;
         let key = ask.key.clone();
         state.waiters.entry(key).or_default().push(Waiter {
             ticket,
-            ask,
+            slot_request: ask,
             request,
             reply,
         });
@@ -114,7 +118,7 @@
     }
 
     /// Gives out places as long as `pick` finds one for whoever goes next.
-    pub fn serve(&self, pick: impl Fn(&PlaceAsk) -> Option<PlacedTarget>) {
+    pub fn serve(&self, pick: impl Fn(&SlotRequest) -> Option<ReservedTarget>) {
         let now = BootClock::now();
         let mut state = self.lock();
         for waiters in state.waiters.values_mut() {
@@ -125,8 +129,8 @@
                 let Some(index) = next_waiting(&requests, now) else {
                     break;
                 };
-                waiters[index].ask.is_late = requests[index].is_late(now);
-                let Some(placed) = pick(&waiters[index].ask) else {
+                waiters[index].slot_request.is_late = requests[index].is_late(now);
+                let Some(placed) = pick(&waiters[index].slot_request) else {
                     break;
                 };
                 let waiter = waiters.remove(index);
@@ -145,12 +149,12 @@
 /// Waits for a place until the request is to be refused.
 ///
 /// `look` is called now and then, for places that come free without this node hearing of it.
-pub async fn wait_for_place(
-    mut place: oneshot::Receiver<PlacedTarget>,
+pub async fn wait_for_slot(
+    mut place: oneshot::Receiver<ReservedTarget>,
     request: WaitingRequest,
     interval: Duration,
     mut look: impl FnMut(),
-) -> Option<PlacedTarget> {
+) -> Option<ReservedTarget> {
     loop {
         match tokio::time::timeout(interval, &mut place).await {
             Ok(placed) => return placed.ok(),
--- a/crates/fleet/src/suspect_host.rs
+++ b/crates/fleet/src/suspect_host.rs
@@ -12,7 +12,7 @@
 use futures::future::BoxFuture;
 
 use crate::ports::{FeedAnswer, FeedMark, ReportError, SourceFuture, SuspectRegistry};
-use crate::run_facts::{RunFacts, TargetLife};
+use crate::run_info::{RunInfo, TargetIncarnation};
 use crate::suspects::SuspectBoard;
 
 /// What shows that a life of a target has ended.
@@ -93,12 +93,12 @@
     /// Finds out whether the target of a run that broke lives.
     fn life_sign<'a>(
         &'a self,
-        facts: &'a RunFacts,
+        facts: &'a RunInfo,
         limit: Duration,
     ) -> BoxFuture<'a, Result<LifeSign, ReportError>>;
 
     /// Returns whether the directory lists a life, as far as this node follows it.
-    fn is_listed(&self, life: &TargetLife) -> bool;
+    fn is_listed(&self, life: &TargetIncarnation) -> bool;
 
     /// Returns how many targets have ended.
     fn end_count(&self) -> EndCount;
--- a/crates/fleet/src/suspect_keeper.rs
+++ b/crates/fleet/src/suspect_keeper.rs
@@ -22,7 +22,7 @@
 
 use crate::keeper::{retry_pause, SourceHealth};
 use crate::ports::{FeedMark, SourceError, SuspectChange, SuspectKey, SuspectRow};
-use crate::run_facts::RunFacts;
+use crate::run_info::RunInfo;
 use crate::suspect_doc::SuspectDoc;
 use crate::suspect_host::{SuspectEvent, SuspectHost};
 use crate::suspect_table::{SuspectBatch, SuspectTable};
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug)]
 pub struct FatalRun {
     /// What ran where.
-    pub facts: RunFacts,
+    pub facts: RunInfo,
     /// How long it had run when the end was seen.
     pub ran: Duration,
     /// When the target ended, as far as the run tells.
@@ -131,23 +131,23 @@
             let since = link.now().saturating_sub(ended).as_millis() as StoreMillis;
             let at = store_now.saturating_sub(since);
             let target = EndedTarget {
-                target: &facts.life.target,
-                incarnation: facts.life.incarnation,
+                target: &facts.target.id,
+                incarnation: facts.target.incarnation,
                 domain: &facts.domain,
             };
-            let end = EndSign::of(facts.print, target, at, ran, rate);
+            let end = EndSign::of(facts.fingerprint, target, at, ran, rate);
             if end.chance > USELESS_CHANCE {
                 continue;
             }
             self.host.suspects().take(&SuspectRow::End(end));
             log::info!(
                 request = facts.request.as_str(),
-                print:% = facts.print,
+                print:% = facts.fingerprint,
                 organisation = facts.organisation.as_str(),
-                target_id = facts.life.target.as_str(),
+                target_id = facts.target.id.as_str(),
                 ran_ms = ran.as_millis() as u64,
                 chance_permille = end.chance,
-                ends = self.host.suspects().ends(&facts.print);
+                ends = self.host.suspects().ends(&facts.fingerprint);
                 "end_counted"
             );
             ends.push(end);
--- a/crates/fleet/src/placer.rs
+++ b/crates/fleet/src/target_selector.rs
@@ -14,26 +14,26 @@
 use crate::gauge::GaugePlace;
 use crate::job::RequestJob;
 use crate::peers::KNOWN_TIME;
-use crate::queue::{wait_for_place, PlaceAsk, PlaceQueue, PlacedTarget, QueueKey};
 use crate::shared::FleetShared;
+use crate::slot_queue::{wait_for_slot, QueueKey, ReservedTarget, SlotQueue, SlotRequest};
 use crate::table::RouteTarget;
 
 /// Time between looks for a free place while nothing wakes the request.
-const PLACE_CHECK: Duration = Duration::from_millis(25);
+const SLOT_POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// Weight of the share of failures against load: one that fails always counts as full twice over.
 const FAILURE_WEIGHT: f64 = 2.0;
 /// Places of another zone's target that count as taken, for the way there and back.
-const FAR_PLACES: f64 = 0.5;
+const REMOTE_ZONE_PENALTY_SLOTS: f64 = 0.5;
 
 /// Finds places at targets.
-pub struct TargetPlacer {
+pub struct TargetSelector {
     shared: Arc<FleetShared>,
-    queue: PlaceQueue,
+    queue: SlotQueue,
 }
 
 /// Takes a request out of the queue when its caller leaves or its place is found.
 struct QueueGuard<'a> {
-    queue: &'a PlaceQueue,
+    queue: &'a SlotQueue,
     key: &'a QueueKey,
     ticket: u64,
 }
@@ -44,12 +44,12 @@
     }
 }
 
-impl TargetPlacer {
+impl TargetSelector {
     /// Opens a placer without waiting requests.
-    pub fn open(shared: Arc<FleetShared>) -> Self {
+    pub fn new(shared: Arc<FleetShared>) -> Self {
         Self {
             shared,
-            queue: PlaceQueue::default(),
+            queue: SlotQueue::default(),
         }
     }
 
@@ -58,17 +58,17 @@
     /// # Errors
     ///
     /// Returns the point to tell the caller when no place came free in time.
-    pub async fn place(
+    pub async fn acquire(
         &self,
         job: &RequestJob,
         tried: &[TargetId],
-    ) -> Result<PlacedTarget, FailurePoint> {
+    ) -> Result<ReservedTarget, FailurePoint> {
         let terms = WaitTerms {
             arrived: job.arrived,
             waited_before: job.waited_before,
             ..WaitTerms::default()
         };
-        self.place_on(job, tried, terms).await
+        self.acquire_with(job, tried, terms).await
     }
 
     /// Finds a target for a stream that broke off and is to go on.
@@ -79,31 +79,31 @@
     /// # Errors
     ///
     /// Returns the point to tell the caller when no place came free in time.
-    pub async fn place_again(
+    pub async fn acquire_for_resume(
         &self,
         job: &RequestJob,
         tried: &[TargetId],
         is_begun: bool,
-    ) -> Result<PlacedTarget, FailurePoint> {
+    ) -> Result<ReservedTarget, FailurePoint> {
         let terms = WaitTerms {
             arrived: BootClock::now(),
             is_begun,
             ..WaitTerms::default()
         };
-        self.place_on(job, tried, terms).await
+        self.acquire_with(job, tried, terms).await
     }
 
     /// Finds a target on terms that lack what the request and its rule say.
-    async fn place_on(
+    async fn acquire_with(
         &self,
         job: &RequestJob,
         tried: &[TargetId],
         terms: WaitTerms,
-    ) -> Result<PlacedTarget, FailurePoint> {
+    ) -> Result<ReservedTarget, FailurePoint> {
         let mut ask = job.place_ask(tried);
         let request = WaitingRequest::open(WaitTerms {
             objective: job.rule.objective,
-            first: self.queue.usual_first(&ask.key),
+            first: self.queue.usual_first_event_time(&ask.key),
             deadline: job.deadline,
             priority: job.priority,
             ..terms
@@ -123,7 +123,7 @@
             key: &key,
             ticket,
         };
-        let placed = wait_for_place(place, request, PLACE_CHECK, || self.serve_queue()).await;
+        let placed = wait_for_slot(place, request, SLOT_POLL_INTERVAL, || self.serve_queue()).await;
         placed.ok_or(FailurePoint::NoTarget)
     }
 
@@ -135,14 +135,14 @@
     }
 
     /// Notes the time from a place to the first event there.
-    pub fn note_first(&self, job: &RequestJob, time: Duration) {
-        self.queue.note_first(&job.place_ask(&[]).key, time);
+    pub fn record_first_event(&self, job: &RequestJob, time: Duration) {
+        self.queue.record_first_event(&job.place_ask(&[]).key, time);
     }
 
     /// Picks a target now; `None` when each is full, suspect or tried.
-    pub fn pick(&self, ask: &PlaceAsk) -> Option<PlacedTarget> {
-        let table = self.shared.table.load();
-        let book = self.shared.book.load();
+    pub fn pick(&self, ask: &SlotRequest) -> Option<ReservedTarget> {
+        let table = self.shared.routing_table.load();
+        let book = self.shared.config.load();
         let now = BootClock::now();
         let (service, model) = &ask.key;
         let service_spec = book.as_ref().as_ref()?.services.get(service);
@@ -159,35 +159,35 @@
                     .iter()
                     .map(|group| GroupLoad {
                         is_for_late: ask.is_late,
-                        ..self.load_of(engine, group, now)
+                        ..self.group_load(engine, group, now)
                     })
                     .collect();
-                let elsewhere = self.shared.elsewhere.read();
+                let elsewhere = self.shared.peer_work.read();
                 let arrivals = elsewhere.arrivals.get(&model.id).copied();
                 let terms = PlaceTerms {
                     prompt: ask.prompt_tokens,
                     unseen: arrivals.unwrap_or_default() * KNOWN_TIME.as_secs_f64(),
                     draw: rand::random(),
-                    turn: self.turn(&model.id, now),
+                    turn: self.overflow_turn(&model.id, now),
                 };
                 let index = pick_group(engine, model, &loads, &terms)?;
                 open[index]
             }
-            None => self.pick_plain(table.plain(service), &ask.tried, now)?,
+            None => self.pick_single(table.plain(service), &ask.tried, now)?,
         };
         let place = GaugePlace::open(&target.gauge, ask.prompt_tokens, now);
         Some((Arc::clone(target), place))
     }
 
     /// Returns this node's turn among all nodes to use places beyond its share of a model's groups.
-    fn turn(&self, model: &str, now: Moment) -> f64 {
+    fn overflow_turn(&self, model: &str, now: Moment) -> f64 {
         let window = now.as_millis() / KNOWN_TIME.as_millis();
         let seed = xxh3_64(model.as_bytes()) ^ self.shared.incarnation ^ window as u64;
         let hash = xxh3_64_with_seed(self.shared.settings.node.as_bytes(), seed);
         hash as f64 / u64::MAX as f64
     }
 
-    fn load_of(&self, engine: &EngineModel, group: &RouteTarget, now: Moment) -> GroupLoad {
+    fn group_load(&self, engine: &EngineModel, group: &RouteTarget, now: Moment) -> GroupLoad {
         let own = &self.shared.settings.zone;
         let delay = engine.delays.iter().find(|delay| {
             (&delay.from == own && delay.to == group.zone)
@@ -200,7 +200,7 @@
             writers: group.gauge.load_at(now),
             own: group.gauge.own(),
             fresh: group.gauge.fresh(),
-            nodes: self.shared.live.read().live_nodes(),
+            nodes: self.shared.live_view.read().live_nodes(),
             unread_tokens: group.gauge.unread(),
             delay: delay.map_or(Duration::ZERO, |delay| delay.delay),
             is_queueing: group.gauge.is_queueing(now),
@@ -209,7 +209,7 @@
     }
 
     /// Picks the single target with the least work, counting failures as work.
-    fn pick_plain<'a>(
+    fn pick_single<'a>(
         &self,
         targets: &'a [Arc<RouteTarget>],
         tried: &[TargetId],
@@ -219,7 +219,11 @@
             let slots = f64::from(target.slots.max(1));
             let load = f64::from(target.gauge.writers()) / slots;
             let is_far = target.zone != self.shared.settings.zone;
-            let away = if is_far { FAR_PLACES / slots } else { 0.0 };
+            let away = if is_far {
+                REMOTE_ZONE_PENALTY_SLOTS / slots
+            } else {
+                0.0
+            };
             load + away + target.gauge.failing() * FAILURE_WEIGHT
         };
         let open = targets
--- a/crates/fleet/src/trace.rs
+++ b/crates/fleet/src/trace.rs
@@ -46,9 +46,9 @@
 pub struct RequestTrace {
     shared: Arc<FleetShared>,
     /// Id that the caller gave the attempt.
-    pub request: RequestId,
+    pub request_id: RequestId,
     /// Fingerprint, once the request was read.
-    pub print: Option<RequestPrint>,
+    pub fingerprint: Option<RequestPrint>,
     /// When its head was read.
     pub arrived: Moment,
     /// Organisation.
@@ -56,7 +56,7 @@
     /// Rule that matched.
     pub rule: String,
     /// Configuration that the rule is from.
-    pub version: ConfigVersion,
+    pub config_version: ConfigVersion,
     /// Service.
     pub service: ServiceId,
     /// Target of the last attempt.
@@ -66,23 +66,23 @@
     /// Tokens of its prompt; zero where it has none.
     pub prompt_tokens: u64,
     /// Most tokens that its answer may have; zero where the caller does not say.
-    pub most_tokens: u64,
+    pub max_tokens: u64,
     /// Time that the caller said it would wait.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// Time for which the caller is thought to have waited before.
     pub waited_before: Duration,
     /// Attempts sent.
-    pub sent: u32,
+    pub attempts_sent: u32,
     /// Runs of this attempt whose connection broke.
-    pub broken: usize,
+    pub broken_runs: usize,
     /// Why the last attempt or the request failed.
     pub reason: &'static str,
     /// Time until the first place at a target was found.
-    pub waited: Option<Duration>,
+    pub slot_wait: Option<Duration>,
     /// Time to the first event.
-    pub first: Option<Duration>,
+    pub first_event: Option<Duration>,
     /// Longest pause between events.
-    pub pause: Duration,
+    pub longest_pause: Duration,
     /// Events delivered.
     pub events: u64,
     end: Option<RequestEnd>,
@@ -90,37 +90,37 @@
 
 impl RequestTrace {
     /// Begins a request.
-    pub fn open(shared: &Arc<FleetShared>, request: &str, arrived: Moment) -> Self {
+    pub fn begin(shared: &Arc<FleetShared>, request: &str, arrived: Moment) -> Self {
         shared.in_flight.fetch_add(1, Ordering::SeqCst);
         Self {
             shared: Arc::clone(shared),
-            request: request.to_owned(),
-            print: None,
+            request_id: request.to_owned(),
+            fingerprint: None,
             arrived,
             organisation: OrganisationId::new(),
             rule: String::new(),
-            version: 0,
+            config_version: 0,
             service: ServiceId::new(),
             target: TargetId::new(),
             group: GroupId::new(),
             prompt_tokens: 0,
-            most_tokens: 0,
-            patience: Duration::ZERO,
+            max_tokens: 0,
+            timeout: Duration::ZERO,
             waited_before: Duration::ZERO,
-            sent: 0,
-            broken: 0,
+            attempts_sent: 0,
+            broken_runs: 0,
             reason: "",
-            waited: None,
-            first: None,
-            pause: Duration::ZERO,
+            slot_wait: None,
+            first_event: None,
+            longest_pause: Duration::ZERO,
             events: 0,
             end: None,
         }
     }
 
     /// Returns the fingerprint for the log; empty until the request was read.
-    pub fn print_text(&self) -> String {
-        self.print
+    pub fn fingerprint_text(&self) -> String {
+        self.fingerprint
             .map(|print| print.to_string())
             .unwrap_or_default()
     }
@@ -131,30 +131,30 @@
     }
 
     /// Notes that an attempt failed, and why.
-    pub fn note_failed(&mut self, reason: &'static str) {
+    pub fn record_failed_attempt(&mut self, reason: &'static str) {
         self.reason = reason;
         log::info!(
-            request = self.request.as_str(),
+            request = self.request_id.as_str(),
             target_id = self.target.as_str(),
             group = self.group.as_str(),
             reason = reason,
-            attempt = self.sent + 1,
+            attempt = self.attempts_sent + 1,
             ms = BootClock::now().saturating_sub(self.arrived).as_millis() as u64;
             "attempt_failed"
         );
     }
 
     /// Notes that a place at a target was found.
-    pub fn note_placed(&mut self) {
+    pub fn record_slot(&mut self) {
         let waited = BootClock::now().saturating_sub(self.arrived);
-        self.waited.get_or_insert(waited);
+        self.slot_wait.get_or_insert(waited);
     }
 
     /// Notes that the first event went to the caller.
-    pub fn note_first(&mut self) {
-        if self.first.is_none() {
+    pub fn record_first_event(&mut self) {
+        if self.first_event.is_none() {
             let latency = BootClock::now().saturating_sub(self.arrived);
-            self.first = Some(latency);
+            self.first_event = Some(latency);
             self.shared
                 .metrics
                 .record_first_event(&self.service, latency);
@@ -174,26 +174,26 @@
         };
         self.shared.metrics.count_request(labels, latency);
         log::info!(
-            request = self.request.as_str(),
-            print = self.print_text().as_str(),
+            request = self.request_id.as_str(),
+            print = self.fingerprint_text().as_str(),
             organisation = self.organisation.as_str(),
             rule = self.rule.as_str(),
-            config = self.version,
-            config_age_ms = self.shared.book_age().as_millis() as u64,
+            config = self.config_version,
+            config_age_ms = self.shared.config_age().as_millis() as u64,
             service = self.service.as_str(),
             target_id = self.target.as_str(),
             group = self.group.as_str(),
             outcome = end.name(),
             reason = self.reason,
             prompt_tokens = self.prompt_tokens,
-            most_tokens = self.most_tokens,
-            sent = self.sent,
+            most_tokens = self.max_tokens,
+            sent = self.attempts_sent,
             events = self.events,
-            patience_ms = self.patience.as_millis() as u64,
+            patience_ms = self.timeout.as_millis() as u64,
             before_ms = self.waited_before.as_millis() as u64,
-            wait_ms = self.waited.map_or(0, |waited| waited.as_millis() as u64),
-            first_ms = self.first.map_or(0, |first| first.as_millis() as u64),
-            pause_ms = self.pause.as_millis() as u64,
+            wait_ms = self.slot_wait.map_or(0, |waited| waited.as_millis() as u64),
+            first_ms = self.first_event.map_or(0, |first| first.as_millis() as u64),
+            pause_ms = self.longest_pause.as_millis() as u64,
             ms = latency.as_millis() as u64;
             "request_ended"
         );
--- a/crates/fleet/tests/crashes.rs
+++ b/crates/fleet/tests/crashes.rs
@@ -10,8 +10,8 @@
 use serde_json::Value;
 
 use support::platform::SUSPECT_TABLE;
-use support::target::{TargetStub, BREAKING, DEADLY, LASTING};
-use support::{Ask, Fleet, KEYS};
+use support::target::{TargetStub, CRASHING, DISCONNECTING, HANGING};
+use support::{Fleet, TestRequest, KEYS};
 
 /// Time after the third end within which every node has to know.
 const KNOWN_TIME: Duration = Duration::from_secs(3);
@@ -24,7 +24,7 @@
 
 /// Returns when a body began to run, at all targets, in order.
 fn runs(fleet: &Fleet, body: &str) -> Vec<Instant> {
-    let seen = fleet.targets.iter().flat_map(|target| target.seen());
+    let seen = fleet.targets.iter().flat_map(|target| target.runs());
     let mut runs: Vec<Instant> = seen
         .filter(|run| run.body == body)
         .map(|run| run.at)
@@ -47,7 +47,9 @@
     let end = Instant::now() + time;
     let mut node = 0;
     while Instant::now() < end {
-        fleet.ask(node % fleet.nodes.len(), Ask::chat(body)).await;
+        fleet
+            .request(node % fleet.nodes.len(), TestRequest::chat(body))
+            .await;
         node += 1;
         tokio::time::sleep(PACE).await;
     }
@@ -63,9 +65,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_ends_targets_is_run_no_more_at_any_node() {
     let fleet = Fleet::open(9, &["z1", "z1", "z2"]).await;
-    repeat(&fleet, DEADLY, KNOWN_TIME * 3).await;
-    expect_that!(runs(&fleet, DEADLY).len(), ge(ENOUGH));
-    expect_that!(late_runs(&fleet, DEADLY), le(LATE_RUNS));
+    repeat(&fleet, CRASHING, KNOWN_TIME * 3).await;
+    expect_that!(runs(&fleet, CRASHING).len(), ge(ENOUGH));
+    expect_that!(late_runs(&fleet, CRASHING), le(LATE_RUNS));
 }
 
 /// Symptom: one attempt of a caller ends as many targets as its rule allows attempts.
@@ -75,19 +77,19 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_attempt_does_not_go_on_once_two_targets_have_ended_before() {
     let fleet = Fleet::open(6, &["z1"]).await;
-    fleet.ask(0, Ask::chat(DEADLY)).await;
+    fleet.request(0, TestRequest::chat(CRASHING)).await;
     expect_that!(
-        runs(&fleet, DEADLY).len(),
+        runs(&fleet, CRASHING).len(),
         eq(2),
         "one attempt, two targets"
     );
     fleet
-        .until("both ends are known", || async {
+        .wait_until("both ends are known", || async {
             ends(&fleet, 0).await == [2]
         })
         .await;
-    fleet.ask(0, Ask::chat(DEADLY)).await;
-    expect_that!(runs(&fleet, DEADLY).len(), eq(ENOUGH));
+    fleet.request(0, TestRequest::chat(CRASHING)).await;
+    expect_that!(runs(&fleet, CRASHING).len(), eq(ENOUGH));
 }
 
 /// Returns how many ends each suspected request has, as a node shows them.
@@ -98,17 +100,17 @@
 }
 
 /// Waits until a node refuses a request, and returns what its caller is told.
-async fn until_refused(fleet: &Fleet, node: usize, ask: Ask<'_>) -> support::Answer {
+async fn until_refused(fleet: &Fleet, node: usize, ask: TestRequest<'_>) -> support::TestResponse {
     fleet
-        .until("the request is refused", || async {
+        .wait_until("the request is refused", || async {
             fleet
-                .ask(node, ask)
+                .request(node, ask)
                 .await
                 .retry_after()
                 .is_some_and(|after| after > 60.0)
         })
         .await;
-    fleet.ask(node, ask).await
+    fleet.request(node, ask).await
 }
 
 /// Symptom: a caller is kept waiting for a place, or is told nothing of when to come back, or another caller is
@@ -119,39 +121,39 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_quarantined_request_is_refused_as_not_run_and_no_other_is() {
     let fleet = Fleet::open(6, &["z1", "z1"]).await;
-    repeat(&fleet, DEADLY, Duration::from_secs(2)).await;
-    let answer = until_refused(&fleet, 0, Ask::chat(DEADLY)).await;
+    repeat(&fleet, CRASHING, Duration::from_secs(2)).await;
+    let answer = until_refused(&fleet, 0, TestRequest::chat(CRASHING)).await;
     expect_that!(answer.status, eq(503));
     expect_that!(answer.body, eq("quarantined"));
     expect_that!(answer.retry_after(), some(all!(gt(500.0), le(600.0))));
 
-    let before = runs(&fleet, DEADLY).len();
-    fleet.ask(0, Ask::chat(DEADLY)).await;
-    expect_that!(runs(&fleet, DEADLY).len(), eq(before));
+    let before = runs(&fleet, CRASHING).len();
+    fleet.request(0, TestRequest::chat(CRASHING)).await;
+    expect_that!(runs(&fleet, CRASHING).len(), eq(before));
     let others = [
-        Ask::chat("harmless"),
-        Ask {
+        TestRequest::chat("harmless"),
+        TestRequest {
             path: "/chat/other",
-            ..Ask::chat("harmless")
+            ..TestRequest::chat("harmless")
         },
-        Ask {
+        TestRequest {
             path: "/look/x",
-            ..Ask::chat("harmless")
+            ..TestRequest::chat("harmless")
         },
     ];
     for other in others {
         fleet
-            .until("another request is served", || async {
-                fleet.ask(0, other).await.is_served()
+            .wait_until("another request is served", || async {
+                fleet.request(0, other).await.is_served()
             })
             .await;
     }
-    let of_another = Ask {
+    let of_another = TestRequest {
         key: KEYS[1].0,
-        ..Ask::chat(DEADLY)
+        ..TestRequest::chat(CRASHING)
     };
-    fleet.ask(0, of_another).await;
-    expect_that!(runs(&fleet, DEADLY).len(), gt(before), "another caller's");
+    fleet.request(0, of_another).await;
+    expect_that!(runs(&fleet, CRASHING).len(), gt(before), "another caller's");
 }
 
 /// Symptom: a node that reaches no other node goes on sending a request to targets.
@@ -161,17 +163,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_that_reaches_no_other_node_knows() {
     let mut fleet = Fleet::open(9, &["z1", "z1", "z2"]).await;
-    fleet.nodes[2].door.hide();
+    fleet.nodes[2].link.isolate_from_peers();
     fleet.start(2).await;
-    fleet.until_known().await;
+    fleet.wait_until_serving().await;
     for node in [0, 1, 0, 1] {
-        fleet.ask(node, Ask::chat(DEADLY)).await;
+        fleet.request(node, TestRequest::chat(CRASHING)).await;
     }
-    until_refused(&fleet, 0, Ask::chat(DEADLY)).await;
+    until_refused(&fleet, 0, TestRequest::chat(CRASHING)).await;
     tokio::time::sleep(KNOWN_TIME).await;
-    let before = runs(&fleet, DEADLY).len();
-    fleet.ask(2, Ask::chat(DEADLY)).await;
-    expect_that!(runs(&fleet, DEADLY).len(), eq(before));
+    let before = runs(&fleet, CRASHING).len();
+    fleet.request(2, TestRequest::chat(CRASHING)).await;
+    expect_that!(runs(&fleet, CRASHING).len(), eq(before));
 }
 
 /// Symptom: a request ends a few targets at each node, many in all.
@@ -183,15 +185,15 @@
     let mut fleet = Fleet::open(9, &["z1", "z1", "z2", "z2"]).await;
     for index in 0..4 {
         fleet.kill(index);
-        fleet.nodes[index].door.hide();
+        fleet.nodes[index].link.isolate_from_peers();
     }
     for index in 0..4 {
         fleet.start(index).await;
     }
-    fleet.until_known().await;
-    repeat(&fleet, DEADLY, KNOWN_TIME * 2).await;
-    expect_that!(late_runs(&fleet, DEADLY), le(LATE_RUNS));
-    expect_that!(runs(&fleet, DEADLY).len(), le(2 * ENOUGH + 2));
+    fleet.wait_until_serving().await;
+    repeat(&fleet, CRASHING, KNOWN_TIME * 2).await;
+    expect_that!(late_runs(&fleet, CRASHING), le(LATE_RUNS));
+    expect_that!(runs(&fleet, CRASHING).len(), le(2 * ENOUGH + 2));
 }
 
 /// Symptom: after all nodes were killed at once a request ends targets again.
@@ -201,10 +203,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn nodes_that_all_start_again_still_know() {
     let mut fleet = Fleet::open(9, &["z1", "z1", "z2"]).await;
-    repeat(&fleet, DEADLY, Duration::from_secs(2)).await;
-    until_refused(&fleet, 0, Ask::chat(DEADLY)).await;
+    repeat(&fleet, CRASHING, Duration::from_secs(2)).await;
+    until_refused(&fleet, 0, TestRequest::chat(CRASHING)).await;
     fleet
-        .until("the ends are written down", || async {
+        .wait_until("the ends are written down", || async {
             fleet.platform.keys(SUSPECT_TABLE).len() >= ENOUGH
         })
         .await;
@@ -212,13 +214,13 @@
     for index in 0..3 {
         fleet.start(index).await;
     }
-    let before = runs(&fleet, DEADLY).len();
-    fleet.until_known().await;
+    let before = runs(&fleet, CRASHING).len();
+    fleet.wait_until_serving().await;
     for index in 0..3 {
-        until_refused(&fleet, index, Ask::chat(DEADLY)).await;
+        until_refused(&fleet, index, TestRequest::chat(CRASHING)).await;
     }
     // Whoever is asked before it has read the table runs it once at most.
-    expect_that!(runs(&fleet, DEADLY).len() - before, le(LATE_RUNS));
+    expect_that!(runs(&fleet, CRASHING).len() - before, le(LATE_RUNS));
 }
 
 /// Symptom: while the store is away a request ends targets without an end.
@@ -228,14 +230,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn nodes_tell_each_other_while_the_store_is_away_and_write_when_it_is_back() {
     let fleet = Fleet::open(12, &["z1", "z1", "z2"]).await;
-    fleet.nodes.iter().for_each(|node| node.door.close(true));
-    repeat(&fleet, DEADLY, KNOWN_TIME * 2).await;
+    fleet
+        .nodes
+        .iter()
+        .for_each(|node| node.link.set_blocked(true));
+    repeat(&fleet, CRASHING, KNOWN_TIME * 2).await;
     // Two nodes hear of all ends; any other one learns from them at its own next one.
-    expect_that!(runs(&fleet, DEADLY).len(), le(ENOUGH + fleet.nodes.len()));
+    expect_that!(runs(&fleet, CRASHING).len(), le(ENOUGH + fleet.nodes.len()));
     expect_that!(fleet.platform.keys(SUSPECT_TABLE), is_empty());
-    fleet.nodes.iter().for_each(|node| node.door.close(false));
     fleet
-        .until("the ends are written down", || async {
+        .nodes
+        .iter()
+        .for_each(|node| node.link.set_blocked(false));
+    fleet
+        .wait_until("the ends are written down", || async {
             fleet.platform.keys(SUSPECT_TABLE).len() >= ENOUGH
         })
         .await;
@@ -249,16 +257,19 @@
 async fn connections_that_break_are_not_held_against_a_request() {
     let fleet = Fleet::open(6, &["z1"]).await;
     for _ in 0..8 {
-        let answer = fleet.ask(0, Ask::chat(BREAKING)).await;
+        let answer = fleet.request(0, TestRequest::chat(DISCONNECTING)).await;
         expect_that!(answer.status, eq(200), "it is sent, and breaks: {answer:?}");
     }
-    expect_that!(runs(&fleet, BREAKING).len(), ge(8));
+    expect_that!(runs(&fleet, DISCONNECTING).len(), ge(8));
     expect_that!(fleet.platform.keys(SUSPECT_TABLE), is_empty());
 }
 
 /// Returns what a node holds of the requests that it suspects.
 async fn held(fleet: &Fleet, node: usize) -> Vec<Value> {
-    let state = fleet.operate(node, Method::GET, "/state").await.body;
+    let state = fleet
+        .operator_request(node, Method::GET, "/state")
+        .await
+        .body;
     let state: Value = serde_json::from_str(&state).unwrap_or_default();
     let held = state["suspects"]["held"].as_array();
     held.cloned().unwrap_or_default()
@@ -271,26 +282,26 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_operator_releases_a_request_at_all_nodes() {
     let fleet = Fleet::open(6, &["z1", "z2"]).await;
-    let ask = Ask::chat(LASTING);
+    let ask = TestRequest::chat(HANGING);
     while !held(&fleet, 0)
         .await
         .iter()
         .any(|one| one["quarantine_ms"].is_u64())
     {
-        let before = runs(&fleet, LASTING).len();
+        let before = runs(&fleet, HANGING).len();
         let end = async {
             fleet
-                .until("it runs", || async { runs(&fleet, LASTING).len() > before })
+                .wait_until("it runs", || async { runs(&fleet, HANGING).len() > before })
                 .await;
-            let runs = |target: &&TargetStub| target.is_running(LASTING);
+            let runs = |target: &&TargetStub| target.is_running(HANGING);
             fleet
                 .targets
                 .iter()
                 .filter(runs)
-                .for_each(|target| target.end());
+                .for_each(|target| target.stop());
         };
         // Once it is quarantined it does not run again; the next look at what is held shows that.
-        let asked = fleet.ask(0, ask);
+        let asked = fleet.request(0, ask);
         tokio::pin!(asked);
         tokio::select! {
             _ = &mut asked => {}
@@ -305,19 +316,31 @@
     let print = print.as_str().unwrap_or_default();
     let unknown = format!("/release/{}", "0".repeat(32));
     expect_that!(
-        fleet.operate(1, Method::POST, &unknown).await.status,
+        fleet
+            .operator_request(1, Method::POST, &unknown)
+            .await
+            .status,
         eq(404)
     );
     expect_that!(
-        fleet.operate(1, Method::POST, "/release/x").await.status,
+        fleet
+            .operator_request(1, Method::POST, "/release/x")
+            .await
+            .status,
         eq(400)
     );
     let path = format!("/release/{print}");
-    expect_that!(fleet.operate(1, Method::GET, &path).await.status, eq(405));
-    expect_that!(fleet.operate(1, Method::POST, &path).await.status, eq(200));
+    expect_that!(
+        fleet.operator_request(1, Method::GET, &path).await.status,
+        eq(405)
+    );
+    expect_that!(
+        fleet.operator_request(1, Method::POST, &path).await.status,
+        eq(200)
+    );
     for node in 0..2 {
         fleet
-            .until("the node holds nothing", || async {
+            .wait_until("the node holds nothing", || async {
                 held(&fleet, node).await.is_empty()
             })
             .await;
@@ -335,12 +358,12 @@
 async fn requests_are_not_sent_on_to_targets_that_have_ended() {
     let fleet = Fleet::open_groups(8, &["z1"]).await;
     for target in &fleet.targets[..6] {
-        target.end_for_good().await;
+        target.stop_permanently().await;
     }
     let mut unserved = 0;
     for index in 0..30 {
         let body = format!("harmless {index}");
-        let answer = fleet.ask(0, Ask::model(&body)).await;
+        let answer = fleet.request(0, TestRequest::model(&body)).await;
         unserved += usize::from(!answer.is_served());
     }
     // Two may each find four targets gone before the node knows of all six.
@@ -356,10 +379,10 @@
 async fn a_stream_goes_on_past_targets_that_have_ended() {
     for round in 0..3 {
         let fleet = Fleet::open_groups(5, &["z1"]).await;
-        let body = format!("{LASTING} {round}");
+        let body = format!("{HANGING} {round}");
         let end = async {
             fleet
-                .until("it runs", || async { !runs(&fleet, &body).is_empty() })
+                .wait_until("it runs", || async { !runs(&fleet, &body).is_empty() })
                 .await;
             // Its first event is on its way.
             tokio::time::sleep(PACE).await;
@@ -369,14 +392,14 @@
             let spared = if running == Some(4) { 3 } else { 4 };
             for (index, target) in fleet.targets.iter().enumerate() {
                 if index != spared && Some(index) != running {
-                    target.end_for_good().await;
+                    target.stop_permanently().await;
                 }
             }
             running
                 .into_iter()
-                .for_each(|index| fleet.targets[index].end());
+                .for_each(|index| fleet.targets[index].stop());
         };
-        let (answer, ()) = tokio::join!(fleet.ask(0, Ask::model(&body)), end);
+        let (answer, ()) = tokio::join!(fleet.request(0, TestRequest::model(&body)), end);
         expect_true!(answer.is_served(), "{answer:?}");
     }
 }
--- a/crates/fleet/tests/feed.rs
+++ b/crates/fleet/tests/feed.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use briarswitch_fleet::costs::CostLedger;
+use briarswitch_fleet::costs::CostCounters;
 use briarswitch_fleet::feed::FeedRelay;
 use briarswitch_fleet::feed_doc::FeedAnswerDoc;
 use briarswitch_fleet::ports::{
@@ -44,7 +44,7 @@
 
 fn relay_to(store: &Arc<CountingStore>) -> FeedRelay {
     let direct = Arc::clone(store) as Arc<dyn FeedSource>;
-    FeedRelay::open(direct, Arc::new(CostLedger::default()))
+    FeedRelay::open(direct, Arc::new(CostCounters::default()))
 }
 
 fn mark(version: u64) -> FeedMark {
@@ -176,7 +176,7 @@
             Box::pin(std::future::pending())
         }
     }
-    let relay = FeedRelay::open(Arc::new(SilentStore), Arc::new(CostLedger::default()));
+    let relay = FeedRelay::open(Arc::new(SilentStore), Arc::new(CostCounters::default()));
     let asked = FeedQuestion {
         wait: Duration::ZERO,
         ..question()
@@ -316,7 +316,7 @@
         guards.push(server.spawn(reader, stopped.clone()));
     }
     let direct = Arc::new(ScriptedStore(Arc::clone(&script)));
-    let relay = FeedRelay::open(direct, Arc::new(CostLedger::default()));
+    let relay = FeedRelay::open(direct, Arc::new(CostCounters::default()));
     let live = LiveView::of(&membership, now);
     let answer = relay.changes(&live, question).await;
     expect_that!(answer.map(|answer| answer.rows), ok(eq(&changed().rows)));
--- a/crates/fleet/tests/patience.rs
+++ b/crates/fleet/tests/prior_wait.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use briarswitch_fleet::patience::PatienceBook;
+use briarswitch_fleet::prior_wait::PriorWaitEstimator;
 use googletest::prelude::*;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -13,7 +13,7 @@
 /// Returns the part of new callers that are taken for late ones, each stating what `draw` yields.
 fn mistaken(seed: u64, mut draw: impl FnMut(&mut StdRng) -> u64) -> f64 {
     let mut rng = StdRng::seed_from_u64(seed);
-    let book = PatienceBook::default();
+    let book = PriorWaitEstimator::default();
     let waits = (0..REQUESTS).map(|_| {
         let patience = Duration::from_millis(draw(&mut rng));
         book.waited("chat", Some(patience))
@@ -56,7 +56,7 @@
 #[gtest]
 fn callers_that_begin_alike_are_known_when_they_come_back() {
     let mut rng = StdRng::seed_from_u64(1);
-    let book = PatienceBook::default();
+    let book = PriorWaitEstimator::default();
     let mut found = 0;
     for index in 0..REQUESTS {
         let is_back = index % 3 == 2;
@@ -80,7 +80,7 @@
 #[gtest]
 fn callers_that_state_much_less_than_the_others_have_waited() {
     let mut rng = StdRng::seed_from_u64(2);
-    let book = PatienceBook::default();
+    let book = PriorWaitEstimator::default();
     let mut found = 0;
     for index in 0..REQUESTS {
         let own = rng.random_range(5_000..6_000);
--- a/crates/fleet/tests/start.rs
+++ b/crates/fleet/tests/start.rs
@@ -13,13 +13,13 @@
 #[gtest]
 #[tokio::test]
 async fn a_caller_that_comes_at_once_waits_for_the_first_configuration() {
-    let door = PlatformStub::open(book()).door("n0");
-    let shared = FleetShared::open(settings("n0", "z1"), 1, door.platform());
-    let waiting = shared.first_book();
+    let door = PlatformStub::new(book()).link("n0");
+    let shared = FleetShared::new(settings("n0", "z1"), 1, door.platform());
+    let waiting = shared.initial_config();
     let reading = async {
         tokio::task::yield_now().await;
-        shared.adopt_book(book());
-        shared.confirm_book(BootClock::now());
+        shared.apply_config(book());
+        shared.confirm_config(BootClock::now());
     };
     let (known, ()) = tokio::join!(waiting, reading);
     expect_true!(known.is_some());
@@ -30,8 +30,8 @@
 #[gtest]
 #[tokio::test]
 async fn a_caller_of_a_node_that_learns_nothing_is_not_held_beyond_its_start() {
-    let door = PlatformStub::open(book()).door("n0");
-    let shared = FleetShared::open(settings("n0", "z1"), 1, door.platform());
-    expect_true!(shared.first_book().await.is_none());
-    expect_true!(shared.first_book().await.is_none());
+    let door = PlatformStub::new(book()).link("n0");
+    let shared = FleetShared::new(settings("n0", "z1"), 1, door.platform());
+    expect_true!(shared.initial_config().await.is_none());
+    expect_true!(shared.initial_config().await.is_none());
 }
--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -18,7 +18,7 @@
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Method};
 
-use platform::{NodeDoor, PlatformStub};
+use platform::{PlatformLink, PlatformStub};
 use target::TargetStub;
 
 pub const HOST: &str = "api.example";
@@ -30,9 +30,9 @@
 /// An address whose port the operating system chooses when it is bound.
 const ANY_PORT: &str = "127.0.0.1:0";
 /// Longest time a condition may take to come about.
-const LIMIT: Duration = Duration::from_secs(60);
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time that callers wait.
-const PATIENCE: Duration = Duration::from_secs(5);
+const CALLER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Returns rules for streams of single targets below `/chat/` and of groups below `/model/`, for idempotent calls
 /// below `/look/` and for calls that run at most once below `/bill/`.
@@ -42,7 +42,7 @@
         prefix: prefix.to_owned(),
         repeat,
         answer,
-        timeout: PATIENCE,
+        timeout: CALLER_TIMEOUT,
         objective: Duration::from_millis(500),
         priority: 1,
         max_attempts: 2,
@@ -142,16 +142,16 @@
 
 /// One answer as a caller saw it.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct TestResponse {
     /// Status; zero where the connection ended without one.
     pub status: u16,
     pub headers: HeaderMap,
     pub body: String,
     /// Whether the body came to its end.
-    pub is_whole: bool,
+    pub is_complete: bool,
 }
 
-impl Answer {
+impl TestResponse {
     /// Returns the seconds after which to come back.
     pub fn retry_after(&self) -> Option<f64> {
         let value = self.headers.get("retry-after")?;
@@ -159,19 +159,19 @@
     }
 
     pub fn is_served(&self) -> bool {
-        self.status == 200 && self.is_whole
+        self.status == 200 && self.is_complete
     }
 }
 
 /// A request that a caller sends, again and again if need be.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct TestRequest<'a> {
     pub key: &'a str,
     pub path: &'a str,
     pub body: &'a str,
 }
 
-impl<'a> Ask<'a> {
+impl<'a> TestRequest<'a> {
     pub fn chat(body: &'a str) -> Self {
         Self {
             key: KEYS[0].0,
@@ -190,7 +190,7 @@
 
 /// A node and its way to the platform.
 pub struct NodeStub {
-    pub door: Arc<NodeDoor>,
+    pub link: Arc<PlatformLink>,
     node: Option<FleetNode>,
     zone: ZoneId,
 }
@@ -202,7 +202,7 @@
     pub nodes: Vec<NodeStub>,
     client: TargetClient,
     service: &'static str,
-    asked: std::sync::atomic::AtomicU64,
+    next_attempt: std::sync::atomic::AtomicU64,
 }
 
 impl Fleet {
@@ -217,7 +217,7 @@
     }
 
     async fn open_of(service: &'static str, targets: usize, zones: &[&str]) -> Self {
-        let platform = PlatformStub::open(book());
+        let platform = PlatformStub::new(book());
         let mut fleet = Self {
             targets: Vec::new(),
             nodes: Vec::new(),
@@ -225,7 +225,7 @@
                 connect: Duration::from_secs(2),
                 idle: 0,
             }),
-            asked: Default::default(),
+            next_attempt: Default::default(),
             service,
             platform,
         };
@@ -236,9 +236,9 @@
             fleet.targets.push(target);
         }
         for zone in zones {
-            let door = fleet.platform.door(&format!("n{}", fleet.nodes.len()));
+            let door = fleet.platform.link(&format!("n{}", fleet.nodes.len()));
             fleet.nodes.push(NodeStub {
-                door,
+                link: door,
                 node: None,
                 zone: (*zone).to_owned(),
             });
@@ -246,7 +246,7 @@
         for index in 0..fleet.nodes.len() {
             fleet.start(index).await;
         }
-        fleet.until_known().await;
+        fleet.wait_until_serving().await;
         fleet
     }
 
@@ -254,8 +254,8 @@
     pub async fn start(&mut self, index: usize) {
         let stub = &mut self.nodes[index];
         stub.node = None;
-        let settings = settings(&stub.door.node, &stub.zone);
-        let platform = stub.door.platform();
+        let settings = settings(&stub.link.node, &stub.zone);
+        let platform = stub.link.platform();
         let node = FleetNode::spawn(settings, platform).await;
         stub.node = Some(node.expect("the node starts"));
     }
@@ -266,28 +266,28 @@
     }
 
     /// Waits until each node that runs serves.
-    pub async fn until_known(&self) {
+    pub async fn wait_until_serving(&self) {
         for index in 0..self.nodes.len() {
             if self.nodes[index].node.is_none() {
                 continue;
             }
             let ask = match self.service {
-                GROUP_SERVICE => Ask::model("hello"),
-                _ => Ask::chat("hello"),
+                GROUP_SERVICE => TestRequest::model("hello"),
+                _ => TestRequest::chat("hello"),
             };
-            self.until("a node serves", || async {
-                self.ask(index, ask).await.is_served()
+            self.wait_until("a node serves", || async {
+                self.request(index, ask).await.is_served()
             })
             .await;
         }
     }
 
-    pub async fn until<F, Fut>(&self, what: &str, condition: F)
+    pub async fn wait_until<F, Fut>(&self, what: &str, condition: F)
     where
         F: Fn() -> Fut,
         Fut: std::future::Future<Output = bool>,
     {
-        let end = Instant::now() + LIMIT;
+        let end = Instant::now() + CONDITION_TIMEOUT;
         while !condition().await {
             assert!(Instant::now() < end, "{what} did not come about");
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -295,11 +295,11 @@
     }
 
     /// Sends a request to a node under an id of its own.
-    pub async fn ask(&self, node: usize, ask: Ask<'_>) -> Answer {
+    pub async fn request(&self, node: usize, ask: TestRequest<'_>) -> TestResponse {
         let settings = self.nodes[node].node.as_ref().map(FleetNode::settings);
         let address = settings.map(|settings| settings.callers.clone());
         let attempt = self
-            .asked
+            .next_attempt
             .fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let mut request = request(Method::POST, ask.path, ask.body);
         let headers = [
@@ -315,7 +315,7 @@
     }
 
     /// Sends a request to a node's listener for operators.
-    pub async fn operate(&self, node: usize, method: Method, path: &str) -> Answer {
+    pub async fn operator_request(&self, node: usize, method: Method, path: &str) -> TestResponse {
         let settings = self.nodes[node].node.as_ref().map(FleetNode::settings);
         let address = settings.map(|settings| settings.metrics.clone());
         self.send(&address.unwrap_or_default(), request(method, path, ""))
@@ -326,17 +326,17 @@
         &self,
         address: &str,
         request: http::Request<http_body_util::Full<Bytes>>,
-    ) -> Answer {
+    ) -> TestResponse {
         let target = TargetAddress {
             address: address.to_owned(),
             incarnation: 0,
         };
         let Ok(reply) = self.client.send(&target, request, true).await else {
-            return Answer {
+            return TestResponse {
                 status: 0,
                 headers: HeaderMap::new(),
                 body: String::new(),
-                is_whole: false,
+                is_complete: false,
             };
         };
         let mut body = reply.body;
@@ -348,11 +348,11 @@
                 Err(_) => break false,
             }
         };
-        Answer {
+        TestResponse {
             status: reply.head.status.as_u16(),
             headers: reply.head.headers,
             body: text,
-            is_whole,
+            is_complete: is_whole,
         }
     }
 }
--- a/crates/fleet/tests/support/platform.rs
+++ b/crates/fleet/tests/support/platform.rs
@@ -47,7 +47,7 @@
 }
 
 impl PlatformStub {
-    pub fn open(book: TrafficBook) -> Self {
+    pub fn new(book: TrafficBook) -> Self {
         let stub = Self {
             shared: Arc::new(StoreShared {
                 book,
@@ -60,12 +60,12 @@
     }
 
     /// Returns a node's way to the platform.
-    pub fn door(&self, node: &str) -> Arc<NodeDoor> {
-        Arc::new(NodeDoor {
+    pub fn link(&self, node: &str) -> Arc<PlatformLink> {
+        Arc::new(PlatformLink {
             node: node.to_owned(),
             platform: self.clone(),
-            is_closed: AtomicBool::new(false),
-            is_alone: AtomicBool::new(false),
+            is_blocked: AtomicBool::new(false),
+            is_isolated: AtomicBool::new(false),
         })
     }
 
@@ -100,7 +100,7 @@
     }
 
     /// Takes a target out of the list.
-    pub fn drop_target(&self, id: &str) {
+    pub fn remove_target(&self, id: &str) {
         self.put(TARGET_TABLE, id, None);
     }
 
@@ -135,7 +135,7 @@
         state.unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn whole(&self, table: &str) -> FeedAnswer {
+    fn snapshot(&self, table: &str) -> FeedAnswer {
         let state = self.lock();
         let rows = state.tables.get(table).into_iter().flatten();
         FeedAnswer {
@@ -151,7 +151,7 @@
         }
     }
 
-    fn after(&self, table: &str, mark: FeedMark) -> FeedAnswer {
+    fn changes_after(&self, table: &str, mark: FeedMark) -> FeedAnswer {
         let state = self.lock();
         let later = state
             .history
@@ -167,12 +167,12 @@
 
     async fn feed(&self, question: FeedQuestion) -> FeedAnswer {
         let Some(mark) = question.mark else {
-            return self.whole(&question.table);
+            return self.snapshot(&question.table);
         };
         let end = tokio::time::Instant::now() + question.wait;
         loop {
             let changed = self.shared.changed.notified();
-            let answer = self.after(&question.table, mark);
+            let answer = self.changes_after(&question.table, mark);
             if !answer.rows.is_empty() || tokio::time::timeout_at(end, changed).await.is_err() {
                 return answer;
             }
@@ -188,55 +188,55 @@
 }
 
 /// One node's way to the platform.
-pub struct NodeDoor {
+pub struct PlatformLink {
     pub node: NodeId,
     platform: PlatformStub,
-    is_closed: AtomicBool,
-    is_alone: AtomicBool,
+    is_blocked: AtomicBool,
+    is_isolated: AtomicBool,
 }
 
-impl NodeDoor {
+impl PlatformLink {
     /// Turns the node away, or no more.
-    pub fn close(&self, is_closed: bool) {
-        self.is_closed.store(is_closed, Ordering::SeqCst);
+    pub fn set_blocked(&self, is_closed: bool) {
+        self.is_blocked.store(is_closed, Ordering::SeqCst);
     }
 
     /// Hides the node and all others from each other; to be set before it starts.
-    pub fn hide(&self) {
-        self.is_alone.store(true, Ordering::SeqCst);
+    pub fn isolate_from_peers(&self) {
+        self.is_isolated.store(true, Ordering::SeqCst);
     }
 
     /// Returns the platform as this node sees it.
     pub fn platform(self: &Arc<Self>) -> FleetPlatform {
         FleetPlatform {
-            feed: Arc::new(DoorFeed(Arc::clone(self))),
+            feed: Arc::new(LinkFeed(Arc::clone(self))),
             clock: Arc::new(StubClock),
             config: Arc::new(StubConfig(self.platform.clone())),
             directory: Arc::new(StubDirectory(self.platform.clone())),
-            nodes: Arc::new(DoorNodes(Arc::clone(self))),
+            nodes: Arc::new(LinkNodes(Arc::clone(self))),
             targets: Arc::new(StubControl),
-            suspects: Arc::new(DoorSuspects(Arc::clone(self))),
+            suspects: Arc::new(LinkSuspects(Arc::clone(self))),
             dialect: Arc::new(StubDialect),
         }
     }
 
-    fn pass(&self) -> Result<(), SourceError> {
-        if self.is_closed.load(Ordering::SeqCst) {
+    fn check_open(&self) -> Result<(), SourceError> {
+        if self.is_blocked.load(Ordering::SeqCst) {
             return Err(SourceError::Unavailable("turned away".to_owned()));
         }
         Ok(())
     }
 }
 
-struct DoorFeed(Arc<NodeDoor>);
+struct LinkFeed(Arc<PlatformLink>);
 
-impl FeedSource for DoorFeed {
+impl FeedSource for LinkFeed {
     fn changes(&self, question: FeedQuestion) -> SourceFuture<'static, FeedAnswer> {
         let door = Arc::clone(&self.0);
         Box::pin(async move {
-            door.pass()?;
+            door.check_open()?;
             let answer = door.platform.feed(question).await;
-            door.pass()?;
+            door.check_open()?;
             Ok(answer)
         })
     }
@@ -290,13 +290,13 @@
     }
 }
 
-struct DoorNodes(Arc<NodeDoor>);
+struct LinkNodes(Arc<PlatformLink>);
 
-impl NodeRegistry for DoorNodes {
+impl NodeRegistry for LinkNodes {
     fn register(&self, entry: NodeEntry) -> SourceFuture<'_, ()> {
         Box::pin(async move {
-            self.0.pass()?;
-            if !self.0.is_alone.load(Ordering::SeqCst) {
+            self.0.check_open()?;
+            if !self.0.is_isolated.load(Ordering::SeqCst) {
                 let platform = &self.0.platform;
                 let node = entry.node.clone();
                 platform.lock().nodes.insert(node.clone(), entry);
@@ -308,14 +308,14 @@
 
     fn next(&self, mark: Option<FeedMark>, wait: Duration) -> SourceFuture<'_, NodeNews> {
         Box::pin(async move {
-            self.0.pass()?;
+            self.0.check_open()?;
             let table = NODE_TABLE.to_owned();
             let answer = self
                 .0
                 .platform
                 .feed(FeedQuestion { table, mark, wait })
                 .await;
-            let is_alone = self.0.is_alone.load(Ordering::SeqCst);
+            let is_alone = self.0.is_isolated.load(Ordering::SeqCst);
             let state = self.0.platform.lock();
             let rows = answer.rows.iter().filter(|_| !is_alone);
             let entries = rows.filter_map(|row| state.nodes.get(&row.key).cloned());
@@ -328,9 +328,9 @@
 }
 
 /// Rows of suspects by their keys' texts, since the store knows only bytes.
-struct DoorSuspects(Arc<NodeDoor>);
+struct LinkSuspects(Arc<PlatformLink>);
 
-impl SuspectRegistry for DoorSuspects {
+impl SuspectRegistry for LinkSuspects {
     fn table(&self) -> &'static str {
         SUSPECT_TABLE
     }
@@ -349,7 +349,7 @@
 
     fn write(&self, rows: Vec<SuspectRow>, dropped: Vec<SuspectKey>) -> SourceFuture<'_, ()> {
         Box::pin(async move {
-            self.0.pass()?;
+            self.0.check_open()?;
             let platform = &self.0.platform;
             for row in rows {
                 let key = format!("{:?}", row.key());
--- a/crates/fleet/tests/support/target.rs
+++ b/crates/fleet/tests/support/target.rs
@@ -11,13 +11,13 @@
 use super::platform::PlatformStub;
 
 /// Beginning of a body that ends each target that runs it.
-pub const DEADLY: &str = "deadly";
+pub const CRASHING: &str = "deadly";
 /// Beginning of a body whose connection breaks while the target lives on.
-pub const BREAKING: &str = "breaking";
+pub const DISCONNECTING: &str = "breaking";
 /// Beginning of a body that runs until its target ends; where it goes on elsewhere, it is answered.
-pub const LASTING: &str = "lasting";
+pub const HANGING: &str = "lasting";
 /// Time for which a target that has ended is away.
-const AWAY: Duration = Duration::from_millis(900);
+const RESTART_TIME: Duration = Duration::from_millis(900);
 /// Time from the beginning of a run to what it does.
 const RUN_TIME: Duration = Duration::from_millis(30);
 /// Events of a whole answer.
@@ -25,20 +25,20 @@
 
 /// One run.
 #[derive(Clone, Debug)]
-pub struct SeenRun {
+pub struct RecordedRun {
     pub body: String,
     pub at: Instant,
     /// Life of the target that ran it.
-    pub life: u32,
+    pub incarnation: u32,
 }
 
 struct TargetState {
-    life: u32,
-    seen: Vec<SeenRun>,
+    incarnation: u32,
+    runs: Vec<RecordedRun>,
     /// Whether it does not come back.
     is_gone: bool,
     /// Ends the present life.
-    end: watch::Sender<bool>,
+    stop: watch::Sender<bool>,
 }
 
 struct TargetShared {
@@ -74,42 +74,45 @@
             domain: domain.to_owned(),
             address,
             state: Mutex::new(TargetState {
-                life: 0,
-                seen: Vec::new(),
+                incarnation: 0,
+                runs: Vec::new(),
                 is_gone: false,
-                end: watch::Sender::new(false),
+                stop: watch::Sender::new(false),
             }),
         });
-        let task = tokio::spawn(live(Arc::clone(&shared), listener));
+        let task = tokio::spawn(run_incarnations(Arc::clone(&shared), listener));
         Self { shared, task }
     }
 
     /// Returns every run so far.
-    pub fn seen(&self) -> Vec<SeenRun> {
-        self.shared.lock().seen.clone()
+    pub fn runs(&self) -> Vec<RecordedRun> {
+        self.shared.lock().runs.clone()
     }
 
     /// Returns how many lives have ended.
-    pub fn ends(&self) -> u32 {
-        self.shared.lock().life
+    pub fn ended_incarnations(&self) -> u32 {
+        self.shared.lock().incarnation
     }
 
     /// Returns whether a run of a body has begun in the present life.
     pub fn is_running(&self, body: &str) -> bool {
         let state = self.shared.lock();
-        let runs = state.seen.iter().filter(|run| run.life == state.life);
+        let runs = state
+            .runs
+            .iter()
+            .filter(|run| run.incarnation == state.incarnation);
         runs.into_iter().any(|run| run.body == body)
     }
 
     /// Ends the present life for a reason of its own.
-    pub fn end(&self) {
-        self.shared.lock().end.send_replace(true);
+    pub fn stop(&self) {
+        self.shared.lock().stop.send_replace(true);
     }
 
     /// Ends for good while its entry stays in the list, and returns once nobody listens at the address.
-    pub async fn end_for_good(&self) {
+    pub async fn stop_permanently(&self) {
         self.shared.lock().is_gone = true;
-        self.end();
+        self.stop();
         while TcpStream::connect(&self.shared.address).await.is_ok() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
@@ -127,46 +130,46 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note_run(&self, body: &str) {
+    fn record_run(&self, body: &str) {
         let mut state = self.lock();
-        let life = state.life;
-        state.seen.push(SeenRun {
+        let life = state.incarnation;
+        state.runs.push(RecordedRun {
             body: body.to_owned(),
             at: Instant::now(),
-            life,
+            incarnation: life,
         });
     }
 
     /// Names the present life; each one has another name.
     fn id(&self) -> TargetId {
-        format!("{}-{}", self.name, self.lock().life)
+        format!("{}-{}", self.name, self.lock().incarnation)
     }
 
-    fn list(&self) {
+    fn register(&self) {
         self.platform
             .list_target(self.service, &self.id(), &self.address, &self.domain);
     }
 }
 
 /// Serves life after life; the entry of one that has ended lapses only when the next one begins.
-async fn live(shared: Arc<TargetShared>, listener: TcpListener) {
+async fn run_incarnations(shared: Arc<TargetShared>, listener: TcpListener) {
     let mut listener = Some(listener);
     loop {
         let bound = match listener.take() {
             Some(bound) => bound,
             None => bind_again(&shared.address).await,
         };
-        shared.list();
+        shared.register();
         let id = shared.id();
         serve(&shared, bound).await;
         if shared.lock().is_gone {
             return;
         }
-        tokio::time::sleep(AWAY).await;
-        shared.platform.drop_target(&id);
+        tokio::time::sleep(RESTART_TIME).await;
+        shared.platform.remove_target(&id);
         let mut state = shared.lock();
-        state.life += 1;
-        state.end = watch::Sender::new(false);
+        state.incarnation += 1;
+        state.stop = watch::Sender::new(false);
     }
 }
 
@@ -181,7 +184,7 @@
 
 /// Takes connections until this life ends; all of them break with it.
 async fn serve(shared: &Arc<TargetShared>, listener: TcpListener) {
-    let ended = shared.lock().end.subscribe();
+    let ended = shared.lock().stop.subscribe();
     let mut own_end = ended.clone();
     loop {
         tokio::select! {
@@ -220,14 +223,14 @@
         return stream.write_all(other.as_bytes()).await;
     }
     let attempt = field("attempt");
-    shared.note_run(&body);
+    shared.record_run(&body);
     let head = format!(
         "HTTP/1.1 200 OK\r\nattempt: {attempt}\r\nsigned: yes\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n"
     );
     stream.write_all(head.as_bytes()).await?;
     tokio::time::sleep(RUN_TIME).await;
-    if body.starts_with(DEADLY) {
-        shared.lock().end.send_replace(true);
+    if body.starts_with(CRASHING) {
+        shared.lock().stop.send_replace(true);
         std::future::pending::<()>().await;
     }
     let first: u32 = field("last-event").parse().map_or(1, |last: u32| last + 1);
@@ -235,10 +238,10 @@
         let event = format!("id: {id}\ndata: token\n\n");
         let chunk = format!("{:x}\r\n{event}\r\n", event.len());
         stream.write_all(chunk.as_bytes()).await?;
-        if body.starts_with(BREAKING) {
+        if body.starts_with(DISCONNECTING) {
             return Ok(());
         }
-        if body.starts_with(LASTING) && field("last-event").is_empty() {
+        if body.starts_with(HANGING) && field("last-event").is_empty() {
             std::future::pending::<()>().await;
         }
         tokio::time::sleep(RUN_TIME).await;
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -7,8 +7,8 @@
 use briarswitch_core::mint::MintedKey;
 use briarswitch_core::prelude::*;
 use briarswitch_core::print::RequestPrint;
-use briarswitch_fleet::run::{RunReports, TargetRun};
-use briarswitch_fleet::run_facts::{RunFacts, TargetLife};
+use briarswitch_fleet::run::{RunListeners, TargetRun};
+use briarswitch_fleet::run_info::{RunInfo, TargetIncarnation};
 use briarswitch_fleet::suspect_host::SuspectHost;
 use briarswitch_fleet::suspects::SuspectBoard;
 use briarswitch_http::{stream_body, Response};
@@ -58,7 +58,7 @@
     runner: AttemptRunner,
     claims: ClaimWriter,
     suspects: Arc<NodeSuspects>,
-    reports: RunReports,
+    reports: RunListeners,
     keys: Arc<Mutex<ClaimBook>>,
     budget: Mutex<RetryBudget>,
     gates: RwLock<HashMap<DeploymentId, Arc<DeploymentGate>>>,
@@ -84,7 +84,7 @@
         runner: AttemptRunner,
         claims: ClaimWriter,
         suspects: Arc<NodeSuspects>,
-        reports: RunReports,
+        reports: RunListeners,
     ) -> Arc<Self> {
         let settings = shared.settings.requests;
         Arc::new(Self {
@@ -117,12 +117,12 @@
     pub fn open_run(&self, run: &RunSubject, target: &Target) -> TargetRun {
         let fleet = self.shared.fleet.read();
         let domain = fleet.vms.get(&target.vm).map(|vm| vm.domain.clone());
-        let facts = RunFacts {
+        let facts = RunInfo {
             request: run.request.clone(),
-            print: run.print,
+            fingerprint: run.print,
             organisation: run.organisation.clone(),
-            life: TargetLife {
-                target: target.vm.clone(),
+            target: TargetIncarnation {
+                id: target.vm.clone(),
                 incarnation: target.address.incarnation,
             },
             address: target.address.address.clone(),
@@ -130,7 +130,7 @@
             group: String::new(),
             sent: BootClock::now(),
         };
-        TargetRun::open(facts, self.reports.clone())
+        TargetRun::start(facts, self.reports.clone())
     }
 
     /// Returns the refusal of a request that is not to run now.
@@ -515,9 +515,9 @@
 /// Notes how a run ended that failed; one that nobody waits for any more is left to its watch.
 pub fn end_run(run: &mut TargetRun, point: FailurePoint) {
     if breaks_run(point) {
-        run.broke(point.code());
+        run.report_broken(point.code());
     } else if point != FailurePoint::AnswerDeadline {
-        run.settle();
+        run.end_unreported();
     }
 }
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -8,7 +8,7 @@
 
 use briarswitch_core::prelude::*;
 use briarswitch_fleet::end_watch::EndWatch;
-use briarswitch_fleet::run::RunReports;
+use briarswitch_fleet::run::RunListeners;
 use briarswitch_fleet::suspect_host::SuspectHost;
 use briarswitch_fleet::suspect_keeper::SuspectKeeper;
 use briarswitch_http::{HttpServer, ServerGuard, TargetClient, TargetLimits};
@@ -18,7 +18,7 @@
 
 use crate::answer::PeerSurface;
 use crate::attempt::AttemptRunner;
-use crate::caller::CallerSurface;
+use crate::caller::CallerApi;
 use crate::claims::ClaimWriter;
 use crate::config::ConfigKeeper;
 use crate::controller::{ControllerMessage, ZoneController};
@@ -115,7 +115,7 @@
         let suspects = NodeSuspects::open(Arc::clone(&shared), watcher.clone());
         let host: Arc<dyn SuspectHost> = Arc::clone(&suspects) as Arc<dyn SuspectHost>;
         let keeper = kernel.mount(SuspectKeeper::open(Arc::clone(&host)))?;
-        let reports = RunReports {
+        let reports = RunListeners {
             watch: kernel.mount(EndWatch::open(host, keeper.clone()))?,
             suspects: keeper,
         };
@@ -124,7 +124,7 @@
         let dispatcher =
             RequestDispatcher::open(Arc::clone(&shared), runner, claims, suspects, reports);
         let (stop, stopped) = watch::channel(false);
-        let surface = CallerSurface::open(Arc::clone(&shared), Arc::clone(&dispatcher));
+        let surface = CallerApi::open(Arc::clone(&shared), Arc::clone(&dispatcher));
         let peer_surface = PeerSurface::open(Arc::clone(&shared), Arc::clone(&surface));
         let servers = [
             callers.spawn(surface, stopped.clone()),
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -132,7 +132,7 @@
                 }
                 // A clean end of the body without the end mark is no end of the answer.
                 RelayStep::End | RelayStep::Broken => {
-                    self.run.run.broke("stream_broken");
+                    self.run.run.report_broken("stream_broken");
                     self.broken += 1;
                     if !self.resume().await {
                         return Some(Ok(self.give_up()));
--- a/crates/node/src/suspects.rs
+++ b/crates/node/src/suspects.rs
@@ -10,7 +10,7 @@
     FeedAnswer, FeedMark, FeedRow, ReportError, SourceError, SourceFuture, StoreClock,
     SuspectChange, SuspectKey, SuspectRegistry, SuspectRow,
 };
-use briarswitch_fleet::run_facts::{RunFacts, TargetLife};
+use briarswitch_fleet::run_info::{RunInfo, TargetIncarnation};
 use briarswitch_fleet::suspect_host::{EndCount, LifeSign, SuspectEvent, SuspectHost};
 use briarswitch_fleet::suspect_record::{key_text, SuspectRecord, SuspectValue};
 use briarswitch_fleet::suspects::SuspectBoard;
@@ -161,7 +161,7 @@
 
     fn life_sign<'a>(
         &'a self,
-        facts: &'a RunFacts,
+        facts: &'a RunInfo,
         limit: Duration,
     ) -> BoxFuture<'a, Result<LifeSign, ReportError>> {
         Box::pin(async move {
@@ -174,9 +174,9 @@
     }
 
     /// Returns whether the list names a life; of machines of other zones it says nothing.
-    fn is_listed(&self, life: &TargetLife) -> bool {
+    fn is_listed(&self, life: &TargetIncarnation) -> bool {
         let fleet = self.shared.fleet.read();
-        let vm = fleet.vms.get(&life.target);
+        let vm = fleet.vms.get(&life.id);
         vm.is_none_or(|vm| vm.incarnation == life.incarnation)
     }
 
