--- a/crates/fleet/src/dispatch.rs
+++ b/crates/fleet/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Takes an identified request to a target, and to another where that is allowed.
+//! Sends an accepted request to a target, and to further targets if an attempt fails and a retry is allowed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,26 +29,28 @@
 use crate::target_selector::TargetSelector;
 use crate::trace::{RequestEnd, RequestTrace};
 
-/// Most idle connections kept for one target.
+/// Maximum number of idle connections kept per target.
 const MAX_IDLE_CONNECTIONS: usize = 16;
-/// Part of a target's connections that all nodes together may hold without using them.
+/// Share of a target's connection limit that all nodes together may hold idle.
 ///
-/// A target resets what comes beyond its limit, and a request that runs at most once is then lost, for
-/// nobody can say whether it ran. Six nodes that keep 16 each hold twice the 48 that the smallest
-/// services take.
+/// A target resets connections beyond its limit. An at-most-once request on such a connection cannot be retried, since
+/// it is unknown whether it ran. Six nodes with 16 idle connections each would hold twice the 48 connections that the
+/// smallest services allow.
 const IDLE_CONNECTION_SHARE: f64 = 0.4;
-/// Time to open a connection to a target; a healthy one takes a few milliseconds.
+/// Time-out for connecting to a target; a healthy target accepts within a few milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time between looks at whether a target that an answer or stream is awaited from is silent.
+/// Interval at which a target is checked for silence while a response or the next part of a stream is awaited.
 pub(crate) const SILENCE_POLL_INTERVAL: Duration = Duration::from_millis(40);
-/// Attempts of one request that reached nobody in the time for it, after which it is given up.
+/// Attempts of one request that may fail to reach a target before the request fails.
+///
+/// Refused connections are not counted.
 const MAX_UNREACHED_ATTEMPTS: u32 = 4;
-/// Largest whole answer in bytes.
+/// Largest buffered response in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
-/// Largest rank that targets know; zero goes first.
+/// Lowest priority that targets accept, as the largest number; zero is the highest priority.
 const LOWEST_PRIORITY: u8 = 9;
 
-/// Carries requests out.
+/// Dispatches requests to targets.
 pub struct FleetDispatcher {
     shared: Arc<FleetShared>,
     client: TargetClient,
@@ -59,13 +61,11 @@
 }
 
 impl FleetDispatcher {
-    /// Opens a dispatcher that tells `peers` of targets that fall silent.
-    ///
-    /// `reports` hear how runs end.
+    /// Creates a dispatcher that reports silent targets to `peers` and the ends of runs to `run_listeners`.
     pub fn new(
         shared: Arc<FleetShared>,
         peers: Mailbox<PeerMessage>,
-        reports: RunListeners,
+        run_listeners: RunListeners,
     ) -> Arc<Self> {
         let client = TargetClient::open(TargetLimits {
             connect: CONNECT_TIMEOUT,
@@ -77,31 +77,31 @@
             shared,
             client,
             suspicion: SuspicionTeller::open(peers),
-            run_listeners: reports,
+            run_listeners,
         })
     }
 
-    /// Returns the node's state.
+    /// Returns the shared state of the node.
     pub fn shared(&self) -> &Arc<FleetShared> {
         &self.shared
     }
 
-    /// Returns what finds places.
+    /// Returns the selector of targets.
     pub fn selector(&self) -> &TargetSelector {
         &self.selector
     }
 
-    /// Returns what keeps work from targets that fall silent.
+    /// Returns the reporter of silent targets.
     pub fn suspicion(&self) -> &SuspicionTeller {
         &self.suspicion
     }
 
-    /// Returns the budgets of retries.
+    /// Returns the retry budgets.
     pub fn budgets(&self) -> &RetryBudgets {
         &self.budgets
     }
 
-    /// Carries a request out and builds its response.
+    /// Runs a request, with retries as its rule allows, and returns the response for the caller.
     pub async fn run(self: &Arc<Self>, job: RequestJob, mut trace: RequestTrace) -> Response {
         self.budgets.deposit(&job.service);
         if self.shared.suspects.quarantine(&job.print).is_some() {
@@ -111,20 +111,22 @@
         let mut unreached = 0;
         let mut worst: Option<FailurePoint> = None;
         loop {
-            let (target, place) = match self.selector.acquire(&job, &tried).await {
-                Ok(placed) => placed,
+            let (target, slot) = match self.selector.acquire(&job, &tried).await {
+                Ok(reserved) => reserved,
                 Err(point) => return self.reply_failed(worst_of(worst, point), &mut trace),
             };
             record_target(&mut trace, &target);
             trace.record_slot();
             let last_event = job.ask.last_event.clone();
-            let may_move = trace.attempts_sent + 1 < job.rule.max_attempts;
-            let begun = self
-                .send(&job, target, place, last_event.as_deref(), may_move)
+            let may_reroute = trace.attempts_sent + 1 < job.rule.max_attempts;
+            let sent = self
+                .send(&job, target, slot, last_event.as_deref(), may_reroute)
                 .await;
-            let failed = match begun {
-                Ok(begun) if job.is_stream() => return self.stream_response(job, begun, trace),
-                Ok(begun) => match self.read_response(&job, begun).await {
+            let failed = match sent {
+                Ok(response) if job.is_stream() => {
+                    return self.stream_response(job, response, trace);
+                }
+                Ok(response) => match self.read_response(&job, response).await {
                     Ok((head, bytes)) => {
                         trace.end(RequestEnd::Answered);
                         return self.buffered_response(head, bytes);
@@ -142,12 +144,13 @@
             );
             match failed.connection {
                 _ if reached => trace.attempts_sent += 1,
-                // A refusal takes a millisecond, and each target is tried once: not worth sending the caller away.
+                // A refused connection costs about a millisecond and each target is tried only once, so it does not
+                // count towards the limit.
                 ConnectionFailure::Refused => {}
                 ConnectionFailure::None | ConnectionFailure::Broken => unreached += 1,
             }
             trace.broken_runs += usize::from(failed.connection == ConnectionFailure::Broken);
-            let may_repeat = point.allows_retry(job.rule.is_repeatable())
+            let may_retry = point.allows_retry(job.rule.is_repeatable())
                 && self
                     .shared
                     .suspects
@@ -155,10 +158,11 @@
                 && trace.attempts_sent < job.rule.max_attempts
                 && unreached < MAX_UNREACHED_ATTEMPTS
                 && BootClock::now() < job.deadline;
-            if !may_repeat || (reached && !self.budgets.withdraw(&job.service)) {
-                if let Some(answer) = failed.response {
+            if !may_retry || (reached && !self.budgets.withdraw(&job.service)) {
+                if let Some(response) = failed.response {
+                    let (head, bytes) = *response;
                     trace.end(RequestEnd::Failed);
-                    return self.buffered_response(answer.0, answer.1);
+                    return self.buffered_response(head, bytes);
                 }
                 return self.reply_failed(worst_of(worst, point), &mut trace);
             }
@@ -166,80 +170,85 @@
         }
     }
 
-    /// Sends a request and waits for the answer's head.
+    /// Sends a request to a target and waits for the head of the response.
     ///
     /// # Errors
     ///
-    /// Returns what failed, with the target's own answer where it made one.
+    /// Returns the failed attempt, with the target's error response if it sent one.
     pub async fn send(
         &self,
         job: &RequestJob,
         target: Arc<RouteTarget>,
-        place: GaugePlace,
+        slot: GaugePlace,
         last_event: Option<&str>,
-        may_move: bool,
+        may_reroute: bool,
     ) -> Result<BegunAnswer, FailedAttempt> {
         let now = BootClock::now();
-        let left = job.deadline.saturating_sub(now);
-        if left.is_zero() {
+        let remaining = job.deadline.saturating_sub(now);
+        if remaining.is_zero() {
             return Err(FailurePoint::QueueDeadline.into());
         }
-        // It may have waited for a place since it came, and may have ended a target elsewhere meanwhile.
+        // While it waited for a slot, the same request may have crashed a target through another node.
         if self.shared.suspects.quarantine(&job.print).is_some() {
             return Err(FailurePoint::Quarantined.into());
         }
-        let request = self.build_request(job, &target, left, last_event);
+        let request = self.build_request(job, &target, remaining, last_event);
         let address = TargetAddress {
             address: target.address.clone(),
             incarnation: 0,
         };
-        // A kept connection may be closed by the target just when it is used, which would leave the
-        // fate of a request that runs at most once open.
-        let is_fresh = !job.rule.is_repeatable();
+        // A target may close an idle connection just as it is reused. It would then be unknown whether an at-most-once
+        // request has run, so such requests use a new connection.
+        let needs_new_connection = !job.rule.is_repeatable();
         let client = self.client.keeping(self.idle_limit(job));
-        let sending = client.send(&address, request, is_fresh);
+        let sending = client.send(&address, request, needs_new_connection);
         let mut run = TargetRun::start(job.run_at(&target, now), self.run_listeners.clone());
-        match self.wait_head(sending, job, &target, now, may_move).await {
-            Ok(reply) => self.check_head(job, target, place, reply, run).await,
-            Err(end) => {
+        match self
+            .wait_head(sending, job, &target, now, may_reroute)
+            .await
+        {
+            Ok(reply) => self.check_head(job, target, slot, reply, run).await,
+            Err(error) => {
                 target.gauge.note_outcome(true);
-                match end {
+                match error {
                     HeadWaitError::Send(SendFailure::Broken) => {
                         run.report_broken("broken_before_head")
                     }
                     HeadWaitError::Send(SendFailure::Refused) => {
-                        // Nobody listens there. Until the directory drops it, seconds later, it would look like the
-                        // target with the least work and be chosen first again and again.
+                        // No process listens at the address. Until the directory removes the target, seconds later, it
+                        // would appear to have the least load and be selected again and again.
                         run.end_unreported();
                         self.suspicion.suspect(&target, BootClock::now());
                     }
                     HeadWaitError::Send(_) => run.end_unreported(),
                     HeadWaitError::Deadline | HeadWaitError::Rerouted => {}
                 }
-                Err(end.into())
+                Err(error.into())
             }
         }
     }
 
+    /// Returns how many idle connections this node keeps to each target of the job's service.
     fn idle_limit(&self, job: &RequestJob) -> usize {
-        let book = job.book.as_ref().as_ref();
-        let service = book.and_then(|book| book.services.get(&job.service));
-        let most = service.map_or(0, |service| service.max_connections);
-        let share = f64::from(most) * IDLE_CONNECTION_SHARE
+        let config = job.book.as_ref().as_ref();
+        let service = config.and_then(|config| config.services.get(&job.service));
+        let max_connections = service.map_or(0, |service| service.max_connections);
+        let share = f64::from(max_connections) * IDLE_CONNECTION_SHARE
             / f64::from(self.shared.live_view.read().live_nodes());
         (share as usize).clamp(1, MAX_IDLE_CONNECTIONS)
     }
 
+    /// Waits for the head of the response, and ends the wait early if the request is better sent to another target.
     async fn wait_head(
         &self,
         sending: impl std::future::Future<Output = Result<TargetReply, SendFailure>>,
         job: &RequestJob,
         target: &RouteTarget,
         sent: Moment,
-        may_move: bool,
+        may_reroute: bool,
     ) -> Result<TargetReply, HeadWaitError> {
         tokio::pin!(sending);
-        let patience = patience(job);
+        let reroute_delay = patience(job);
         loop {
             match tokio::time::timeout(SILENCE_POLL_INTERVAL, &mut sending).await {
                 Ok(Ok(reply)) => return Ok(reply),
@@ -256,58 +265,59 @@
             if is_silent {
                 self.suspicion.suspect(target, now);
             }
-            // A prompt that is moved is read twice, so one that is only queued is left where it is.
-            let is_worth_moving = is_silent || waited > patience.max(limit);
-            if is_worth_moving && may_move && self.can_reroute(job, target) {
+            // Rerouting processes the prompt twice, so a request that is only queued stays at its target.
+            let is_overdue = is_silent || waited > reroute_delay.max(limit);
+            if is_overdue && may_reroute && self.can_reroute(job, target) {
                 return Err(HeadWaitError::Rerouted);
             }
         }
     }
 
-    /// Returns whether a request can go on elsewhere; if not, the slow target is still the best.
+    /// Returns whether another target can take the request now; if not, waiting for the slow one is best.
     fn can_reroute(&self, job: &RequestJob, from: &RouteTarget) -> bool {
-        let ask = job.place_ask(std::slice::from_ref(&from.id));
+        let slot_request = job.place_ask(std::slice::from_ref(&from.id));
         job.rule.is_repeatable()
             && self.budgets.can_withdraw(&job.service)
-            && self.selector.pick(&ask).is_some()
+            && self.selector.pick(&slot_request).is_some()
     }
 
+    /// Checks that a response head comes from the right target, and updates the target's gauge.
     async fn check_head(
         &self,
         job: &RequestJob,
         target: Arc<RouteTarget>,
-        place: GaugePlace,
+        slot: GaugePlace,
         reply: TargetReply,
         mut run: TargetRun,
     ) -> Result<BegunAnswer, FailedAttempt> {
         let TargetReply { head, body } = reply;
-        let facts = self
+        let info = self
             .shared
             .platform
             .dialect
             .facts(head.status, &head.headers);
         let now = BootClock::now();
-        if facts.is_not_run || facts.is_other_life {
+        if info.is_not_run || info.is_other_life {
             run.end_unreported();
             target.gauge.note_outcome(true);
-            if facts.is_other_life || facts.at_fault.is_some() {
+            if info.is_other_life || info.at_fault.is_some() {
                 self.suspicion.suspect(&target, now);
             }
             return Err(FailurePoint::TargetRefused.into());
         }
         target.gauge.note_heard(now);
-        if let (Some(running), Some(waiting)) = (facts.running, facts.waiting) {
+        if let (Some(running), Some(waiting)) = (info.running, info.waiting) {
             target.gauge.note_load(running, waiting, now);
         }
-        let is_ours = facts.attempt.as_deref() == Some(job.ask.attempt.as_str());
-        if !is_ours {
+        let is_same_attempt = info.attempt.as_deref() == Some(job.ask.attempt.as_str());
+        if !is_same_attempt {
             return Err(FailurePoint::ForeignAnswer.into());
         }
-        if head.status.is_success() && is_complete_response(&facts) {
+        if head.status.is_success() && is_complete_response(&info) {
             target.gauge.note_outcome(false);
             return Ok(BegunAnswer {
                 target,
-                place: Some(place),
+                place: Some(slot),
                 head,
                 body,
                 run,
@@ -318,24 +328,24 @@
         if head.status.is_success() {
             return Err(FailurePoint::Truncated.into());
         }
-        Err(self.target_failure(job, head, &facts, body).await)
+        Err(self.target_failure(job, head, &info, body).await)
     }
 
-    /// Keeps a failure that a target made, so that it can be passed on if nothing better comes.
+    /// Reads a target's error response, so that it can be passed on if no other attempt succeeds.
     async fn target_failure(
         &self,
         job: &RequestJob,
         head: http::response::Parts,
-        facts: &AnswerFacts,
+        info: &AnswerFacts,
         body: TargetBody,
     ) -> FailedAttempt {
-        let left = job.deadline.saturating_sub(BootClock::now());
+        let remaining = job.deadline.saturating_sub(BootClock::now());
         let reading = body.read_whole(MAX_RESPONSE_BYTES);
-        let bytes = tokio::time::timeout(left, reading).await;
+        let bytes = tokio::time::timeout(remaining, reading).await;
         let point = FailurePoint::TargetError;
         match bytes {
-            // A status that promises "not run" is never passed on without the target's own word.
-            Ok(Ok(bytes)) if facts.is_signed && !implies_not_run(head.status) => FailedAttempt {
+            // To the caller some statuses guarantee that the request has not run, so these are never passed on here.
+            Ok(Ok(bytes)) if info.is_signed && !implies_not_run(head.status) => FailedAttempt {
                 response: Some(Box::new((head, bytes))),
                 ..point.into()
             },
@@ -343,21 +353,22 @@
         }
     }
 
+    /// Reads the body of a response that is not a stream, and releases the slot.
     async fn read_response(
         &self,
         job: &RequestJob,
-        begun: BegunAnswer,
+        response: BegunAnswer,
     ) -> Result<(http::response::Parts, Bytes), FailurePoint> {
         let BegunAnswer {
             target,
-            place,
+            place: slot,
             head,
             body,
             mut run,
-        } = begun;
-        let left = job.deadline.saturating_sub(BootClock::now());
-        let read = tokio::time::timeout(left, body.read_whole(MAX_RESPONSE_BYTES)).await;
-        drop(place);
+        } = response;
+        let remaining = job.deadline.saturating_sub(BootClock::now());
+        let read = tokio::time::timeout(remaining, body.read_whole(MAX_RESPONSE_BYTES)).await;
+        drop(slot);
         self.selector.serve_queue();
         match read {
             Ok(Ok(bytes)) => {
@@ -385,12 +396,13 @@
     fn stream_response(
         self: &Arc<Self>,
         job: RequestJob,
-        begun: BegunAnswer,
+        target_response: BegunAnswer,
         trace: RequestTrace,
     ) -> Response {
-        let status = begun.head.status;
-        let headers = self.shared.platform.dialect.to_caller(&begun.head.headers);
-        let relay = StreamRelay::start(Arc::clone(self), job, begun, trace);
+        let status = target_response.head.status;
+        let target_headers = &target_response.head.headers;
+        let headers = self.shared.platform.dialect.to_caller(target_headers);
+        let relay = StreamRelay::start(Arc::clone(self), job, target_response, trace);
         let mut response = Response::new(stream_body(relay));
         *response.status_mut() = status;
         *response.headers_mut() = headers;
@@ -409,44 +421,48 @@
         response
     }
 
-    /// Returns what a caller is told of a request that ends without a target's answer.
+    /// Returns the reply to a request that ends without a target's response.
     fn failure_reply(&self, point: FailurePoint, trace: &RequestTrace) -> LocalReply {
         if point != FailurePoint::Quarantined {
             return LocalReply::for_failure(point);
         }
-        let left = trace
+        let remaining = trace
             .fingerprint
-            .and_then(|print| self.shared.suspects.quarantine(&print));
-        let left = left.unwrap_or_default();
+            .and_then(|fingerprint| self.shared.suspects.quarantine(&fingerprint));
+        let remaining = remaining.unwrap_or_default();
         self.shared.metrics.count_refusal(&trace.organisation);
         log::info!(
             request = trace.request_id.as_str(),
             print = trace.fingerprint_text().as_str(),
             organisation = trace.organisation.as_str(),
-            left_ms = left.as_millis() as u64;
+            left_ms = remaining.as_millis() as u64;
             "quarantine_refused"
         );
-        LocalReply::quarantined(left)
+        LocalReply::quarantined(remaining)
     }
 
     fn build_request(
         &self,
         job: &RequestJob,
         target: &RouteTarget,
-        left: Duration,
+        remaining: Duration,
         last_event: Option<&str>,
     ) -> http::Request<http_body_util::Full<Bytes>> {
-        let mark = TargetMark {
+        let request_info = TargetMark {
             target: &target.id,
             organisation: job.organisation.as_deref(),
-            left,
+            left: remaining,
             priority: job.priority.min(LOWEST_PRIORITY),
             last_event,
         };
         let mut request = http::Request::new(whole_body(job.body.clone()));
         *request.method_mut() = job.method.clone();
         *request.uri_mut() = job.path.parse::<Uri>().unwrap_or_default();
-        *request.headers_mut() = self.shared.platform.dialect.to_target(&job.headers, mark);
+        *request.headers_mut() = self
+            .shared
+            .platform
+            .dialect
+            .to_target(&job.headers, request_info);
         if !request.headers().contains_key(HOST) {
             if let Ok(host) = HeaderValue::from_str(&job.ask.host) {
                 request.headers_mut().insert(HOST, host);
@@ -463,6 +479,6 @@
     }
 }
 
-fn is_complete_response(facts: &AnswerFacts) -> bool {
-    facts.is_signed && !facts.is_recoded
+fn is_complete_response(info: &AnswerFacts) -> bool {
+    info.is_signed && !info.is_recoded
 }
--- a/crates/fleet/src/relay.rs
+++ b/crates/fleet/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passes a stream on to its caller, and goes on elsewhere when its group falls silent or breaks.
+//! Relays a stream to its caller, and resumes it at another target if its group falls silent or the stream breaks.
 
 use std::io;
 use std::sync::Arc;
@@ -18,10 +18,10 @@
 use crate::suspicion::silence_of;
 use crate::trace::{RequestEnd, RequestTrace};
 
-/// Lateness of the node's own timer beyond which silence proves nothing about the target.
+/// Delay of the node's own timer beyond which silence is not attributed to the target.
 const MAX_TIMER_DELAY: Duration = Duration::from_millis(60);
 
-/// A stream under way.
+/// A stream that is being relayed.
 pub struct StreamRelay {
     dispatcher: Arc<FleetDispatcher>,
     job: RequestJob,
@@ -33,40 +33,41 @@
     has_ended: bool,
 }
 
-/// What became of a stream that was to go on at another target.
+/// Result of trying to resume a stream at another target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum ResumeResult {
-    /// It goes on.
+    /// The stream was resumed.
     Resumed,
-    /// Nobody listened there.
+    /// The target refused the connection.
     Refused,
-    /// It ends here.
+    /// The stream could not be resumed.
     Failed,
 }
 
+/// Next step of a stream.
 enum StreamStep {
     Chunk(Bytes),
     End,
     Broken,
-    /// The request's time is over.
+    /// The request's deadline passed.
     Deadline,
     Silent,
 }
 
 impl StreamRelay {
-    /// Returns the body of the caller's response.
+    /// Starts to relay a stream; returns the body of the response to the caller.
     pub fn start(
         dispatcher: Arc<FleetDispatcher>,
         job: RequestJob,
-        begun: BegunAnswer,
+        response: BegunAnswer,
         mut trace: RequestTrace,
     ) -> impl Stream<Item = Result<Bytes, io::Error>> + Send + 'static {
         trace.attempts_sent += 1;
         let relay = Self {
-            tried: vec![begun.target.id.clone()],
+            tried: vec![response.target.id.clone()],
             dispatcher,
             job,
-            response: begun,
+            response,
             splitter: EventSplitter::default(),
             trace,
             last_received: BootClock::now(),
@@ -83,11 +84,11 @@
         }
         loop {
             match self.next_step().await {
-                StreamStep::Chunk(piece) => {
-                    let whole = self.splitter.push(&piece);
-                    if !whole.is_empty() {
+                StreamStep::Chunk(chunk) => {
+                    let events = self.splitter.push(&chunk);
+                    if !events.is_empty() {
                         self.record_events();
-                        return Some(Ok(whole));
+                        return Some(Ok(events));
                     }
                 }
                 StreamStep::End => return self.finish(),
@@ -112,9 +113,9 @@
     async fn next_step(&mut self) -> StreamStep {
         loop {
             let timer = tokio::time::timeout(SILENCE_POLL_INTERVAL, self.response.body.next());
-            let begun = BootClock::now();
+            let started = BootClock::now();
             match timer.await {
-                Ok(Ok(Some(piece))) => return StreamStep::Chunk(piece),
+                Ok(Ok(Some(chunk))) => return StreamStep::Chunk(chunk),
                 Ok(Ok(None)) => return StreamStep::End,
                 Ok(Err(_)) => return StreamStep::Broken,
                 Err(_) => {}
@@ -123,15 +124,18 @@
             if now >= self.job.deadline {
                 return StreamStep::Deadline;
             }
-            let is_late = now.saturating_sub(begun) > SILENCE_POLL_INTERVAL + MAX_TIMER_DELAY;
-            if !is_late && self.is_silent(now) {
+            let is_timer_late =
+                now.saturating_sub(started) > SILENCE_POLL_INTERVAL + MAX_TIMER_DELAY;
+            if !is_timer_late && self.should_resume(now) {
                 return StreamStep::Silent;
             }
         }
     }
 
-    /// Returns whether the whole group has been silent for longer than its passes explain.
-    fn is_silent(&self, now: Moment) -> bool {
+    /// Returns whether the group has been silent for too long and the stream may be resumed elsewhere.
+    ///
+    /// A silent group is reported as suspect even if the stream may not be resumed.
+    fn should_resume(&self, now: Moment) -> bool {
         let target = &self.response.target;
         let limit = silence_of(&self.job, target);
         let is_silent =
@@ -158,8 +162,8 @@
                 .for_each(GaugePlace::note_read);
             self.trace.record_first_event();
             if self.trace.attempts_sent == 1 {
-                let placed = self.trace.arrived + self.trace.slot_wait.unwrap_or_default();
-                let time = now.saturating_sub(placed);
+                let reserved_at = self.trace.arrived + self.trace.slot_wait.unwrap_or_default();
+                let time = now.saturating_sub(reserved_at);
                 self.dispatcher
                     .selector()
                     .record_first_event(&self.job, time);
@@ -175,7 +179,7 @@
         self.trace.events = self.splitter.events();
     }
 
-    /// Ends the caller's stream; bytes of an event that never ended are passed on as they came.
+    /// Ends the caller's stream; the bytes of an incomplete last event are passed on unchanged.
     fn finish(&mut self) -> Option<Result<Bytes, io::Error>> {
         self.has_ended = true;
         self.response
@@ -186,37 +190,34 @@
         (!rest.is_empty()).then_some(Ok(rest))
     }
 
-    /// Goes on after the last whole event at another target, if there is one with a place.
+    /// Resumes the stream after the last complete event at another target, if one has a free slot.
     ///
-    /// The old answer is kept until the new one has begun: a group that was only slow goes on.
+    /// The current response is kept until the new one has begun, so that a group that was only slow can continue.
     async fn resume(&mut self) -> bool {
         if !self.may_resume() {
             return false;
         }
-        let Some(placed) = self
-            .dispatcher
-            .selector()
-            .pick(&self.job.place_ask(&self.tried))
-        else {
+        let slot_request = self.job.place_ask(&self.tried);
+        let Some(reserved) = self.dispatcher.selector().pick(&slot_request) else {
             return false;
         };
-        self.resume_at(placed).await == ResumeResult::Resumed
+        self.resume_at(reserved).await == ResumeResult::Resumed
     }
 
-    /// Goes on elsewhere after the old answer has ended, waiting for a place if none is free.
+    /// Resumes the stream at another target after the current response has ended, waiting for a slot if necessary.
     ///
-    /// Targets often end together, and the next one may be gone as well without anybody knowing yet. One that
-    /// refuses the connection has not had the request, so the stream goes on to another.
+    /// Targets often fail together, and the failure of the next one may not have been detected yet. A target that
+    /// refuses the connection has not received the request, so a further one is tried.
     async fn resume_after_break(&mut self) -> bool {
         self.response.place = None;
         while self.may_resume() {
-            let placer = self.dispatcher.selector();
+            let selector = self.dispatcher.selector();
             let is_begun = self.splitter.last().is_some();
-            let placing = placer.acquire_for_resume(&self.job, &self.tried, is_begun);
-            let Ok(placed) = placing.await else {
+            let acquiring = selector.acquire_for_resume(&self.job, &self.tried, is_begun);
+            let Ok(reserved) = acquiring.await else {
                 return false;
             };
-            match self.resume_at(placed).await {
+            match self.resume_at(reserved).await {
                 ResumeResult::Resumed => return true,
                 ResumeResult::Refused => {}
                 ResumeResult::Failed => return false,
@@ -225,35 +226,35 @@
         false
     }
 
-    async fn resume_at(&mut self, (target, place): ReservedTarget) -> ResumeResult {
+    async fn resume_at(&mut self, (target, slot): ReservedTarget) -> ResumeResult {
         if !self.dispatcher.budgets().withdraw(&self.job.service) {
             return ResumeResult::Failed;
         }
         self.trace.attempts_sent += 1;
-        let last = self.splitter.last().map(str::to_owned);
-        let last = last.or_else(|| self.job.ask.last_event.clone());
+        let last_event = self.splitter.last().map(str::to_owned);
+        let last_event = last_event.or_else(|| self.job.ask.last_event.clone());
         self.tried.push(target.id.clone());
         log::info!(
             request = self.trace.request_id.as_str(),
             from = self.response.target.id.as_str(),
             to = target.id.as_str(),
             reason = self.trace.reason,
-            after_event = last.as_deref().unwrap_or(""),
+            after_event = last_event.as_deref().unwrap_or(""),
             silence_ms = BootClock::now().saturating_sub(self.last_received).as_millis() as u64;
             "stream_resumed"
         );
-        let begun = self
+        let sent = self
             .dispatcher
-            .send(&self.job, target, place, last.as_deref(), false)
+            .send(&self.job, target, slot, last_event.as_deref(), false)
             .await;
-        match begun {
-            Ok(begun) => {
+        match sent {
+            Ok(response) => {
                 self.dispatcher
                     .shared()
                     .metrics
                     .count_resume(&self.job.service);
-                self.trace.target.clone_from(&begun.target.id);
-                self.response = begun;
+                self.trace.target.clone_from(&response.target.id);
+                self.response = response;
                 self.splitter.drop_tail();
                 ResumeResult::Resumed
             }
@@ -269,11 +270,13 @@
         }
     }
 
-    /// Ends the caller's connection without the end mark, so that the answer does not look whole.
+    /// Ends the caller's stream with an error, so that the connection closes without the end of the body.
+    ///
+    /// Otherwise the caller would take the response for complete.
     fn abort(&mut self) -> io::Error {
         self.has_ended = true;
         self.trace.end(RequestEnd::Unknown);
-        io::Error::other("the stream is broken")
+        io::Error::other("the stream broke and could not be resumed")
     }
 }
 
--- a/crates/fleet/src/slot_queue.rs
+++ b/crates/fleet/src/slot_queue.rs
@@ -1,4 +1,4 @@
-//! The requests of a node that wait for a place at a target.
+//! Queue of a node's requests that wait for a slot at a target.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -12,24 +12,24 @@
 use crate::gauge::GaugePlace;
 use crate::table::RouteTarget;
 
-/// Weight of the newest sample in the usual time to the first event.
+/// Weight of the newest sample in the smoothed time to the first event.
 const FIRST_EVENT_SMOOTHING: f64 = 0.1;
 
-/// Names the targets that requests compete for: a service, and a model where it has several.
+/// Identifies the targets for which requests compete: a service, and a model if the service runs models.
 pub type QueueKey = (ServiceId, Option<ModelId>);
-/// A place at a target.
+/// A target with the slot that is reserved there.
 pub type ReservedTarget = (Arc<RouteTarget>, GaugePlace);
 
-/// What a waiting request needs of its target.
+/// What a request requires of a target.
 #[derive(Clone, Debug)]
 pub struct SlotRequest {
-    /// Targets it competes for.
+    /// Targets for which it competes.
     pub key: QueueKey,
-    /// Tokens of its prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Targets it has been sent to.
+    /// Targets to which it has already been sent.
     pub tried: Vec<TargetId>,
-    /// Whether it can not be on time any more.
+    /// Whether it can no longer meet its latency objective.
     pub is_late: bool,
 }
 
@@ -47,14 +47,14 @@
     next_ticket: u64,
 }
 
-/// Requests in order of who goes next.
+/// Waiting requests, served in the order that [`next_waiting`] defines.
 #[derive(Default)]
 pub struct SlotQueue {
     state: Mutex<QueueState>,
 }
 
 impl SlotQueue {
-    /// Returns whether anybody waits for these targets.
+    /// Returns whether any request waits for these targets.
     pub fn has_waiters(&self, key: &QueueKey) -> bool {
         let state = self.lock();
         state
@@ -63,14 +63,14 @@
             .is_some_and(|waiters| !waiters.is_empty())
     }
 
-    /// Notes the time from a place to the first event there.
+    /// Records the time from reserving a slot to the first event of a stream.
     pub fn record_first_event(&self, key: &QueueKey, time: Duration) {
         let mut state = self.lock();
-        let held = state.first_event_times.entry(key.clone()).or_insert(time);
-        *held = held.mul_f64(1.0 - FIRST_EVENT_SMOOTHING) + time.mul_f64(FIRST_EVENT_SMOOTHING);
+        let usual = state.first_event_times.entry(key.clone()).or_insert(time);
+        *usual = usual.mul_f64(1.0 - FIRST_EVENT_SMOOTHING) + time.mul_f64(FIRST_EVENT_SMOOTHING);
     }
 
-    /// Returns the time that usually passes from a place to the first event there.
+    /// Returns the smoothed time from reserving a slot to the first event of a stream.
     pub fn usual_first_event_time(&self, key: &QueueKey) -> Duration {
         self.lock()
             .first_event_times
@@ -79,37 +79,37 @@
             .unwrap_or_default()
     }
 
-    /// Returns how many wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.lock().waiters.values().map(Vec::len).sum()
     }
 
-    /// Returns whether nobody waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Puts a request in the queue; the receiver yields its place.
+    /// Adds a request to the queue; the receiver yields its reserved target.
     pub fn push(
         &self,
-        ask: SlotRequest,
+        slot_request: SlotRequest,
         request: WaitingRequest,
     ) -> (u64, oneshot::Receiver<ReservedTarget>) {
-        let (reply, place) = oneshot::channel();
+        let (reply, reserved) = oneshot::channel();
         let mut state = self.lock();
         let ticket = state.next_ticket;
         state.next_ticket += 1;
-        let key = ask.key.clone();
+        let key = slot_request.key.clone();
         state.waiters.entry(key).or_default().push(Waiter {
             ticket,
-            slot_request: ask,
+            slot_request,
             request,
             reply,
         });
-        (ticket, place)
+        (ticket, reserved)
     }
 
-    /// Takes a request out that waits no more.
+    /// Removes a request that no longer waits.
     pub fn cancel(&self, key: &QueueKey, ticket: u64) {
         let mut state = self.lock();
         if let Some(waiters) = state.waiters.get_mut(key) {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Gives out places as long as `pick` finds one for whoever goes next.
+    /// Reserves slots as long as `pick` finds one for the request that is next.
     pub fn serve(&self, pick: impl Fn(&SlotRequest) -> Option<ReservedTarget>) {
         let now = BootClock::now();
         let mut state = self.lock();
@@ -130,12 +130,12 @@
                     break;
                 };
                 waiters[index].slot_request.is_late = requests[index].is_late(now);
-                let Some(placed) = pick(&waiters[index].slot_request) else {
+                let Some(reserved) = pick(&waiters[index].slot_request) else {
                     break;
                 };
                 let waiter = waiters.remove(index);
-                // A waiter that left in between gives its place back by dropping it.
-                let _ = waiter.reply.send(placed);
+                // If the waiter has left in the meantime, dropping the value releases the slot.
+                let _ = waiter.reply.send(reserved);
             }
         }
         state.waiters.retain(|_, waiters| !waiters.is_empty());
@@ -146,23 +146,23 @@
     }
 }
 
-/// Waits for a place until the request is to be refused.
+/// Waits for a slot until the request is to be refused.
 ///
-/// `look` is called now and then, for places that come free without this node hearing of it.
+/// `poll` is called once per `interval`, since slots may become free without a notification to this node.
 pub async fn wait_for_slot(
-    mut place: oneshot::Receiver<ReservedTarget>,
+    mut reserved: oneshot::Receiver<ReservedTarget>,
     request: WaitingRequest,
     interval: Duration,
-    mut look: impl FnMut(),
+    mut poll: impl FnMut(),
 ) -> Option<ReservedTarget> {
     loop {
-        match tokio::time::timeout(interval, &mut place).await {
-            Ok(placed) => return placed.ok(),
-            Err(_) => look(),
+        match tokio::time::timeout(interval, &mut reserved).await {
+            Ok(reserved) => return reserved.ok(),
+            Err(_) => poll(),
         }
         if request.verdict(BootClock::now()) == WaitVerdict::Refuse {
-            // A place given in the last moment is not let go.
-            return place.try_recv().ok();
+            // A slot that was reserved at the last moment is used.
+            return reserved.try_recv().ok();
         }
     }
 }
--- a/crates/fleet/src/target_selector.rs
+++ b/crates/fleet/src/target_selector.rs
@@ -1,4 +1,4 @@
-//! Finds targets with a free place, and lets requests wait for one.
+//! Selects targets for requests and reserves slots there; requests wait in a queue while no slot is free.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,20 +18,21 @@
 use crate::slot_queue::{wait_for_slot, QueueKey, ReservedTarget, SlotQueue, SlotRequest};
 use crate::table::RouteTarget;
 
-/// Time between looks for a free place while nothing wakes the request.
+/// Interval at which a waiting request checks for a free slot if it is not woken before.
 const SLOT_POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// Weight of the share of failures against load: one that fails always counts as full twice over.
+/// Weight of a target's failure rate relative to its load; a target that always fails counts as loaded to twice its
+/// slots.
 const FAILURE_WEIGHT: f64 = 2.0;
-/// Places of another zone's target that count as taken, for the way there and back.
+/// Slots that count as used at targets of another zone, for the additional round-trip time.
 const REMOTE_ZONE_PENALTY_SLOTS: f64 = 0.5;
 
-/// Finds places at targets.
+/// Selects targets and reserves slots there.
 pub struct TargetSelector {
     shared: Arc<FleetShared>,
     queue: SlotQueue,
 }
 
-/// Takes a request out of the queue when its caller leaves or its place is found.
+/// Removes a request from the queue when its caller disconnects or it has a slot.
 struct QueueGuard<'a> {
     queue: &'a SlotQueue,
     key: &'a QueueKey,
@@ -45,7 +46,7 @@
 }
 
 impl TargetSelector {
-    /// Opens a placer without waiting requests.
+    /// Creates a selector with an empty queue.
     pub fn new(shared: Arc<FleetShared>) -> Self {
         Self {
             shared,
@@ -53,11 +54,11 @@
         }
     }
 
-    /// Finds a target with a free place, waiting a little while there is none.
+    /// Reserves a slot at a target, waiting for one if none is free.
     ///
     /// # Errors
     ///
-    /// Returns the point to tell the caller when no place came free in time.
+    /// Returns the failure to report to the caller if no slot became free in time.
     pub async fn acquire(
         &self,
         job: &RequestJob,
@@ -71,14 +72,14 @@
         self.acquire_with(job, tried, terms).await
     }
 
-    /// Finds a target for a stream that broke off and is to go on.
+    /// Reserves a slot for resuming a stream that broke.
     ///
-    /// It counts from now: what was delivered of it is lost if it ends here, so it does not stand
-    /// behind those that come now, and before them once the caller has part of it.
+    /// If the stream ended here, what was delivered of it would be lost. It therefore counts as arriving now, so that
+    /// it is not late compared with new requests, and goes before them if the caller has received part of it.
     ///
     /// # Errors
     ///
-    /// Returns the point to tell the caller when no place came free in time.
+    /// Returns the failure to report to the caller if no slot became free in time.
     pub async fn acquire_for_resume(
         &self,
         job: &RequestJob,
@@ -93,93 +94,99 @@
         self.acquire_with(job, tried, terms).await
     }
 
-    /// Finds a target on terms that lack what the request and its rule say.
+    /// Reserves a slot; `terms` is completed with the values of the request and its rule.
     async fn acquire_with(
         &self,
         job: &RequestJob,
         tried: &[TargetId],
         terms: WaitTerms,
     ) -> Result<ReservedTarget, FailurePoint> {
-        let mut ask = job.place_ask(tried);
+        let mut slot_request = job.place_ask(tried);
         let request = WaitingRequest::open(WaitTerms {
             objective: job.rule.objective,
-            first: self.queue.usual_first_event_time(&ask.key),
+            first: self.queue.usual_first_event_time(&slot_request.key),
             deadline: job.deadline,
             priority: job.priority,
             ..terms
         });
-        ask.is_late = request.is_late(BootClock::now());
-        // Nobody overtakes those who wait and can still be on time.
-        if !self.queue.has_waiters(&ask.key) {
-            if let Some(placed) = self.pick(&ask) {
-                return Ok(placed);
+        slot_request.is_late = request.is_late(BootClock::now());
+        // A new request must not overtake waiting ones that can still meet their objective.
+        if !self.queue.has_waiters(&slot_request.key) {
+            if let Some(reserved) = self.pick(&slot_request) {
+                return Ok(reserved);
             }
         }
-        let key = ask.key.clone();
-        let (ticket, place) = self.queue.push(ask, request);
+        let key = slot_request.key.clone();
+        let (ticket, reserved) = self.queue.push(slot_request, request);
         self.serve_queue();
         let _guard = QueueGuard {
             queue: &self.queue,
             key: &key,
             ticket,
         };
-        let placed = wait_for_slot(place, request, SLOT_POLL_INTERVAL, || self.serve_queue()).await;
-        placed.ok_or(FailurePoint::NoTarget)
+        let poll = || self.serve_queue();
+        let reserved = wait_for_slot(reserved, request, SLOT_POLL_INTERVAL, poll).await;
+        reserved.ok_or(FailurePoint::NoTarget)
     }
 
-    /// Gives places that came free to those who wait.
+    /// Reserves free slots for waiting requests.
     pub fn serve_queue(&self) {
         if !self.queue.is_empty() {
-            self.queue.serve(|ask| self.pick(ask));
+            self.queue.serve(|slot_request| self.pick(slot_request));
         }
     }
 
-    /// Notes the time from a place to the first event there.
+    /// Records the time from reserving a slot to the first event of a stream.
     pub fn record_first_event(&self, job: &RequestJob, time: Duration) {
         self.queue.record_first_event(&job.place_ask(&[]).key, time);
     }
 
-    /// Picks a target now; `None` when each is full, suspect or tried.
-    pub fn pick(&self, ask: &SlotRequest) -> Option<ReservedTarget> {
+    /// Reserves a slot without waiting; `None` if every target is full, suspect or already tried.
+    pub fn pick(&self, slot_request: &SlotRequest) -> Option<ReservedTarget> {
         let table = self.shared.routing_table.load();
-        let book = self.shared.config.load();
+        let config = self.shared.config.load();
         let now = BootClock::now();
-        let (service, model) = &ask.key;
-        let service_spec = book.as_ref().as_ref()?.services.get(service);
+        let (service, model) = &slot_request.key;
+        let service_spec = config.as_ref().as_ref()?.services.get(service);
         let engine = service_spec.and_then(|spec| spec.engine.as_ref());
         let target = match engine {
             Some(engine) => {
                 let model = engine.models.get(model.as_ref()?)?;
                 let groups = table.groups(service, &model.id);
-                let open: Vec<&Arc<RouteTarget>> = groups
+                let candidates: Vec<&Arc<RouteTarget>> = groups
                     .iter()
-                    .filter(|group| !ask.tried.contains(&group.id) && !group.gauge.is_suspect(now))
+                    .filter(|group| {
+                        !slot_request.tried.contains(&group.id) && !group.gauge.is_suspect(now)
+                    })
                     .collect();
-                let loads: Vec<GroupLoad> = open
+                let loads: Vec<GroupLoad> = candidates
                     .iter()
                     .map(|group| GroupLoad {
-                        is_for_late: ask.is_late,
+                        is_for_late: slot_request.is_late,
                         ..self.group_load(engine, group, now)
                     })
                     .collect();
-                let elsewhere = self.shared.peer_work.read();
-                let arrivals = elsewhere.arrivals.get(&model.id).copied();
+                let peer_work = self.shared.peer_work.read();
+                let arrivals = peer_work.arrivals.get(&model.id).copied();
                 let terms = PlaceTerms {
-                    prompt: ask.prompt_tokens,
+                    prompt: slot_request.prompt_tokens,
                     unseen: arrivals.unwrap_or_default() * KNOWN_TIME.as_secs_f64(),
                     draw: rand::random(),
                     turn: self.overflow_turn(&model.id, now),
                 };
                 let index = pick_group(engine, model, &loads, &terms)?;
-                open[index]
+                candidates[index]
             }
-            None => self.pick_single(table.plain(service), &ask.tried, now)?,
+            None => self.pick_single(table.plain(service), &slot_request.tried, now)?,
         };
-        let place = GaugePlace::open(&target.gauge, ask.prompt_tokens, now);
-        Some((Arc::clone(target), place))
+        let slot = GaugePlace::open(&target.gauge, slot_request.prompt_tokens, now);
+        Some((Arc::clone(target), slot))
     }
 
-    /// Returns this node's turn among all nodes to use places beyond its share of a model's groups.
+    /// Returns a number from 0 to 1 that decides whether this node may use slots beyond its share of a model's groups.
+    ///
+    /// It differs between nodes, and changes after the time in which the other nodes learn of the load that this node
+    /// has added.
     fn overflow_turn(&self, model: &str, now: Moment) -> f64 {
         let window = now.as_millis() / KNOWN_TIME.as_millis();
         let seed = xxh3_64(model.as_bytes()) ^ self.shared.incarnation ^ window as u64;
@@ -193,7 +200,7 @@
             (&delay.from == own && delay.to == group.zone)
                 || (&delay.to == own && delay.from == group.zone)
         });
-        // Whatever the zone: one that lost its own groups lives on the shares of others'.
+        // The share does not depend on the zone, so that a zone without groups of its own can use those of others.
         let share = || place_share(engine.slots, self.shared.weight_for(&group.id, now));
         GroupLoad {
             share: group.gauge.share(now, share),
@@ -208,7 +215,7 @@
         }
     }
 
-    /// Picks the single target with the least work, counting failures as work.
+    /// Selects the single target with the least load; failures count as load.
     fn pick_single<'a>(
         &self,
         targets: &'a [Arc<RouteTarget>],
@@ -218,17 +225,17 @@
         let cost = |target: &RouteTarget| {
             let slots = f64::from(target.slots.max(1));
             let load = f64::from(target.gauge.writers()) / slots;
-            let is_far = target.zone != self.shared.settings.zone;
-            let away = if is_far {
+            let is_remote = target.zone != self.shared.settings.zone;
+            let zone_penalty = if is_remote {
                 REMOTE_ZONE_PENALTY_SLOTS / slots
             } else {
                 0.0
             };
-            load + away + target.gauge.failing() * FAILURE_WEIGHT
+            load + zone_penalty + target.gauge.failing() * FAILURE_WEIGHT
         };
-        let open = targets
+        let candidates = targets
             .iter()
             .filter(|target| !tried.contains(&target.id) && !target.gauge.is_suspect(now));
-        open.min_by(|left, right| cost(left).total_cmp(&cost(right)))
+        candidates.min_by(|left, right| cost(left).total_cmp(&cost(right)))
     }
 }
--- a/crates/fleet/src/trace.rs
+++ b/crates/fleet/src/trace.rs
@@ -1,4 +1,4 @@
-//! What is known of one request, told in one line when it is over.
+//! Record of one request, which is logged in one line when the request ends.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -14,17 +14,17 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RequestEnd {
-    /// The caller got a target's whole answer.
+    /// The caller received a target's complete response.
     Answered,
-    /// The caller got a failure that a target made.
+    /// The caller received a target's error response.
     Failed,
-    /// No target ran it, and the caller was told so.
+    /// No target ran the request, and the caller was told so.
     NotRun,
-    /// It may have run; the caller got no whole answer.
+    /// The request may have run; the caller received no complete response.
     Unknown,
-    /// It was wrong or not allowed.
+    /// The request was invalid or not allowed.
     Rejected,
-    /// The caller went away first.
+    /// The caller disconnected before the response was complete.
     CallerLeft,
 }
 
@@ -42,59 +42,59 @@
     }
 }
 
-/// One request from its arrival to its end.
+/// Record of one request from its arrival to its end; dropping it logs and counts the request.
 pub struct RequestTrace {
     shared: Arc<FleetShared>,
-    /// Id that the caller gave the attempt.
+    /// Id that the caller gave to the attempt.
     pub request_id: RequestId,
-    /// Fingerprint, once the request was read.
+    /// Fingerprint; `None` until the request has been read.
     pub fingerprint: Option<RequestPrint>,
-    /// When its head was read.
+    /// Time at which the head of the request was read.
     pub arrived: Moment,
-    /// Organisation.
+    /// Organisation of the caller; empty if no key is required.
     pub organisation: OrganisationId,
-    /// Rule that matched.
+    /// Name of the rule that matched.
     pub rule: String,
-    /// Configuration that the rule is from.
+    /// Version of the configuration that contains the rule.
     pub config_version: ConfigVersion,
-    /// Service.
+    /// Service that the rule selected.
     pub service: ServiceId,
     /// Target of the last attempt.
     pub target: TargetId,
     /// Group of the last attempt.
     pub group: GroupId,
-    /// Tokens of its prompt; zero where it has none.
+    /// Number of tokens of the prompt; zero if there is none.
     pub prompt_tokens: u64,
-    /// Most tokens that its answer may have; zero where the caller does not say.
+    /// Maximum number of tokens of the response; zero if the caller does not state it.
     pub max_tokens: u64,
-    /// Time that the caller said it would wait.
+    /// Time for which the caller waits for the response.
     pub timeout: Duration,
-    /// Time for which the caller is thought to have waited before.
+    /// Estimated time for which the caller had waited before this attempt.
     pub waited_before: Duration,
-    /// Attempts sent.
+    /// Number of attempts sent to targets.
     pub attempts_sent: u32,
-    /// Runs of this attempt whose connection broke.
+    /// Number of runs whose connection broke.
     pub broken_runs: usize,
-    /// Why the last attempt or the request failed.
+    /// Reason why the last attempt or the request failed.
     pub reason: &'static str,
-    /// Time until the first place at a target was found.
+    /// Time from arrival until the first slot at a target was reserved.
     pub slot_wait: Option<Duration>,
-    /// Time to the first event.
+    /// Time from arrival until the first event was sent to the caller.
     pub first_event: Option<Duration>,
-    /// Longest pause between events.
+    /// Longest pause between two events.
     pub longest_pause: Duration,
-    /// Events delivered.
+    /// Number of events sent to the caller.
     pub events: u64,
     end: Option<RequestEnd>,
 }
 
 impl RequestTrace {
-    /// Begins a request.
-    pub fn begin(shared: &Arc<FleetShared>, request: &str, arrived: Moment) -> Self {
+    /// Starts the record of a request, which counts as in flight until the record is dropped.
+    pub fn begin(shared: &Arc<FleetShared>, request_id: &str, arrived: Moment) -> Self {
         shared.in_flight.fetch_add(1, Ordering::SeqCst);
         Self {
             shared: Arc::clone(shared),
-            request_id: request.to_owned(),
+            request_id: request_id.to_owned(),
             fingerprint: None,
             arrived,
             organisation: OrganisationId::new(),
@@ -118,19 +118,19 @@
         }
     }
 
-    /// Returns the fingerprint for the log; empty until the request was read.
+    /// Returns the fingerprint as text; empty until the request has been read.
     pub fn fingerprint_text(&self) -> String {
         self.fingerprint
-            .map(|print| print.to_string())
+            .map(|fingerprint| fingerprint.to_string())
             .unwrap_or_default()
     }
 
-    /// Notes how the request ended.
+    /// Sets how the request ended; later calls have no effect.
     pub fn end(&mut self, end: RequestEnd) {
         self.end.get_or_insert(end);
     }
 
-    /// Notes that an attempt failed, and why.
+    /// Records and logs a failed attempt.
     pub fn record_failed_attempt(&mut self, reason: &'static str) {
         self.reason = reason;
         log::info!(
@@ -144,13 +144,13 @@
         );
     }
 
-    /// Notes that a place at a target was found.
+    /// Records that a slot at a target was reserved.
     pub fn record_slot(&mut self) {
         let waited = BootClock::now().saturating_sub(self.arrived);
         self.slot_wait.get_or_insert(waited);
     }
 
-    /// Notes that the first event went to the caller.
+    /// Records that the first event was sent to the caller.
     pub fn record_first_event(&mut self) {
         if self.first_event.is_none() {
             let latency = BootClock::now().saturating_sub(self.arrived);
@@ -191,7 +191,7 @@
             events = self.events,
             patience_ms = self.timeout.as_millis() as u64,
             before_ms = self.waited_before.as_millis() as u64,
-            wait_ms = self.slot_wait.map_or(0, |waited| waited.as_millis() as u64),
+            wait_ms = self.slot_wait.map_or(0, |wait| wait.as_millis() as u64),
             first_ms = self.first_event.map_or(0, |first| first.as_millis() as u64),
             pause_ms = self.longest_pause.as_millis() as u64,
             ms = latency.as_millis() as u64;
