--- a/crates/fleet/tests/crashes.rs
+++ b/crates/fleet/tests/crashes.rs
@@ -298,7 +298,7 @@
                 .targets
                 .iter()
                 .filter(runs)
-                .for_each(|target| target.stop());
+                .for_each(|target| target.crash());
         };
         // Once it is quarantined it does not run again; the next look at what is held shows that.
         let asked = fleet.request(0, ask);
@@ -358,7 +358,7 @@
 async fn requests_are_not_sent_on_to_targets_that_have_ended() {
     let fleet = Fleet::open_groups(8, &["z1"]).await;
     for target in &fleet.targets[..6] {
-        target.stop_permanently().await;
+        target.crash_permanently().await;
     }
     let mut unserved = 0;
     for index in 0..30 {
@@ -392,12 +392,12 @@
             let spared = if running == Some(4) { 3 } else { 4 };
             for (index, target) in fleet.targets.iter().enumerate() {
                 if index != spared && Some(index) != running {
-                    target.stop_permanently().await;
+                    target.crash_permanently().await;
                 }
             }
             running
                 .into_iter()
-                .for_each(|index| fleet.targets[index].stop());
+                .for_each(|index| fleet.targets[index].crash());
         };
         let (answer, ()) = tokio::join!(fleet.request(0, TestRequest::model(&body)), end);
         expect_true!(answer.is_served(), "{answer:?}");
--- a/crates/fleet/tests/logs.rs
+++ b/crates/fleet/tests/logs.rs
@@ -50,8 +50,11 @@
     let mut events = Vec::new();
     for source in SOURCES {
         let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join(source);
-        for entry in fs::read_dir(folder).expect("the sources").flatten() {
-            let text = fs::read_to_string(entry.path()).expect("a source file");
+        for entry in fs::read_dir(folder)
+            .expect("readable source folder")
+            .flatten()
+        {
+            let text = fs::read_to_string(entry.path()).expect("readable source file");
             events.extend(events_of(&text));
         }
     }
--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes in this process, with a platform in memory and targets behind real sockets.
+//! Runs nodes in the test process, with an in-memory platform and targets on real sockets.
 #![allow(dead_code)]
 
 pub mod platform;
@@ -25,18 +25,18 @@
 pub const SERVICE: &str = "app";
 pub const GROUP_SERVICE: &str = "lm";
 pub const MODEL: &str = "m0";
-/// Keys and the organisations that hold them.
+/// API keys and the organisations that hold them.
 pub const KEYS: [(&str, &str); 2] = [("key-one", "org-one"), ("key-two", "org-two")];
-/// An address whose port the operating system chooses when it is bound.
+/// Address with a port that the operating system chooses on binding.
 const ANY_PORT: &str = "127.0.0.1:0";
-/// Longest time a condition may take to come about.
+/// Time-out for a condition to become true.
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time that callers wait.
+/// Time for which callers wait.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Returns rules for streams of single targets below `/chat/` and of groups below `/model/`, for idempotent calls
-/// below `/look/` and for calls that run at most once below `/bill/`.
-pub fn book() -> TrafficBook {
+/// Returns a configuration with rules for streams from single targets (`/chat/`) and from groups (`/model/`), for
+/// idempotent calls (`/look/`) and for at-most-once calls (`/bill/`).
+pub fn config() -> TrafficBook {
     let rule = |prefix: &str, service: &str, repeat, answer| TrafficRule {
         name: prefix.to_owned(),
         prefix: prefix.to_owned(),
@@ -95,7 +95,7 @@
     }
 }
 
-/// Returns engines whose groups have one member each.
+/// Returns the model of an engine whose groups have one member each.
 fn engine() -> EngineModel {
     let model = ModelSpec {
         id: MODEL.to_owned(),
@@ -131,7 +131,7 @@
         is_first_start: false,
         fails_closed: true,
         key_validity: Duration::from_secs(30),
-        // More than any test needs: what is shown must not hang on the budget of retries.
+        // More than any test needs, so that no result depends on the retry budget.
         retry_ratio: 20.0,
         retry_burst: 10_000,
         retry_window: Duration::from_secs(10),
@@ -140,19 +140,19 @@
     }
 }
 
-/// One answer as a caller saw it.
+/// A response as its caller received it.
 #[derive(Clone, Debug)]
 pub struct TestResponse {
-    /// Status; zero where the connection ended without one.
+    /// HTTP status; zero if the connection ended without a response.
     pub status: u16,
     pub headers: HeaderMap,
     pub body: String,
-    /// Whether the body came to its end.
+    /// Whether the body was received completely.
     pub is_complete: bool,
 }
 
 impl TestResponse {
-    /// Returns the seconds after which to come back.
+    /// Returns the value of the `Retry-After` header in seconds.
     pub fn retry_after(&self) -> Option<f64> {
         let value = self.headers.get("retry-after")?;
         value.to_str().ok()?.parse().ok()
@@ -163,7 +163,7 @@
     }
 }
 
-/// A request that a caller sends, again and again if need be.
+/// A caller's request, which can be sent repeatedly.
 #[derive(Clone, Copy, Debug)]
 pub struct TestRequest<'a> {
     pub key: &'a str,
@@ -188,14 +188,14 @@
     }
 }
 
-/// A node and its way to the platform.
+/// A node and its link to the platform.
 pub struct NodeStub {
     pub link: Arc<PlatformLink>,
     node: Option<FleetNode>,
     zone: ZoneId,
 }
 
-/// A platform, targets and nodes.
+/// A fleet of nodes with its platform and targets.
 pub struct Fleet {
     pub platform: PlatformStub,
     pub targets: Vec<TargetStub>,
@@ -206,18 +206,18 @@
 }
 
 impl Fleet {
-    /// Starts targets, and a node for each zone that is named.
+    /// Starts single targets, and one node for each listed zone.
     pub async fn open(targets: usize, zones: &[&str]) -> Self {
         Self::open_of(SERVICE, targets, zones).await
     }
 
-    /// Starts targets that are groups of one member, and a node for each zone that is named.
+    /// Starts targets that each form a group of one member, and one node for each listed zone.
     pub async fn open_groups(targets: usize, zones: &[&str]) -> Self {
         Self::open_of(GROUP_SERVICE, targets, zones).await
     }
 
     async fn open_of(service: &'static str, targets: usize, zones: &[&str]) -> Self {
-        let platform = PlatformStub::new(book());
+        let platform = PlatformStub::new(config());
         let mut fleet = Self {
             targets: Vec::new(),
             nodes: Vec::new(),
@@ -236,9 +236,9 @@
             fleet.targets.push(target);
         }
         for zone in zones {
-            let door = fleet.platform.link(&format!("n{}", fleet.nodes.len()));
+            let link = fleet.platform.link(&format!("n{}", fleet.nodes.len()));
             fleet.nodes.push(NodeStub {
-                link: door,
+                link,
                 node: None,
                 zone: (*zone).to_owned(),
             });
@@ -250,38 +250,39 @@
         fleet
     }
 
-    /// Starts a node, or starts it again without anything that it knew.
+    /// Starts a node, or restarts it without any state.
     pub async fn start(&mut self, index: usize) {
         let stub = &mut self.nodes[index];
         stub.node = None;
         let settings = settings(&stub.link.node, &stub.zone);
         let platform = stub.link.platform();
         let node = FleetNode::spawn(settings, platform).await;
-        stub.node = Some(node.expect("the node starts"));
+        stub.node = Some(node.expect("node starts"));
     }
 
-    /// Ends a node as a kill does.
+    /// Stops a node without a shutdown, as if the process were killed.
     pub fn kill(&mut self, index: usize) {
         self.nodes[index].node = None;
     }
 
-    /// Waits until each node that runs serves.
+    /// Waits until every running node serves requests.
     pub async fn wait_until_serving(&self) {
         for index in 0..self.nodes.len() {
             if self.nodes[index].node.is_none() {
                 continue;
             }
-            let ask = match self.service {
+            let request = match self.service {
                 GROUP_SERVICE => TestRequest::model("hello"),
                 _ => TestRequest::chat("hello"),
             };
             self.wait_until("a node serves", || async {
-                self.request(index, ask).await.is_served()
+                self.request(index, request).await.is_served()
             })
             .await;
         }
     }
 
+    /// Waits until a condition is true; `what` describes it in the message of a time-out.
     pub async fn wait_until<F, Fut>(&self, what: &str, condition: F)
     where
         F: Fn() -> Fut,
@@ -289,32 +290,32 @@
     {
         let end = Instant::now() + CONDITION_TIMEOUT;
         while !condition().await {
-            assert!(Instant::now() < end, "{what} did not come about");
+            assert!(Instant::now() < end, "timed out waiting until {what}");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Sends a request to a node under an id of its own.
-    pub async fn request(&self, node: usize, ask: TestRequest<'_>) -> TestResponse {
+    /// Sends a request to a node, with a new attempt id.
+    pub async fn request(&self, node: usize, test_request: TestRequest<'_>) -> TestResponse {
         let settings = self.nodes[node].node.as_ref().map(FleetNode::settings);
         let address = settings.map(|settings| settings.callers.clone());
         let attempt = self
             .next_attempt
             .fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        let mut request = request(Method::POST, ask.path, ask.body);
+        let mut request = request(Method::POST, test_request.path, test_request.body);
         let headers = [
-            ("key", ask.key),
+            ("key", test_request.key),
             ("attempt", &format!("a{attempt}")),
             ("model", MODEL),
         ];
         for (name, value) in headers {
-            let value = HeaderValue::from_str(value).expect("a header's value");
+            let value = HeaderValue::from_str(value).expect("valid header value");
             request.headers_mut().insert(name, value);
         }
         self.send(&address.unwrap_or_default(), request).await
     }
 
-    /// Sends a request to a node's listener for operators.
+    /// Sends a request to a node's listener for metrics and operators.
     pub async fn operator_request(&self, node: usize, method: Method, path: &str) -> TestResponse {
         let settings = self.nodes[node].node.as_ref().map(FleetNode::settings);
         let address = settings.map(|settings| settings.metrics.clone());
@@ -331,7 +332,7 @@
             address: address.to_owned(),
             incarnation: 0,
         };
-        let Ok(reply) = self.client.send(&target, request, true).await else {
+        let Ok(response) = self.client.send(&target, request, true).await else {
             return TestResponse {
                 status: 0,
                 headers: HeaderMap::new(),
@@ -339,20 +340,20 @@
                 is_complete: false,
             };
         };
-        let mut body = reply.body;
+        let mut body = response.body;
         let mut text = String::new();
-        let is_whole = loop {
+        let is_complete = loop {
             match body.next().await {
-                Ok(Some(piece)) => text.push_str(&String::from_utf8_lossy(&piece)),
+                Ok(Some(chunk)) => text.push_str(&String::from_utf8_lossy(&chunk)),
                 Ok(None) => break true,
                 Err(_) => break false,
             }
         };
         TestResponse {
-            status: reply.head.status.as_u16(),
-            headers: reply.head.headers,
+            status: response.head.status.as_u16(),
+            headers: response.head.headers,
             body: text,
-            is_complete: is_whole,
+            is_complete,
         }
     }
 }
@@ -360,7 +361,7 @@
 fn request(method: Method, path: &str, body: &str) -> http::Request<http_body_util::Full<Bytes>> {
     let mut request = http::Request::new(whole_body(Bytes::from(body.to_owned())));
     *request.method_mut() = method;
-    *request.uri_mut() = path.parse().expect("a path");
+    *request.uri_mut() = path.parse().expect("valid path");
     let host = HeaderValue::from_static(HOST);
     request.headers_mut().insert("host", host);
     request
--- a/crates/fleet/tests/support/platform.rs
+++ b/crates/fleet/tests/support/platform.rs
@@ -1,4 +1,4 @@
-//! The platform in memory, as the fleet's traits show it; each node's way to it can be closed.
+//! An in-memory implementation of the fleet's platform traits. Each node's link to it can be cut.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -21,7 +21,7 @@
 const CONFIG_TABLE: &str = "config";
 const TARGET_TABLE: &str = "targets";
 const NODE_TABLE: &str = "nodes";
-/// Table of the requests under which targets have ended.
+/// Table of the requests that were running on targets when these crashed.
 pub const SUSPECT_TABLE: &str = "suspects";
 
 #[derive(Default)]
@@ -35,31 +35,31 @@
 }
 
 struct StoreShared {
-    book: TrafficBook,
+    config: TrafficBook,
     state: Mutex<StoreState>,
     changed: Notify,
 }
 
-/// A platform; clones share its state.
+/// An in-memory platform; clones share its state.
 #[derive(Clone)]
 pub struct PlatformStub {
     shared: Arc<StoreShared>,
 }
 
 impl PlatformStub {
-    pub fn new(book: TrafficBook) -> Self {
+    pub fn new(config: TrafficBook) -> Self {
         let stub = Self {
             shared: Arc::new(StoreShared {
-                book,
+                config,
                 state: Mutex::default(),
                 changed: Notify::new(),
             }),
         };
-        stub.put(CONFIG_TABLE, "book", Some(Vec::new()));
+        stub.put(CONFIG_TABLE, "config", Some(Vec::new()));
         stub
     }
 
-    /// Returns a node's way to the platform.
+    /// Returns a link of a node to the platform.
     pub fn link(&self, node: &str) -> Arc<PlatformLink> {
         Arc::new(PlatformLink {
             node: node.to_owned(),
@@ -69,7 +69,7 @@
         })
     }
 
-    /// Lists a target of a service; one of engines heads an open group of its own.
+    /// Adds a target of a service to the directory; a target with an engine forms an open group by itself.
     pub fn list_target(&self, service: &str, id: &str, address: &str, domain: &str) {
         let is_group = service == GROUP_SERVICE;
         let membership = Membership {
@@ -99,12 +99,12 @@
         self.put(TARGET_TABLE, id, Some(Vec::new()));
     }
 
-    /// Takes a target out of the list.
+    /// Removes a target from the directory.
     pub fn remove_target(&self, id: &str) {
         self.put(TARGET_TABLE, id, None);
     }
 
-    /// Writes or drops a row.
+    /// Writes a row, or removes it if `value` is `None`.
     pub fn put(&self, table: &str, key: &str, value: Option<Vec<u8>>) {
         let mut state = self.lock();
         state.version += 1;
@@ -187,7 +187,7 @@
     }
 }
 
-/// One node's way to the platform.
+/// Link of one node to the platform.
 pub struct PlatformLink {
     pub node: NodeId,
     platform: PlatformStub,
@@ -196,17 +196,17 @@
 }
 
 impl PlatformLink {
-    /// Turns the node away, or no more.
-    pub fn set_blocked(&self, is_closed: bool) {
-        self.is_blocked.store(is_closed, Ordering::SeqCst);
+    /// Makes all calls over this link fail, or lets them succeed again.
+    pub fn set_blocked(&self, is_blocked: bool) {
+        self.is_blocked.store(is_blocked, Ordering::SeqCst);
     }
 
-    /// Hides the node and all others from each other; to be set before it starts.
+    /// Hides this node from all others and these from it; must be called before the node starts.
     pub fn isolate_from_peers(&self) {
         self.is_isolated.store(true, Ordering::SeqCst);
     }
 
-    /// Returns the platform as this node sees it.
+    /// Returns the platform's interfaces, as they work over this link.
     pub fn platform(self: &Arc<Self>) -> FleetPlatform {
         FleetPlatform {
             feed: Arc::new(LinkFeed(Arc::clone(self))),
@@ -222,7 +222,7 @@
 
     fn check_open(&self) -> Result<(), SourceError> {
         if self.is_blocked.load(Ordering::SeqCst) {
-            return Err(SourceError::Unavailable("turned away".to_owned()));
+            return Err(SourceError::Unavailable("link blocked".to_owned()));
         }
         Ok(())
     }
@@ -232,12 +232,12 @@
 
 impl FeedSource for LinkFeed {
     fn changes(&self, question: FeedQuestion) -> SourceFuture<'static, FeedAnswer> {
-        let door = Arc::clone(&self.0);
+        let link = Arc::clone(&self.0);
         Box::pin(async move {
-            door.check_open()?;
-            let answer = door.platform.feed(question).await;
-            door.check_open()?;
-            Ok(answer)
+            link.check_open()?;
+            let response = link.platform.feed(question).await;
+            link.check_open()?;
+            Ok(response)
         })
     }
 }
@@ -258,10 +258,10 @@
     }
 
     fn news(&self, answer: &FeedAnswer) -> Result<ConfigNews, SourceError> {
-        let book = &self.0.shared.book;
+        let config = &self.0.shared.config;
         Ok(ConfigNews {
             mark: answer.mark,
-            book: (!answer.rows.is_empty()).then(|| Box::new(book.clone())),
+            book: (!answer.rows.is_empty()).then(|| Box::new(config.clone())),
             is_newest: answer.is_complete(),
             age: answer.age,
         })
@@ -327,7 +327,7 @@
     }
 }
 
-/// Rows of suspects by their keys' texts, since the store knows only bytes.
+/// The store of the stub holds only bytes, so rows of suspects are looked up by the text of their key.
 struct LinkSuspects(Arc<PlatformLink>);
 
 impl SuspectRegistry for LinkSuspects {
--- a/crates/fleet/tests/support/target.rs
+++ b/crates/fleet/tests/support/target.rs
@@ -1,4 +1,4 @@
-//! A target that ends when a certain body begins to run, and comes back after a while.
+//! A target that crashes when it runs certain bodies, and restarts after a while.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -10,35 +10,35 @@
 
 use super::platform::PlatformStub;
 
-/// Beginning of a body that ends each target that runs it.
-pub const CRASHING: &str = "deadly";
-/// Beginning of a body whose connection breaks while the target lives on.
-pub const DISCONNECTING: &str = "breaking";
-/// Beginning of a body that runs until its target ends; where it goes on elsewhere, it is answered.
-pub const HANGING: &str = "lasting";
-/// Time for which a target that has ended is away.
+/// Prefix of a body that crashes each target that runs it.
+pub const CRASHING: &str = "crashing";
+/// Prefix of a body whose connection breaks while the target keeps running.
+pub const DISCONNECTING: &str = "disconnecting";
+/// Prefix of a body that runs until its target crashes; it is answered where it is resumed.
+pub const HANGING: &str = "hanging";
+/// Time from a crash until the target listens again.
 const RESTART_TIME: Duration = Duration::from_millis(900);
-/// Time from the beginning of a run to what it does.
+/// Time from the start of a run to its first event or its crash, and between events.
 const RUN_TIME: Duration = Duration::from_millis(30);
-/// Events of a whole answer.
+/// Number of events of a complete response.
 const EVENTS: u32 = 3;
 
-/// One run.
+/// One run of a request.
 #[derive(Clone, Debug)]
 pub struct RecordedRun {
     pub body: String,
     pub at: Instant,
-    /// Life of the target that ran it.
+    /// Incarnation of the target that ran it.
     pub incarnation: u32,
 }
 
 struct TargetState {
     incarnation: u32,
     runs: Vec<RecordedRun>,
-    /// Whether it does not come back.
+    /// Whether the target does not restart after a crash.
     is_gone: bool,
-    /// Ends the present life.
-    stop: watch::Sender<bool>,
+    /// Ends the current incarnation.
+    crash: watch::Sender<bool>,
 }
 
 struct TargetShared {
@@ -50,7 +50,7 @@
     state: Mutex<TargetState>,
 }
 
-/// A target that runs until the test ends.
+/// A target that is stopped when it is dropped.
 pub struct TargetStub {
     shared: Arc<TargetShared>,
     task: tokio::task::JoinHandle<()>,
@@ -63,10 +63,8 @@
         name: &str,
         domain: &str,
     ) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0")
-            .await
-            .expect("a port is free");
-        let address = listener.local_addr().expect("an address").to_string();
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("free port");
+        let address = listener.local_addr().expect("local address").to_string();
         let shared = Arc::new(TargetShared {
             platform: platform.clone(),
             service,
@@ -77,7 +75,7 @@
                 incarnation: 0,
                 runs: Vec::new(),
                 is_gone: false,
-                stop: watch::Sender::new(false),
+                crash: watch::Sender::new(false),
             }),
         });
         let task = tokio::spawn(run_incarnations(Arc::clone(&shared), listener));
@@ -89,12 +87,12 @@
         self.shared.lock().runs.clone()
     }
 
-    /// Returns how many lives have ended.
-    pub fn ended_incarnations(&self) -> u32 {
+    /// Returns how often the target has crashed and restarted.
+    pub fn crash_count(&self) -> u32 {
         self.shared.lock().incarnation
     }
 
-    /// Returns whether a run of a body has begun in the present life.
+    /// Returns whether the current incarnation has started to run a body.
     pub fn is_running(&self, body: &str) -> bool {
         let state = self.shared.lock();
         let runs = state
@@ -104,15 +102,17 @@
         runs.into_iter().any(|run| run.body == body)
     }
 
-    /// Ends the present life for a reason of its own.
-    pub fn stop(&self) {
-        self.shared.lock().stop.send_replace(true);
+    /// Crashes the target independently of any request.
+    pub fn crash(&self) {
+        self.shared.lock().crash.send_replace(true);
     }
 
-    /// Ends for good while its entry stays in the list, and returns once nobody listens at the address.
-    pub async fn stop_permanently(&self) {
+    /// Crashes the target without a restart while its entry stays in the list.
+    ///
+    /// Returns once connections to its address are refused.
+    pub async fn crash_permanently(&self) {
         self.shared.lock().is_gone = true;
-        self.stop();
+        self.crash();
         while TcpStream::connect(&self.shared.address).await.is_ok() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
@@ -140,7 +140,7 @@
         });
     }
 
-    /// Names the present life; each one has another name.
+    /// Returns the target id of the current incarnation; each incarnation has an id of its own.
     fn id(&self) -> TargetId {
         format!("{}-{}", self.name, self.lock().incarnation)
     }
@@ -151,7 +151,7 @@
     }
 }
 
-/// Serves life after life; the entry of one that has ended lapses only when the next one begins.
+/// Runs one incarnation after the other; the entry of one that crashed is removed only when the next one starts.
 async fn run_incarnations(shared: Arc<TargetShared>, listener: TcpListener) {
     let mut listener = Some(listener);
     loop {
@@ -169,7 +169,7 @@
         shared.platform.remove_target(&id);
         let mut state = shared.lock();
         state.incarnation += 1;
-        state.stop = watch::Sender::new(false);
+        state.crash = watch::Sender::new(false);
     }
 }
 
@@ -182,28 +182,28 @@
     }
 }
 
-/// Takes connections until this life ends; all of them break with it.
+/// Accepts connections until this incarnation crashes, which breaks all of them.
 async fn serve(shared: &Arc<TargetShared>, listener: TcpListener) {
-    let ended = shared.lock().stop.subscribe();
-    let mut own_end = ended.clone();
+    let crashed = shared.lock().crash.subscribe();
+    let mut listener_crashed = crashed.clone();
     loop {
         tokio::select! {
             accepted = listener.accept() => {
                 let Ok((stream, _)) = accepted else { continue };
-                let (shared, mut ended) = (Arc::clone(shared), ended.clone());
+                let (shared, mut crashed) = (Arc::clone(shared), crashed.clone());
                 tokio::spawn(async move {
                     tokio::select! {
                         _ = answer(&shared, stream) => {}
-                        _ = ended.wait_for(|is_over| *is_over) => {}
+                        _ = crashed.wait_for(|has_crashed| *has_crashed) => {}
                     }
                 });
             }
-            _ = own_end.wait_for(|is_over| *is_over) => return,
+            _ = listener_crashed.wait_for(|has_crashed| *has_crashed) => return,
         }
     }
 }
 
-/// Answers one request on a connection of its own.
+/// Answers one request on its own connection.
 async fn answer(shared: &TargetShared, mut stream: TcpStream) -> std::io::Result<()> {
     let Some((head, body)) = read_request(&mut stream).await? else {
         return Ok(());
@@ -218,9 +218,9 @@
             .unwrap_or_default()
     };
     if field("target") != shared.id() {
-        let other =
+        let misdirected =
             "HTTP/1.1 421 Misdirected Request\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
-        return stream.write_all(other.as_bytes()).await;
+        return stream.write_all(misdirected.as_bytes()).await;
     }
     let attempt = field("attempt");
     shared.record_run(&body);
@@ -230,7 +230,7 @@
     stream.write_all(head.as_bytes()).await?;
     tokio::time::sleep(RUN_TIME).await;
     if body.starts_with(CRASHING) {
-        shared.lock().stop.send_replace(true);
+        shared.lock().crash.send_replace(true);
         std::future::pending::<()>().await;
     }
     let first: u32 = field("last-event").parse().map_or(1, |last: u32| last + 1);
@@ -249,7 +249,7 @@
     stream.write_all(b"0\r\n\r\n").await
 }
 
-/// Reads one request; `None` where the connection closes without one.
+/// Reads one request; `None` if the connection closes before it is complete.
 async fn read_request(stream: &mut TcpStream) -> std::io::Result<Option<(String, String)>> {
     let mut bytes = Vec::new();
     loop {
