--- a/crates/fleet/src/costs.rs
+++ b/crates/fleet/src/costs.rs
@@ -90,7 +90,7 @@
     /// Counts one occurrence.
     ///
     /// ```
-    /// use briarswitch_fleet::costs::{CostKind, CostCounters};
+    /// use briarswitch_fleet::costs::{CostCounters, CostKind};
     ///
     /// let costs = CostCounters::default();
     /// costs.count(CostKind::OrderSent);
--- a/crates/fleet/src/dispatch.rs
+++ b/crates/fleet/src/dispatch.rs
@@ -212,7 +212,7 @@
                 target.gauge.note_outcome(true);
                 match error {
                     HeadWaitError::Send(SendFailure::Broken) => {
-                        run.report_broken("broken_before_head")
+                        run.report_broken("broken_before_head");
                     }
                     HeadWaitError::Send(SendFailure::Refused) => {
                         // No process listens at the address. Until the directory removes the target, seconds later, it
--- a/crates/fleet/src/local_reply.rs
+++ b/crates/fleet/src/local_reply.rs
@@ -25,7 +25,7 @@
 }
 
 impl LocalReply {
-    /// Returns a reply to a request that would fail again if it were retried.
+    /// Returns a reply without a `Retry-After` header: the caller should not retry.
     pub fn rejected(status: StatusCode, text: &'static str) -> Self {
         Self {
             status,
--- a/crates/fleet/src/metrics.rs
+++ b/crates/fleet/src/metrics.rs
@@ -11,7 +11,7 @@
 
 use crate::costs::CostCounters;
 
-/// Bucket bounds of the latency histograms in seconds, finest from 0.15 to 0.4 where the latency objectives are.
+/// Bucket bounds of the latency histograms in seconds; the latency objectives lie between 0.15 and 0.4.
 const LATENCY_BOUNDS: [f64; 12] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 1.0, 2.5, 10.0,
 ];
--- a/crates/fleet/src/relay.rs
+++ b/crates/fleet/src/relay.rs
@@ -132,7 +132,8 @@
         }
     }
 
-    /// Returns whether the group has been silent for too long and the stream may be resumed elsewhere.
+    /// Returns whether the group has been silent for longer than its forward passes explain, and the stream may be
+    /// resumed elsewhere.
     ///
     /// A silent group is reported as suspect even if the stream may not be resumed.
     fn should_resume(&self, now: Moment) -> bool {
--- a/crates/fleet/src/shared.rs
+++ b/crates/fleet/src/shared.rs
@@ -261,7 +261,8 @@
         let _ = tokio::time::timeout(PEER_DISCOVERY_TIMEOUT, known).await;
     }
 
-    /// Returns this node's weight among all live nodes by request rate, and that of the nodes ranked before it for `key`.
+    /// Returns this node's weight among all live nodes by request rate, and that of the nodes ranked before it for
+    /// `key`.
     pub fn weight_for(&self, key: &str, now: Moment) -> NodeWeight {
         let own = self.demand.arrivals(now).values().sum();
         self.live_view.read().weight_for(key, own)
