--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -42,11 +42,11 @@
     /// Ends the run with a complete response.
     ///
     /// The request did not crash the target, so it is cleared of the suspicion from earlier crashes.
-    pub fn complete(&mut self, board: &SuspectBoard) {
+    pub fn complete(&mut self, suspects: &SuspectBoard) {
         let Some(info) = self.info.take() else {
             return;
         };
-        if board.has_ends(&info.fingerprint) {
+        if suspects.has_ends(&info.fingerprint) {
             let message = SuspectMessage::Completed(info.fingerprint);
             if let Err(error) = self.listeners.suspects.post(message) {
                 log::warn!(error:% = error; "run_untold");
--- a/crates/fleet/tests/support/platform.rs
+++ b/crates/fleet/tests/support/platform.rs
@@ -165,16 +165,16 @@
         }
     }
 
-    async fn feed(&self, question: FeedQuestion) -> FeedAnswer {
-        let Some(mark) = question.mark else {
-            return self.snapshot(&question.table);
+    async fn feed(&self, request: FeedQuestion) -> FeedAnswer {
+        let Some(mark) = request.mark else {
+            return self.snapshot(&request.table);
         };
-        let end = tokio::time::Instant::now() + question.wait;
+        let end = tokio::time::Instant::now() + request.wait;
         loop {
             let changed = self.shared.changed.notified();
-            let answer = self.changes_after(&question.table, mark);
-            if !answer.rows.is_empty() || tokio::time::timeout_at(end, changed).await.is_err() {
-                return answer;
+            let response = self.changes_after(&request.table, mark);
+            if !response.rows.is_empty() || tokio::time::timeout_at(end, changed).await.is_err() {
+                return response;
             }
         }
     }
@@ -231,11 +231,11 @@
 struct LinkFeed(Arc<PlatformLink>);
 
 impl FeedSource for LinkFeed {
-    fn changes(&self, question: FeedQuestion) -> SourceFuture<'static, FeedAnswer> {
+    fn changes(&self, request: FeedQuestion) -> SourceFuture<'static, FeedAnswer> {
         let link = Arc::clone(&self.0);
         Box::pin(async move {
             link.check_open()?;
-            let response = link.platform.feed(question).await;
+            let response = link.platform.feed(request).await;
             link.check_open()?;
             Ok(response)
         })
@@ -257,13 +257,13 @@
         CONFIG_TABLE
     }
 
-    fn news(&self, answer: &FeedAnswer) -> Result<ConfigNews, SourceError> {
+    fn news(&self, response: &FeedAnswer) -> Result<ConfigNews, SourceError> {
         let config = &self.0.shared.config;
         Ok(ConfigNews {
-            mark: answer.mark,
-            book: (!answer.rows.is_empty()).then(|| Box::new(config.clone())),
-            is_newest: answer.is_complete(),
-            age: answer.age,
+            mark: response.mark,
+            book: (!response.rows.is_empty()).then(|| Box::new(config.clone())),
+            is_newest: response.is_complete(),
+            age: response.age,
         })
     }
 }
@@ -275,17 +275,17 @@
         TARGET_TABLE
     }
 
-    fn news(&self, answer: &FeedAnswer) -> DirectoryNews {
+    fn news(&self, response: &FeedAnswer) -> DirectoryNews {
         let state = self.0.lock();
-        let changes = answer.rows.iter().map(|row| match &row.value {
+        let changes = response.rows.iter().map(|row| match &row.value {
             Some(_) => TargetChange::Put(Box::new(state.records[&row.key].clone())),
             None => TargetChange::Removed(row.key.clone()),
         });
         let changes = changes.collect();
-        if answer.is_whole {
-            DirectoryNews::Whole(answer.mark, changes)
+        if response.is_whole {
+            DirectoryNews::Whole(response.mark, changes)
         } else {
-            DirectoryNews::Changes(answer.mark, changes)
+            DirectoryNews::Changes(response.mark, changes)
         }
     }
 }
@@ -310,17 +310,17 @@
         Box::pin(async move {
             self.0.check_open()?;
             let table = NODE_TABLE.to_owned();
-            let answer = self
+            let response = self
                 .0
                 .platform
                 .feed(FeedQuestion { table, mark, wait })
                 .await;
-            let is_alone = self.0.is_isolated.load(Ordering::SeqCst);
+            let is_isolated = self.0.is_isolated.load(Ordering::SeqCst);
             let state = self.0.platform.lock();
-            let rows = answer.rows.iter().filter(|_| !is_alone);
+            let rows = response.rows.iter().filter(|_| !is_isolated);
             let entries = rows.filter_map(|row| state.nodes.get(&row.key).cloned());
             Ok(NodeNews {
-                mark: answer.mark,
+                mark: response.mark,
                 nodes: entries.collect(),
             })
         })
@@ -335,9 +335,9 @@
         SUSPECT_TABLE
     }
 
-    fn news(&self, answer: &FeedAnswer) -> Vec<SuspectChange> {
+    fn news(&self, response: &FeedAnswer) -> Vec<SuspectChange> {
         let state = self.0.platform.lock();
-        let rows = answer.rows.iter().filter_map(|row| {
+        let rows = response.rows.iter().filter_map(|row| {
             let held = state.suspects.get(&row.key).copied()?;
             Some(match row.value {
                 Some(_) => SuspectChange::Put(held),
--- a/crates/fleet/tests/support/target.rs
+++ b/crates/fleet/tests/support/target.rs
@@ -132,11 +132,11 @@
 
     fn record_run(&self, body: &str) {
         let mut state = self.lock();
-        let life = state.incarnation;
+        let incarnation = state.incarnation;
         state.runs.push(RecordedRun {
             body: body.to_owned(),
             at: Instant::now(),
-            incarnation: life,
+            incarnation,
         });
     }
 
