--- a/crates/fleet/src/dispatch.rs
+++ b/crates/fleet/src/dispatch.rs
@@ -25,7 +25,7 @@
 use crate::relay::StreamRelay;
 use crate::run::{RunReports, TargetRun};
 use crate::shared::FleetShared;
-use crate::suspicion::{patience, silence_of, SuspicionTeller};
+use crate::suspicion::{reroute_delay, silence_limit_for, SuspicionReporter};
 use crate::table::RouteTarget;
 use crate::trace::{RequestEnd, RequestTrace};
 
@@ -54,7 +54,7 @@
     client: TargetClient,
     budgets: RetryBudgets,
     placer: TargetPlacer,
-    suspicion: SuspicionTeller,
+    suspicion: SuspicionReporter,
     reports: RunReports,
 }
 
@@ -76,7 +76,7 @@
             placer: TargetPlacer::open(Arc::clone(&shared)),
             shared,
             client,
-            suspicion: SuspicionTeller::open(peers),
+            suspicion: SuspicionReporter::new(peers),
             reports,
         })
     }
@@ -92,7 +92,7 @@
     }
 
     /// Returns what keeps work from targets that fall silent.
-    pub fn suspicion(&self) -> &SuspicionTeller {
+    pub fn suspicion(&self) -> &SuspicionReporter {
         &self.suspicion
     }
 
@@ -104,7 +104,7 @@
     /// Carries a request out and builds its response.
     pub async fn run(self: &Arc<Self>, job: RequestJob, mut trace: RequestTrace) -> Response {
         self.budgets.earn(&job.service);
-        if self.shared.suspects.quarantine(&job.print).is_some() {
+        if self.shared.suspects.quarantine_left(&job.print).is_some() {
             return self.give_up(FailurePoint::Quarantined, &mut trace);
         }
         let mut tried: Vec<TargetId> = Vec::new();
@@ -148,7 +148,7 @@
             }
             trace.broken += usize::from(failed.sign == FailureSign::Broke);
             let may_repeat = point.allows_retry(job.rule.is_repeatable())
-                && self.shared.suspects.may_go_on(&job.print, trace.broken)
+                && self.shared.suspects.may_retry(&job.print, trace.broken)
                 && trace.sent < job.rule.max_attempts
                 && unreached < UNREACHED_LIMIT
                 && BootClock::now() < job.deadline;
@@ -182,7 +182,7 @@
             return Err(FailurePoint::QueueDeadline.into());
         }
         // It may have waited for a place since it came, and may have ended a target elsewhere meanwhile.
-        if self.shared.suspects.quarantine(&job.print).is_some() {
+        if self.shared.suspects.quarantine_left(&job.print).is_some() {
             return Err(FailurePoint::Quarantined.into());
         }
         let request = self.request(job, &target, left, last_event);
@@ -233,7 +233,7 @@
         may_move: bool,
     ) -> Result<TargetReply, WaitEnd> {
         tokio::pin!(sending);
-        let patience = patience(job);
+        let patience = reroute_delay(job);
         loop {
             match tokio::time::timeout(SILENCE_CHECK, &mut sending).await {
                 Ok(Ok(reply)) => return Ok(reply),
@@ -245,7 +245,7 @@
                 return Err(WaitEnd::Deadline);
             }
             let waited = now.saturating_sub(sent);
-            let limit = silence_of(job, target);
+            let limit = silence_limit_for(job, target);
             let is_silent = waited > limit && target.gauge.silence(now) > limit;
             if is_silent {
                 self.suspicion.suspect(target, now);
@@ -410,7 +410,7 @@
         }
         let left = trace
             .print
-            .and_then(|print| self.shared.suspects.quarantine(&print));
+            .and_then(|print| self.shared.suspects.quarantine_left(&print));
         let left = left.unwrap_or_default();
         self.shared.metrics.count_refusal(&trace.organisation);
         log::info!(
--- a/crates/fleet/src/feed_doc.rs
+++ b/crates/fleet/src/feed_doc.rs
@@ -25,7 +25,7 @@
 
 /// [`FeedQuestion`] on the wire.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct FeedQuestionDoc {
+pub struct FeedRequestDoc {
     table: String,
     mark: Option<MarkDoc>,
     wait_ms: u64,
@@ -33,7 +33,7 @@
 
 /// [`FeedAnswer`] on the wire.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct FeedAnswerDoc {
+pub struct FeedResponseDoc {
     mark: MarkDoc,
     /// Key, and content unless the row was dropped.
     rows: Vec<(String, Option<ByteBuf>)>,
@@ -41,18 +41,18 @@
     whole: bool,
 }
 
-impl From<FeedQuestion> for FeedQuestionDoc {
-    fn from(question: FeedQuestion) -> Self {
+impl From<FeedQuestion> for FeedRequestDoc {
+    fn from(request: FeedQuestion) -> Self {
         Self {
-            table: question.table,
-            mark: question.mark.map(MarkDoc::from),
-            wait_ms: question.wait.as_millis() as u64,
+            table: request.table,
+            mark: request.mark.map(MarkDoc::from),
+            wait_ms: request.wait.as_millis() as u64,
         }
     }
 }
 
-impl From<FeedQuestionDoc> for FeedQuestion {
-    fn from(doc: FeedQuestionDoc) -> Self {
+impl From<FeedRequestDoc> for FeedQuestion {
+    fn from(doc: FeedRequestDoc) -> Self {
         Self {
             table: doc.table,
             mark: doc.mark.map(FeedMark::from),
@@ -61,24 +61,24 @@
     }
 }
 
-impl From<FeedAnswer> for FeedAnswerDoc {
-    fn from(answer: FeedAnswer) -> Self {
-        let rows = answer
+impl From<FeedAnswer> for FeedResponseDoc {
+    fn from(response: FeedAnswer) -> Self {
+        let rows = response
             .rows
             .into_iter()
             .map(|row| (row.key, row.value.map(ByteBuf::from)));
         Self {
-            mark: answer.mark.into(),
+            mark: response.mark.into(),
             rows: rows.collect(),
             // Rounded up, so that an age is never told as less than it is.
-            age_ms: answer.age.as_millis() as u64 + 1,
-            whole: answer.is_whole,
+            age_ms: response.age.as_millis() as u64 + 1,
+            whole: response.is_whole,
         }
     }
 }
 
-impl From<FeedAnswerDoc> for FeedAnswer {
-    fn from(doc: FeedAnswerDoc) -> Self {
+impl From<FeedResponseDoc> for FeedAnswer {
+    fn from(doc: FeedResponseDoc) -> Self {
         let rows = doc.rows.into_iter();
         Self {
             mark: doc.mark.into(),
--- a/crates/fleet/src/fleet_host.rs
+++ b/crates/fleet/src/fleet_host.rs
@@ -12,11 +12,11 @@
 use crate::ports::{FeedAnswer, FeedMark, ReportError, SourceFuture, SuspectRegistry};
 use crate::run_facts::{RunFacts, TargetLife};
 use crate::shared::FleetShared;
-use crate::suspect_host::{EndCount, LifeSign, SuspectEvent, SuspectHost};
-use crate::suspects::SuspectBoard;
+use crate::suspect_host::{CrashCount, Liveness, SuspectEvent, SuspectHost};
+use crate::suspect_ledger::SuspectLedger;
 
 impl SuspectHost for FleetShared {
-    fn suspects(&self) -> &SuspectBoard {
+    fn suspects(&self) -> &SuspectLedger {
         &self.suspects
     }
 
@@ -39,22 +39,22 @@
         self.live.read().holders_of(&print.to_string(), count)
     }
 
-    fn life_sign<'a>(
+    fn probe<'a>(
         &'a self,
         facts: &'a RunFacts,
         limit: Duration,
-    ) -> BoxFuture<'a, Result<LifeSign, ReportError>> {
+    ) -> BoxFuture<'a, Result<Liveness, ReportError>> {
         Box::pin(async move {
             let targets = &self.platform.targets;
             let (target, address) = (&facts.life.target, &facts.address);
             // A single target has nothing to say of itself, but it listens or not.
             if facts.group.is_empty() {
                 let reached = targets.reach(address, limit).await;
-                return reached.map(|()| LifeSign::Listens);
+                return reached.map(|()| Liveness::Listening);
             }
             let report = targets.report(target, address, limit).await?;
             let is_same = report.incarnation == facts.life.incarnation;
-            is_same.then_some(LifeSign::Lives).ok_or(ReportError::Gone)
+            is_same.then_some(Liveness::Alive).ok_or(ReportError::Gone)
         })
     }
 
@@ -64,25 +64,25 @@
         record.is_some_and(|record| record.incarnation == life.incarnation)
     }
 
-    fn end_count(&self) -> EndCount {
+    fn crash_count(&self) -> CrashCount {
         let directory = self.directory.load();
-        EndCount {
-            ends: directory.book.ended(),
+        CrashCount {
+            crashes: directory.book.ended(),
             targets: directory.book.targets().len(),
         }
     }
 
-    fn keep_away(&self, target: &TargetId, until: Moment) {
+    fn exclude_target(&self, target: &TargetId, until: Moment) {
         self.gauges.of(target).suspect(until);
     }
 
-    fn note(&self, event: SuspectEvent) {
+    fn count(&self, event: SuspectEvent) {
         match event {
-            SuspectEvent::EndChecked => self.costs.count(CostKind::EndChecked),
-            SuspectEvent::EndTold => self.costs.count(CostKind::EndTold),
+            SuspectEvent::TargetProbed => self.costs.count(CostKind::EndChecked),
+            SuspectEvent::CrashReported => self.costs.count(CostKind::EndTold),
             SuspectEvent::RowsWritten => self.costs.count(CostKind::SuspectWrite),
-            SuspectEvent::TargetEnded(proof) => self.metrics.count_target_end(proof.name()),
-            SuspectEvent::QuarantineBegun => self.metrics.count_quarantine(),
+            SuspectEvent::TargetCrashed(proof) => self.metrics.count_target_end(proof.name()),
+            SuspectEvent::QuarantineStarted => self.metrics.count_quarantine(),
         }
     }
 }
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -16,18 +16,18 @@
 use tokio::sync::watch;
 
 use crate::controller::GroupController;
+use crate::crash_watcher::CrashWatcher;
 use crate::dispatch::FleetDispatcher;
-use crate::end_watch::EndWatch;
-use crate::keeper::{BookKeeper, DirectoryKeeper};
-use crate::peer_surface::PeerSurface;
+use crate::peer_api::PeerApi;
 use crate::peers::PeerExchange;
 use crate::ports::FleetPlatform;
 use crate::run::RunReports;
 use crate::settings::FleetSettings;
 use crate::shared::{FleetPhase, FleetShared};
+use crate::store_sync::{ConfigSync, DirectorySync};
 use crate::surface::CallerSurface;
 use crate::suspect_host::SuspectHost;
-use crate::suspect_keeper::{SuspectKeeper, SuspectMessage};
+use crate::suspect_sync::{SuspectMessage, SuspectSync};
 
 /// Time for the balancer to notice that the node is no longer ready: two checks a second apart,
 /// each with time to be missed.
@@ -83,13 +83,13 @@
         let shared = FleetShared::open(settings, new_incarnation(), platform);
         let settings = &shared.settings;
         let kernel = Kernel::spawn()?;
-        kernel.mount(BookKeeper::open(Arc::clone(&shared)))?;
-        kernel.mount(DirectoryKeeper::open(Arc::clone(&shared)))?;
-        let exchange = kernel.mount(PeerExchange::open(Arc::clone(&shared)))?;
+        kernel.mount(ConfigSync::new(Arc::clone(&shared)))?;
+        kernel.mount(DirectorySync::new(Arc::clone(&shared)))?;
+        let exchange = kernel.mount(PeerExchange::new(Arc::clone(&shared)))?;
         kernel.mount(GroupController::open(Arc::clone(&shared)))?;
         let host: Arc<dyn SuspectHost> = Arc::clone(&shared) as Arc<dyn SuspectHost>;
-        let suspects = kernel.mount(SuspectKeeper::open(Arc::clone(&host)))?;
-        let watch = kernel.mount(EndWatch::open(host, suspects.clone()))?;
+        let suspects = kernel.mount(SuspectSync::new(Arc::clone(&host)))?;
+        let watch = kernel.mount(CrashWatcher::new(host, suspects.clone()))?;
         let reports = RunReports {
             watch,
             suspects: suspects.clone(),
@@ -97,7 +97,7 @@
         let dispatcher = FleetDispatcher::open(Arc::clone(&shared), exchange, reports);
         let (stop, stopped) = watch::channel(false);
         let surface = CallerSurface::open(Arc::clone(&shared), dispatcher);
-        let peer_surface = PeerSurface::open(Arc::clone(&shared), suspects.clone());
+        let peer_surface = PeerApi::new(Arc::clone(&shared), suspects.clone());
         let state = StateSurface::open(Arc::clone(&shared), kernel, suspects);
         let servers = vec![
             callers.spawn(surface, stopped.clone()),
@@ -197,7 +197,7 @@
         let Ok(print) = name.parse::<RequestPrint>() else {
             return reply_text(StatusCode::BAD_REQUEST, "expected a request's fingerprint");
         };
-        if !self.shared.suspects.has_ends(&print) {
+        if !self.shared.suspects.has_crashes(&print) {
             return reply_text(StatusCode::NOT_FOUND, "nothing is held of this request");
         }
         match self.suspects.send(SuspectMessage::Released(print)).await {
--- a/crates/fleet/src/peer_surface.rs
+++ b/crates/fleet/src/peer_api.rs
@@ -14,55 +14,55 @@
 
 use crate::costs::CostKind;
 use crate::feed::FEED_PATH;
-use crate::feed_doc::{FeedAnswerDoc, FeedQuestionDoc};
+use crate::feed_doc::{FeedRequestDoc, FeedResponseDoc};
 use crate::peers::{
-    own_standing, share_suspicions, take_hints, SuspicionDoc, GOSSIP_PATH, SUSPICION_PATH,
+    apply_hints, apply_suspicions, own_status, SuspicionDoc, GOSSIP_PATH, SUSPICION_PATH,
 };
 use crate::ports::{SourceError, SuspectRow};
 use crate::shared::FleetShared;
 use crate::suspect_doc::SuspectDoc;
-use crate::suspect_keeper::{SuspectMessage, SUSPECT_PATH};
+use crate::suspect_sync::{SuspectMessage, SUSPECT_PATH};
 
 /// Time for which what this node tells of itself is used again; hubs are asked many times a second.
-const STANDING_TIME: Duration = Duration::from_millis(20);
+const STATUS_TTL: Duration = Duration::from_millis(20);
 /// Largest message in bytes.
-const MESSAGE_BYTES: usize = 1 << 20;
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
 /// Answers other nodes.
-pub struct PeerSurface {
+pub struct PeerApi {
     shared: Arc<FleetShared>,
-    standing: Mutex<(Moment, Standing)>,
+    status: Mutex<(Moment, Standing)>,
     suspects: Mailbox<SuspectMessage>,
 }
 
-impl PeerSurface {
+impl PeerApi {
     /// Opens the surface.
-    pub fn open(shared: Arc<FleetShared>, suspects: Mailbox<SuspectMessage>) -> Arc<Self> {
+    pub fn new(shared: Arc<FleetShared>, suspects: Mailbox<SuspectMessage>) -> Arc<Self> {
         Arc::new(Self {
             shared,
-            standing: Mutex::default(),
+            status: Mutex::default(),
             suspects,
         })
     }
 
-    async fn answer(&self, request: Request) -> Response {
+    async fn route(&self, request: Request) -> Response {
         match request.uri().path() {
             GOSSIP_PATH => self.gossip(request).await,
             SUSPICION_PATH => self.suspicion(request).await,
             FEED_PATH => self.feed(request).await,
-            SUSPECT_PATH => self.ends(request).await,
+            SUSPECT_PATH => self.crashes(request).await,
             _ => reply_text(StatusCode::NOT_FOUND, "no such path"),
         }
     }
 
     async fn feed(&self, request: Request) -> Response {
         let arrived = BootClock::now();
-        let Some(doc) = read_doc::<FeedQuestionDoc>(request).await else {
+        let Some(doc) = read_message::<FeedRequestDoc>(request).await else {
             return reply_text(StatusCode::BAD_REQUEST, "expected a question");
         };
         self.shared.costs.count(CostKind::ReaderAnswered);
-        match self.shared.feed.answer(doc.into(), arrived).await {
-            Ok(answer) => reply_packed(StatusCode::OK, &FeedAnswerDoc::from(answer)),
+        match self.shared.feed.respond(doc.into(), arrived).await {
+            Ok(response) => reply_packed(StatusCode::OK, &FeedResponseDoc::from(response)),
             // The asker has to read everything anew; told as an outage it would ask the same for ever.
             Err(SourceError::HistoryGone) => reply_text(StatusCode::GONE, "history gone"),
             Err(error) => reply_text(StatusCode::SERVICE_UNAVAILABLE, error.to_string()),
@@ -70,57 +70,62 @@
     }
 
     async fn gossip(&self, request: Request) -> Response {
-        let Some(doc) = read_doc::<GossipDoc>(request).await else {
+        let Some(doc) = read_message::<GossipDoc>(request).await else {
             return reply_text(StatusCode::BAD_REQUEST, "expected a message");
         };
         self.shared.costs.count(CostKind::GossipAnswered);
         let gossip = Gossip::from(doc);
-        take_hints(&self.shared, &gossip);
+        apply_hints(&self.shared, &gossip);
         let now = BootClock::now();
-        let mut held = self.standing.lock().unwrap_or_else(PoisonError::into_inner);
-        if now >= held.0 + STANDING_TIME {
-            *held = (now, own_standing(&self.shared));
+        let mut cached = self.status.lock().unwrap_or_else(PoisonError::into_inner);
+        if now >= cached.0 + STATUS_TTL {
+            *cached = (now, own_status(&self.shared));
         }
-        let answer = self.shared.membership().answer(&gossip, &held.1, now);
-        drop(held);
-        reply_packed(StatusCode::OK, &GossipDoc::from(&answer))
+        let response = self.shared.membership().answer(&gossip, &cached.1, now);
+        drop(cached);
+        reply_packed(StatusCode::OK, &GossipDoc::from(&response))
     }
 
     /// Takes in ends that another node saw, and answers with all that is known of the requests under way there.
-    async fn ends(&self, request: Request) -> Response {
-        let Some(doc) = read_doc::<SuspectDoc>(request).await else {
+    async fn crashes(&self, request: Request) -> Response {
+        let Some(doc) = read_message::<SuspectDoc>(request).await else {
             return reply_text(StatusCode::BAD_REQUEST, "expected ends of targets");
         };
-        let told = Vec::<SuspectRow>::from(doc);
-        let prints: IndexSet<RequestPrint> = told.iter().map(|row| row.key().print).collect();
+        let reported = Vec::<SuspectRow>::from(doc);
+        let fingerprints: IndexSet<RequestPrint> =
+            reported.iter().map(|row| row.key().fingerprint).collect();
         let suspects = &self.shared.suspects;
-        let news = told.iter().filter(|row| suspects.take(row));
-        let news: IndexSet<RequestPrint> = news.map(|row| row.key().print).collect();
-        if !news.is_empty() {
-            if let Err(error) = self.suspects.post(SuspectMessage::Told(news)) {
+        let updated = reported.iter().filter(|row| suspects.record(row));
+        let updated: IndexSet<RequestPrint> = updated.map(|row| row.key().fingerprint).collect();
+        if !updated.is_empty() {
+            if let Err(error) = self.suspects.post(SuspectMessage::Reported(updated)) {
                 log::warn!(error:% = error; "ends_untold");
             }
         }
-        let known = prints.iter().flat_map(|print| suspects.rows(print));
+        let known = fingerprints
+            .iter()
+            .flat_map(|fingerprint| suspects.rows(fingerprint));
         reply_packed(StatusCode::OK, &known.collect::<SuspectDoc>())
     }
 
     async fn suspicion(&self, request: Request) -> Response {
-        let Some(doc) = read_doc::<SuspicionDoc>(request).await else {
+        let Some(doc) = read_message::<SuspicionDoc>(request).await else {
             return reply_text(StatusCode::BAD_REQUEST, "expected a target");
         };
-        share_suspicions(&self.shared, std::iter::once(&doc.target));
+        apply_suspicions(&self.shared, std::iter::once(&doc.target));
         reply_packed(StatusCode::OK, &())
     }
 }
 
-async fn read_doc<T: serde::de::DeserializeOwned>(request: Request) -> Option<T> {
-    let bytes = read_body(request.into_body(), MESSAGE_BYTES).await.ok()?;
+async fn read_message<T: serde::de::DeserializeOwned>(request: Request) -> Option<T> {
+    let bytes = read_body(request.into_body(), MAX_MESSAGE_BYTES)
+        .await
+        .ok()?;
     unpack::<T>(&bytes).ok()
 }
 
-impl Handler for PeerSurface {
+impl Handler for PeerApi {
     fn handle(&self, request: Request) -> BoxFuture<'_, Response> {
-        Box::pin(self.answer(request))
+        Box::pin(self.route(request))
     }
 }
--- a/crates/fleet/src/peers.rs
+++ b/crates/fleet/src/peers.rs
@@ -22,38 +22,38 @@
 /// Path at which a node is told of a target that fell silent.
 pub const SUSPICION_PATH: &str = "/suspicion";
 /// Time between looks at whom to ask; half of the shortest interval between two messages.
-const TICK: Duration = Duration::from_millis(25);
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
 /// Time between two sums of what others told.
-const FOLD_INTERVAL: Duration = Duration::from_millis(100);
+const AGGREGATION_INTERVAL: Duration = Duration::from_millis(100);
 /// Time in which most other nodes come to know of a request that was sent: report, hub and answer.
-pub const KNOWN_TIME: Duration = Duration::from_millis(200);
+pub const PROPAGATION_TIME: Duration = Duration::from_millis(200);
 /// Time between two times at which sent requests count as known to others, nodes of other zones included.
-const FRESH_INTERVAL: Duration = Duration::from_millis(300);
+const UNREPORTED_RESET_INTERVAL: Duration = Duration::from_millis(300);
 /// Time to wait for an answer; longer than any healthy delay, shorter than a node is missed.
-const ANSWER_TIME: Duration = Duration::from_millis(400);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time for which a peer's suspicion of a target is shared; two messages, so that it ends soon after the peer's.
-const SHARED_SUSPICION: Duration = Duration::from_millis(250);
+const PEER_SUSPICION_TTL: Duration = Duration::from_millis(250);
 /// Own silence of a target without which a peer's suspicion is not shared.
-const OWN_SILENCE: Duration = Duration::from_millis(120);
+const MIN_OWN_SILENCE: Duration = Duration::from_millis(120);
 /// Time that all nodes have to register before the first of them reads who has, at the first start.
-const REGISTRATION_TIME: Duration = Duration::from_millis(500);
+const FIRST_REGISTRY_READ_DELAY: Duration = Duration::from_millis(500);
 /// Longest time one question for new nodes is held open.
-const REGISTRY_WAIT: Duration = Duration::from_secs(8);
+const MAX_REGISTRY_WAIT: Duration = Duration::from_secs(8);
 /// Time between two questions for new nodes.
 ///
 /// Each registration answers every question that is held open; nodes that start together would make a call
 /// for each pair of them.
-const REGISTRY_PACE: Duration = Duration::from_secs(1);
+const REGISTRY_READ_INTERVAL: Duration = Duration::from_secs(1);
 /// Time to wait after the registry failed.
-const REGISTRY_RETRY: Duration = Duration::from_millis(700);
+const REGISTRY_RETRY_DELAY: Duration = Duration::from_millis(700);
 /// Time between two lines that tell what was spent.
-const COST_INTERVAL: Duration = Duration::from_secs(10);
+const COST_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Name of the exchange.
 pub const PEER_SERVICE: &str = "peers";
 
 /// Returns what this node tells of itself.
-pub fn own_standing(shared: &FleetShared) -> Standing {
+pub fn own_status(shared: &FleetShared) -> Standing {
     let now = BootClock::now();
     Standing {
         is_leaving: shared.phase() != FleetPhase::Running,
@@ -78,31 +78,31 @@
     let unreadable = |error: String| CallError::Unreadable(error);
     let sent = pack(&GossipDoc::from(&target.gossip)).map_err(|e| unreadable(e.to_string()))?;
     let size = sent.len();
-    let answer = client
-        .call_raw(Method::POST, &url, sent, ANSWER_TIME)
+    let response = client
+        .call_raw(Method::POST, &url, sent, RESPONSE_TIMEOUT)
         .await?;
-    let doc: GossipDoc = unpack(&answer).map_err(|e| unreadable(e.to_string()))?;
-    Ok((doc.into(), size + answer.len()))
+    let doc: GossipDoc = unpack(&response).map_err(|e| unreadable(e.to_string()))?;
+    Ok((doc.into(), size + response.len()))
 }
 
 /// Takes in others' suspicions.
-pub fn share_suspicions<'a>(shared: &FleetShared, suspects: impl Iterator<Item = &'a TargetId>) {
+pub fn apply_suspicions<'a>(shared: &FleetShared, suspects: impl Iterator<Item = &'a TargetId>) {
     let now = BootClock::now();
     for target in suspects {
         let gauge = shared.gauges.of(target);
         // A target that this node hears is only cut off from the other.
-        if gauge.own() == 0 || gauge.silence(now) > OWN_SILENCE {
-            gauge.suspect_as_told(now + SHARED_SUSPICION);
+        if gauge.own() == 0 || gauge.silence(now) > MIN_OWN_SILENCE {
+            gauge.suspect_as_told(now + PEER_SUSPICION_TTL);
         }
     }
 }
 
 /// Takes in what any message tells beside sums and signs of life.
-pub fn take_hints(shared: &FleetShared, gossip: &Gossip) {
+pub fn apply_hints(shared: &FleetShared, gossip: &Gossip) {
     if gossip.has_traffic() {
         shared.has_traffic.store(true, Ordering::Relaxed);
     }
-    share_suspicions(shared, gossip.suspects());
+    apply_suspicions(shared, gossip.suspects());
 }
 
 /// A target that fell silent, told to the node that gives its group orders.
@@ -129,10 +129,10 @@
     client: CallerClient,
     mark: Option<FeedMark>,
     is_registered: bool,
-    published: u64,
-    folded: Moment,
-    cleared: Moment,
-    reported: Moment,
+    published_version: u64,
+    aggregated_at: Moment,
+    unreported_reset_at: Moment,
+    costs_logged_at: Moment,
 }
 
 /// Message to [`PeerExchange`].
@@ -142,31 +142,31 @@
     /// A node answered a message that was sent at this moment.
     Answered(Box<(GossipTarget, Gossip)>, Moment),
     /// A node did not answer.
-    Missed(NodeId, CallError),
+    Failed(NodeId, CallError),
     /// A target fell silent towards a request.
     Suspected(SilentTarget),
     /// The node that gives its group orders was told, or did not answer.
-    Told(Option<CallError>),
+    SuspicionSent(Option<CallError>),
     /// This node's entry was written or not.
     Registered(Result<(), SourceError>),
     /// The registry answered.
-    News(Result<NodeNews, SourceError>),
+    RegistryRead(Result<NodeNews, SourceError>),
     /// Ask the registry.
-    Ask,
+    ReadRegistry,
 }
 
 impl PeerExchange {
     /// Opens an exchange that knows no other node.
-    pub fn open(shared: Arc<FleetShared>) -> Self {
+    pub fn new(shared: Arc<FleetShared>) -> Self {
         Self {
             shared,
             client: CallerClient::open(Codec::Packed, None),
             mark: None,
             is_registered: false,
-            published: 0,
-            folded: Moment::ZERO,
-            cleared: Moment::ZERO,
-            reported: BootClock::now(),
+            published_version: 0,
+            aggregated_at: Moment::ZERO,
+            unreported_reset_at: Moment::ZERO,
+            costs_logged_at: BootClock::now(),
         }
     }
 
@@ -181,21 +181,21 @@
     }
 
     /// Asks the registry for new nodes, if that is this node's part; the others hear of them from hubs.
-    fn ask_registry(&self, link: &ServiceLink<PeerMessage>) {
-        let is_asked = self.mark.is_none() || self.shared.membership().is_hub(link.now());
-        if !is_asked {
-            link.later(REGISTRY_PACE, PeerMessage::Ask);
+    fn read_registry(&self, link: &ServiceLink<PeerMessage>) {
+        let reads_registry = self.mark.is_none() || self.shared.membership().is_hub(link.now());
+        if !reads_registry {
+            link.later(REGISTRY_READ_INTERVAL, PeerMessage::ReadRegistry);
             return;
         }
         let shared = Arc::clone(&self.shared);
         let mark = self.mark;
         shared.costs.count(CostKind::RegistryRead);
         link.spawn(async move {
-            PeerMessage::News(shared.platform.nodes.next(mark, REGISTRY_WAIT).await)
+            PeerMessage::RegistryRead(shared.platform.nodes.next(mark, MAX_REGISTRY_WAIT).await)
         });
     }
 
-    fn take_news(&mut self, news: &NodeNews, now: Moment) {
+    fn apply_registry_update(&mut self, news: &NodeNews, now: Moment) {
         self.mark = Some(news.mark);
         let mut membership = self.shared.membership();
         for entry in &news.nodes {
@@ -208,20 +208,20 @@
     }
 
     fn tick(&mut self, now: Moment, link: &ServiceLink<PeerMessage>) {
-        let standing = own_standing(&self.shared);
-        let due = self.shared.membership().due(&standing, now);
+        let status = own_status(&self.shared);
+        let due = self.shared.membership().due(&status, now);
         for target in due {
             self.send(target, now, link);
         }
-        if now >= self.folded + FOLD_INTERVAL {
-            self.fold(now);
+        if now >= self.aggregated_at + AGGREGATION_INTERVAL {
+            self.aggregate(now);
         }
-        if now >= self.reported + COST_INTERVAL {
-            self.reported = now;
+        if now >= self.costs_logged_at + COST_LOG_INTERVAL {
+            self.costs_logged_at = now;
             self.shared.log_costs();
         }
-        if now >= self.cleared + FRESH_INTERVAL {
-            self.cleared = now;
+        if now >= self.unreported_reset_at + UNREPORTED_RESET_INTERVAL {
+            self.unreported_reset_at = now;
             self.shared.gauges.each(|gauge| gauge.clear_fresh());
         }
     }
@@ -236,22 +236,22 @@
         };
         link.spawn(async move {
             match exchange(&client, &target).await {
-                Ok((answer, bytes)) => {
+                Ok((response, bytes)) => {
                     costs.count_bytes(kind, bytes);
-                    PeerMessage::Answered(Box::new((target, answer)), now)
+                    PeerMessage::Answered(Box::new((target, response)), now)
                 }
                 Err(error) => {
                     costs.count(kind);
-                    PeerMessage::Missed(target.node, error)
+                    PeerMessage::Failed(target.node, error)
                 }
             }
         });
     }
 
     /// Sums up what others told, for placing and planning.
-    fn fold(&mut self, now: Moment) {
-        self.folded = now;
-        let begun = BootClock::now();
+    fn aggregate(&mut self, now: Moment) {
+        self.aggregated_at = now;
+        let started_at = BootClock::now();
         let work = self.shared.membership().work_elsewhere(now);
         let gauges = &self.shared.gauges;
         gauges.each(|gauge| {
@@ -260,8 +260,8 @@
         });
         self.shared.elsewhere.publish(work);
         self.publish(now);
-        let took = BootClock::now().saturating_sub(begun);
-        self.shared.costs.count_time(CostKind::WorkFolded, took);
+        let elapsed = BootClock::now().saturating_sub(started_at);
+        self.shared.costs.count_time(CostKind::WorkFolded, elapsed);
     }
 
     /// Publishes who lives, if that has changed.
@@ -271,10 +271,10 @@
             log::info!(peer = node.as_str(); "peer_heard");
         }
         let version = membership.refresh(now);
-        if version == self.published {
+        if version == self.published_version {
             return;
         }
-        self.published = version;
+        self.published_version = version;
         let view = LiveView::of(&membership, now);
         drop(membership);
         self.shared.live.publish(view);
@@ -283,7 +283,7 @@
     /// Tells the node that gives a silent target's group orders, at once.
     ///
     /// Through hubs it would hear of it up to half a second later, and the group serves nobody meanwhile.
-    fn tell_suspicion(&self, silent: SilentTarget, link: &ServiceLink<PeerMessage>) {
+    fn send_suspicion(&self, silent: SilentTarget, link: &ServiceLink<PeerMessage>) {
         let live = self.shared.live.read();
         let Some(entry) = live.first_for(&silent.domain, &silent.zone) else {
             return;
@@ -295,10 +295,10 @@
             let doc = SuspicionDoc {
                 target: silent.target,
             };
-            let told: Result<(), CallError> = client
-                .call(Method::POST, &url, Some(&doc), ANSWER_TIME)
+            let sent: Result<(), CallError> = client
+                .call(Method::POST, &url, Some(&doc), RESPONSE_TIMEOUT)
                 .await;
-            PeerMessage::Told(told.err())
+            PeerMessage::SuspicionSent(sent.err())
         });
     }
 }
@@ -312,13 +312,13 @@
 
     fn start(&mut self, link: &ServiceLink<PeerMessage>) {
         self.register(Duration::ZERO, link);
-        let first = if self.shared.settings.is_first_start {
-            REGISTRATION_TIME
+        let first_read = if self.shared.settings.is_first_start {
+            FIRST_REGISTRY_READ_DELAY
         } else {
             Duration::ZERO
         };
-        link.later(first, PeerMessage::Ask);
-        link.later(TICK, PeerMessage::Tick);
+        link.later(first_read, PeerMessage::ReadRegistry);
+        link.later(TICK_INTERVAL, PeerMessage::Tick);
     }
 
     fn handle(&mut self, message: PeerMessage, link: &ServiceLink<PeerMessage>) {
@@ -326,43 +326,45 @@
         match message {
             PeerMessage::Tick => {
                 self.tick(now, link);
-                link.later(TICK, PeerMessage::Tick);
+                link.later(TICK_INTERVAL, PeerMessage::Tick);
             }
-            PeerMessage::Answered(answered, asked) => {
-                let (target, gossip) = *answered;
-                take_hints(&self.shared, &gossip);
+            PeerMessage::Answered(exchanged, sent_at) => {
+                let (target, gossip) = *exchanged;
+                apply_hints(&self.shared, &gossip);
                 let mut membership = self.shared.membership();
-                membership.take_answer(&target, &gossip, asked, now);
+                membership.take_answer(&target, &gossip, sent_at, now);
                 drop(membership);
                 if gossip.roster.is_some() {
-                    self.fold(now);
+                    self.aggregate(now);
                 }
             }
-            PeerMessage::Missed(node, error) => {
+            PeerMessage::Failed(node, error) => {
                 self.shared.membership().note_failure(&node, now);
                 log::debug!(peer = node.as_str(), error:% = error; "peer_missed");
             }
-            PeerMessage::Suspected(silent) => self.tell_suspicion(silent, link),
-            PeerMessage::Told(None) => {}
-            PeerMessage::Told(Some(error)) => log::info!(error:% = error; "suspicion_untold"),
+            PeerMessage::Suspected(silent) => self.send_suspicion(silent, link),
+            PeerMessage::SuspicionSent(None) => {}
+            PeerMessage::SuspicionSent(Some(error)) => {
+                log::info!(error:% = error; "suspicion_untold");
+            }
             PeerMessage::Registered(Ok(())) => self.is_registered = true,
             PeerMessage::Registered(Err(error)) => {
                 log::warn!(error:% = error; "registration_failed");
-                self.register(REGISTRY_RETRY, link);
+                self.register(REGISTRY_RETRY_DELAY, link);
             }
-            PeerMessage::News(Ok(news)) => {
-                self.take_news(&news, now);
+            PeerMessage::RegistryRead(Ok(news)) => {
+                self.apply_registry_update(&news, now);
                 self.shared.peers_known.send_replace(true);
-                link.later(REGISTRY_PACE, PeerMessage::Ask);
+                link.later(REGISTRY_READ_INTERVAL, PeerMessage::ReadRegistry);
             }
-            PeerMessage::News(Err(error)) => {
+            PeerMessage::RegistryRead(Err(error)) => {
                 if error == SourceError::HistoryGone {
                     self.mark = None;
                 }
                 self.shared.peers_known.send_replace(true);
-                link.later(REGISTRY_RETRY, PeerMessage::Ask);
+                link.later(REGISTRY_RETRY_DELAY, PeerMessage::ReadRegistry);
             }
-            PeerMessage::Ask => self.ask_registry(link),
+            PeerMessage::ReadRegistry => self.read_registry(link),
         }
     }
 
--- a/crates/fleet/src/placer.rs
+++ b/crates/fleet/src/placer.rs
@@ -13,7 +13,7 @@
 
 use crate::gauge::GaugePlace;
 use crate::job::RequestJob;
-use crate::peers::KNOWN_TIME;
+use crate::peers::PROPAGATION_TIME;
 use crate::queue::{wait_for_place, PlaceAsk, PlaceQueue, PlacedTarget, QueueKey};
 use crate::shared::FleetShared;
 use crate::table::RouteTarget;
@@ -166,7 +166,7 @@
                 let arrivals = elsewhere.arrivals.get(&model.id).copied();
                 let terms = PlaceTerms {
                     prompt: ask.prompt_tokens,
-                    unseen: arrivals.unwrap_or_default() * KNOWN_TIME.as_secs_f64(),
+                    unseen: arrivals.unwrap_or_default() * PROPAGATION_TIME.as_secs_f64(),
                     draw: rand::random(),
                     turn: self.turn(&model.id, now),
                 };
@@ -181,7 +181,7 @@
 
     /// Returns this node's turn among all nodes to use places beyond its share of a model's groups.
     fn turn(&self, model: &str, now: Moment) -> f64 {
-        let window = now.as_millis() / KNOWN_TIME.as_millis();
+        let window = now.as_millis() / PROPAGATION_TIME.as_millis();
         let seed = xxh3_64(model.as_bytes()) ^ self.shared.incarnation ^ window as u64;
         let hash = xxh3_64_with_seed(self.shared.settings.node.as_bytes(), seed);
         hash as f64 / u64::MAX as f64
--- a/crates/fleet/src/ports.rs
+++ b/crates/fleet/src/ports.rs
@@ -12,7 +12,7 @@
 use http::{HeaderMap, StatusCode};
 use serde::Serialize;
 
-pub use crate::suspect_row::{SuspectChange, SuspectKey, SuspectRow, MOST_SUSPECT_ROWS};
+pub use crate::suspect_row::{SuspectChange, SuspectKey, SuspectRow, MAX_SUSPECT_ROWS};
 pub use briarswitch_membership::NodeEntry;
 
 /// Why a call to the platform's store gave nothing.
--- a/crates/fleet/src/relay.rs
+++ b/crates/fleet/src/relay.rs
@@ -15,7 +15,7 @@
 use crate::gauge::GaugePlace;
 use crate::job::{BegunAnswer, RequestJob};
 use crate::queue::PlacedTarget;
-use crate::suspicion::silence_of;
+use crate::suspicion::silence_limit_for;
 use crate::trace::{RequestEnd, RequestTrace};
 
 /// Lateness of the node's own timer beyond which silence proves nothing about the target.
@@ -133,7 +133,7 @@
     /// Returns whether the whole group has been silent for longer than its passes explain.
     fn is_silent(&self, now: Moment) -> bool {
         let target = &self.current.target;
-        let limit = silence_of(&self.job, target);
+        let limit = silence_limit_for(&self.job, target);
         let is_silent = now.saturating_sub(self.heard) > limit && target.gauge.silence(now) > limit;
         if is_silent {
             self.dispatcher.suspicion().suspect(target, now);
@@ -145,7 +145,7 @@
         let suspects = &self.dispatcher.shared().suspects;
         self.job.rule.is_repeatable()
             && self.trace.sent < self.job.rule.max_attempts
-            && suspects.may_go_on(&self.job.print, self.trace.broken)
+            && suspects.may_retry(&self.job.print, self.trace.broken)
     }
 
     fn note_events(&mut self) {
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -2,10 +2,10 @@
 
 use briarswitch_kernel::{BootClock, Mailbox};
 
-use crate::end_watch::WatchMessage;
+use crate::crash_watcher::CrashWatchMessage;
 use crate::run_facts::{RunBreak, RunFacts};
-use crate::suspect_keeper::SuspectMessage;
-use crate::suspects::SuspectBoard;
+use crate::suspect_ledger::SuspectLedger;
+use crate::suspect_sync::SuspectMessage;
 
 /// A run under way; whatever becomes of it, the watch of targets hears of a run that brought no whole answer.
 ///
@@ -20,7 +20,7 @@
 #[derive(Clone)]
 pub struct RunReports {
     /// Hears of runs that brought no whole answer.
-    pub watch: Mailbox<WatchMessage>,
+    pub watch: Mailbox<CrashWatchMessage>,
     /// Hears of whole answers to requests under which targets have ended.
     pub suspects: Mailbox<SuspectMessage>,
 }
@@ -40,11 +40,11 @@
     }
 
     /// Notes that the target gave its whole answer; the request did not end it, and so is cleared of earlier ends.
-    pub fn complete(&mut self, board: &SuspectBoard) {
+    pub fn complete(&mut self, board: &SuspectLedger) {
         let Some(facts) = self.facts.take() else {
             return;
         };
-        if board.has_ends(&facts.print) {
+        if board.has_crashes(&facts.print) {
             let message = SuspectMessage::Completed(facts.print);
             if let Err(error) = self.reports.suspects.post(message) {
                 log::warn!(error:% = error; "run_untold");
@@ -70,7 +70,7 @@
     }
 
     fn tell(&self, facts: RunFacts, end: RunBreak) {
-        let message = WatchMessage::Ended(Box::new(facts), end);
+        let message = CrashWatchMessage::RunFailed(Box::new(facts), end);
         if let Err(error) = self.reports.watch.post(message) {
             log::warn!(error:% = error; "run_untold");
         }
--- a/crates/fleet/src/shared.rs
+++ b/crates/fleet/src/shared.rs
@@ -20,7 +20,7 @@
 use crate::metrics::FleetMetrics;
 use crate::ports::{FeedAnswer, FeedMark, FeedQuestion, FleetPlatform, NodeEntry, SourceError};
 use crate::settings::FleetSettings;
-use crate::suspects::SuspectBoard;
+use crate::suspect_ledger::SuspectLedger;
 use crate::table::TargetTable;
 
 /// Part of a key's validity after which it is no longer trusted.
@@ -72,7 +72,7 @@
     /// Where requests may go.
     pub table: Snapshot<TargetTable>,
     /// Requests under which targets have ended.
-    pub suspects: SuspectBoard,
+    pub suspects: SuspectLedger,
     /// Load and liveness of targets.
     pub gauges: GaugeBoard,
     /// The other nodes that live.
@@ -120,11 +120,11 @@
         Arc::new(Self {
             settings,
             incarnation,
-            feed: FeedRelay::open(Arc::clone(&platform.feed), Arc::clone(&costs)),
+            feed: FeedRelay::new(Arc::clone(&platform.feed), Arc::clone(&costs)),
             book: Snapshot::open(None),
             directory: Snapshot::open(DirectoryView::default()),
             table: Snapshot::open(TargetTable::default()),
-            suspects: SuspectBoard::open(Arc::clone(&platform.clock)),
+            suspects: SuspectLedger::new(Arc::clone(&platform.clock)),
             gauges: GaugeBoard::default(),
             live: Snapshot::open(LiveView::open(own.clone())),
             membership: Mutex::new(Membership::open(own)),
--- a/crates/fleet/src/suspect_doc.rs
+++ b/crates/fleet/src/suspect_doc.rs
@@ -7,20 +7,20 @@
 use crate::ports::SuspectRow;
 
 /// Bytes of a request's fingerprint.
-type PrintDoc = ByteArray<16>;
+type FingerprintDoc = ByteArray<16>;
 
 /// Request, life of the target, domain, moment, thousandths of the chance of a coincidence.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-struct EndDoc(PrintDoc, u64, u64, StoreMillis, u16);
+struct CrashDoc(FingerprintDoc, u64, u64, StoreMillis, u16);
 
 /// Request, moment.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-struct ClearDoc(PrintDoc, StoreMillis);
+struct ClearDoc(FingerprintDoc, StoreMillis);
 
 /// What one node tells another of requests under which targets have ended.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct SuspectDoc {
-    ends: Vec<EndDoc>,
+    ends: Vec<CrashDoc>,
     clears: Vec<ClearDoc>,
 }
 
@@ -29,16 +29,16 @@
         let mut doc = Self::default();
         for row in rows {
             match row {
-                SuspectRow::End(end) => doc.ends.push(EndDoc(
-                    PrintDoc::new(end.print.into()),
-                    end.life.0,
-                    end.domain,
-                    end.at,
-                    end.chance,
+                SuspectRow::Crash(crash) => doc.ends.push(CrashDoc(
+                    FingerprintDoc::new(crash.print.into()),
+                    crash.life.0,
+                    crash.domain,
+                    crash.at,
+                    crash.chance,
                 )),
                 SuspectRow::Clear(clear) => {
-                    let print = PrintDoc::new(clear.print.into());
-                    doc.clears.push(ClearDoc(print, clear.at));
+                    let fingerprint = FingerprintDoc::new(clear.print.into());
+                    doc.clears.push(ClearDoc(fingerprint, clear.at));
                 }
             }
         }
@@ -48,20 +48,23 @@
 
 impl From<SuspectDoc> for Vec<SuspectRow> {
     fn from(doc: SuspectDoc) -> Self {
-        let ends = doc.ends.into_iter();
-        let ends = ends.map(|EndDoc(print, life, domain, at, chance)| {
-            SuspectRow::End(EndSign {
-                print: print.into_array().into(),
-                life: LifeKey(life),
+        let crashes = doc.ends.into_iter();
+        let crashes = crashes.map(|CrashDoc(fingerprint, incarnation, domain, at, chance)| {
+            SuspectRow::Crash(EndSign {
+                print: fingerprint.into_array().into(),
+                life: LifeKey(incarnation),
                 domain,
                 at,
                 chance,
             })
         });
-        let clears = doc.clears.into_iter().map(|ClearDoc(print, at)| {
-            let print = print.into_array().into();
-            SuspectRow::Clear(ClearSign { print, at })
+        let clears = doc.clears.into_iter().map(|ClearDoc(fingerprint, at)| {
+            let fingerprint = fingerprint.into_array().into();
+            SuspectRow::Clear(ClearSign {
+                print: fingerprint,
+                at,
+            })
         });
-        ends.chain(clears).collect()
+        crashes.chain(clears).collect()
     }
 }
--- a/crates/fleet/src/suspect_host.rs
+++ b/crates/fleet/src/suspect_host.rs
@@ -13,25 +13,25 @@
 
 use crate::ports::{FeedAnswer, FeedMark, ReportError, SourceFuture, SuspectRegistry};
 use crate::run_facts::{RunFacts, TargetLife};
-use crate::suspects::SuspectBoard;
+use crate::suspect_ledger::SuspectLedger;
 
 /// What shows that a life of a target has ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum EndProof {
+pub enum CrashEvidence {
     /// Nobody listens at its address.
     Refused,
     /// Another life answers at its address.
-    OtherLife,
+    OtherIncarnation,
     /// The directory lists another life, or none.
     Unlisted,
 }
 
-impl EndProof {
+impl CrashEvidence {
     /// Returns the name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Refused => "refused",
-            Self::OtherLife => "other_life",
+            Self::OtherIncarnation => "other_life",
             Self::Unlisted => "unlisted",
         }
     }
@@ -39,18 +39,18 @@
 
 /// What an answer at a target's address shows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum LifeSign {
+pub enum Liveness {
     /// The life that was meant lives.
-    Lives,
+    Alive,
     /// Somebody listens.
-    Listens,
+    Listening,
 }
 
 /// Targets, and how many have ended so far without asking for no new work before.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct EndCount {
+pub struct CrashCount {
     /// Ends.
-    pub ends: u64,
+    pub crashes: u64,
     /// Targets.
     pub targets: usize,
 }
@@ -59,21 +59,21 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SuspectEvent {
     /// A target at which a run broke was asked whether it lives.
-    EndChecked,
+    TargetProbed,
     /// Another node was told of ends.
-    EndTold,
+    CrashReported,
     /// Rows were written.
     RowsWritten,
     /// A target has ended.
-    TargetEnded(EndProof),
+    TargetCrashed(CrashEvidence),
     /// A request is not to run for a while.
-    QuarantineBegun,
+    QuarantineStarted,
 }
 
 /// The node that remembers.
 pub trait SuspectHost: Send + Sync {
     /// Returns what traffic reads.
-    fn suspects(&self) -> &SuspectBoard;
+    fn suspects(&self) -> &SuspectLedger;
 
     /// Returns the table that all nodes follow.
     fn registry(&self) -> &dyn SuspectRegistry;
@@ -88,24 +88,24 @@
     /// Returns the nodes that add up the ends of a request.
     ///
     /// A node that tells nobody writes each end itself.
-    fn holders_of(&self, print: &RequestPrint, count: usize) -> ThingHolders;
+    fn holders_of(&self, fingerprint: &RequestPrint, count: usize) -> ThingHolders;
 
     /// Finds out whether the target of a run that broke lives.
-    fn life_sign<'a>(
+    fn probe<'a>(
         &'a self,
         facts: &'a RunFacts,
-        limit: Duration,
-    ) -> BoxFuture<'a, Result<LifeSign, ReportError>>;
+        timeout: Duration,
+    ) -> BoxFuture<'a, Result<Liveness, ReportError>>;
 
     /// Returns whether the directory lists a life, as far as this node follows it.
-    fn is_listed(&self, life: &TargetLife) -> bool;
+    fn is_listed(&self, incarnation: &TargetLife) -> bool;
 
     /// Returns how many targets have ended.
-    fn end_count(&self) -> EndCount;
+    fn crash_count(&self) -> CrashCount;
 
     /// Keeps new work from a target.
-    fn keep_away(&self, target: &TargetId, until: Moment);
+    fn exclude_target(&self, target: &TargetId, until: Moment);
 
     /// Counts an event.
-    fn note(&self, event: SuspectEvent);
+    fn count(&self, event: SuspectEvent);
 }
--- a/crates/fleet/src/suspects.rs
+++ b/crates/fleet/src/suspect_ledger.rs
@@ -10,14 +10,14 @@
 use crate::ports::{StoreClock, SuspectRow};
 
 /// The ledger of ends, shared by the control thread and traffic.
-pub struct SuspectBoard {
+pub struct SuspectLedger {
     clock: Arc<dyn StoreClock>,
     ledger: Mutex<CrashLedger>,
     /// Whether the ledger holds anything; nearly always it does not.
-    is_used: AtomicBool,
+    is_nonempty: AtomicBool,
 }
 
-impl SuspectBoard {
+impl SuspectLedger {
     /// Opens a board that knows of no end.
     ///
     /// ```
@@ -25,7 +25,7 @@
     ///
     /// use briarswitch_core::print::RequestPrint;
     /// use briarswitch_fleet::ports::StoreClock;
-    /// use briarswitch_fleet::suspects::SuspectBoard;
+    /// use briarswitch_fleet::suspect_ledger::SuspectLedger;
     ///
     /// struct FixedClock;
     ///
@@ -35,14 +35,14 @@
     ///     }
     /// }
     ///
-    /// let board = SuspectBoard::open(Arc::new(FixedClock));
-    /// assert!(board.quarantine(&RequestPrint::from([1; 16])).is_none());
+    /// let ledger = SuspectLedger::new(Arc::new(FixedClock));
+    /// assert!(ledger.quarantine_left(&RequestPrint::from([1; 16])).is_none());
     /// ```
-    pub fn open(clock: Arc<dyn StoreClock>) -> Self {
+    pub fn new(clock: Arc<dyn StoreClock>) -> Self {
         Self {
             clock,
             ledger: Mutex::default(),
-            is_used: AtomicBool::new(false),
+            is_nonempty: AtomicBool::new(false),
         }
     }
 
@@ -52,16 +52,16 @@
     }
 
     /// Returns what is held of a request.
-    pub fn verdict(&self, print: &RequestPrint) -> CrashVerdict {
-        if !self.is_used.load(Ordering::Relaxed) {
+    pub fn verdict(&self, fingerprint: &RequestPrint) -> CrashVerdict {
+        if !self.is_nonempty.load(Ordering::Relaxed) {
             return CrashVerdict::Clear;
         }
-        self.lock().verdict(print, self.now())
+        self.lock().verdict(fingerprint, self.now())
     }
 
     /// Returns how long a request is not to run, if it is not to.
-    pub fn quarantine(&self, print: &RequestPrint) -> Option<Duration> {
-        match self.verdict(print) {
+    pub fn quarantine_left(&self, fingerprint: &RequestPrint) -> Option<Duration> {
+        match self.verdict(fingerprint) {
             CrashVerdict::Quarantined(left) => Some(left),
             CrashVerdict::Clear | CrashVerdict::Suspect => None,
         }
@@ -71,39 +71,43 @@
     ///
     /// A caller's own repeat is decided by what all nodes know. Between two runs of one attempt nobody else can
     /// know yet what the first has done, and going on would end the next target at once.
-    pub fn may_go_on(&self, print: &RequestPrint, broken: usize) -> bool {
-        let is_used = self.is_used.load(Ordering::Relaxed);
-        let ends = if is_used { self.ends(print) } else { 0 };
-        ends + broken < LEAST_ENDS
+    pub fn may_retry(&self, fingerprint: &RequestPrint, broken_runs: usize) -> bool {
+        let is_nonempty = self.is_nonempty.load(Ordering::Relaxed);
+        let crashes = if is_nonempty {
+            self.crashes(fingerprint)
+        } else {
+            0
+        };
+        crashes + broken_runs < LEAST_ENDS
     }
 
     /// Returns how many targets have ended with the request under way, as far as they count.
-    pub fn ends(&self, print: &RequestPrint) -> usize {
-        self.lock().ends(print, self.now()).len()
+    pub fn crashes(&self, fingerprint: &RequestPrint) -> usize {
+        self.lock().ends(fingerprint, self.now()).len()
     }
 
     /// Returns whether any target has ended with the request under way.
-    pub fn has_ends(&self, print: &RequestPrint) -> bool {
-        self.is_used.load(Ordering::Relaxed) && self.lock().has_ends(print)
+    pub fn has_crashes(&self, fingerprint: &RequestPrint) -> bool {
+        self.is_nonempty.load(Ordering::Relaxed) && self.lock().has_ends(fingerprint)
     }
 
     /// Takes in what was seen or told; returns whether it is news.
-    pub fn take(&self, row: &SuspectRow) -> bool {
+    pub fn record(&self, row: &SuspectRow) -> bool {
         let mut ledger = self.lock();
-        self.is_used.store(true, Ordering::Relaxed);
+        self.is_nonempty.store(true, Ordering::Relaxed);
         match row {
-            SuspectRow::End(end) => ledger.take_end(*end),
+            SuspectRow::Crash(end) => ledger.take_end(*end),
             SuspectRow::Clear(clear) => ledger.take_clear(*clear),
         }
     }
 
     /// Returns all that is known of a request.
-    pub fn rows(&self, print: &RequestPrint) -> Vec<SuspectRow> {
+    pub fn rows(&self, fingerprint: &RequestPrint) -> Vec<SuspectRow> {
         let ledger = self.lock();
-        let ends = ledger.ends(print, self.now());
-        let ends = ends.into_iter().map(SuspectRow::End);
-        let clear = ledger.cleared(print).map(SuspectRow::Clear);
-        ends.chain(clear).collect()
+        let crashes = ledger.ends(fingerprint, self.now());
+        let crashes = crashes.into_iter().map(SuspectRow::Crash);
+        let clear = ledger.cleared(fingerprint).map(SuspectRow::Clear);
+        crashes.chain(clear).collect()
     }
 
     /// Returns the requests that are not clear, and what is held of them.
@@ -112,7 +116,7 @@
         let ledger = self.lock();
         let verdicts = ledger
             .prints()
-            .map(|print| (*print, ledger.verdict(print, now)));
+            .map(|fingerprint| (*fingerprint, ledger.verdict(fingerprint, now)));
         verdicts
             .filter(|(_, verdict)| *verdict != CrashVerdict::Clear)
             .collect()
@@ -122,8 +126,8 @@
     pub fn prune(&self) {
         let mut ledger = self.lock();
         ledger.prune(self.now());
-        let is_used = ledger.prints().next().is_some();
-        self.is_used.store(is_used, Ordering::Relaxed);
+        let is_nonempty = ledger.prints().next().is_some();
+        self.is_nonempty.store(is_nonempty, Ordering::Relaxed);
     }
 
     fn lock(&self) -> MutexGuard<'_, CrashLedger> {
--- a/crates/fleet/src/suspect_record.rs
+++ b/crates/fleet/src/suspect_record.rs
@@ -31,7 +31,7 @@
 
 /// A row's key or content can not be understood.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("not a row on a request under which targets have ended")]
+#[error("malformed crash report row")]
 pub struct UnreadableRecord;
 
 /// Returns the text of a row's key.
@@ -39,15 +39,15 @@
 /// ```
 /// use briarswitch_core::print::RequestPrint;
 /// use briarswitch_fleet::ports::SuspectKey;
-/// use briarswitch_fleet::suspect_record::{key_text, read_key};
+/// use briarswitch_fleet::suspect_record::{format_key, parse_key};
 ///
-/// let key = SuspectKey { print: RequestPrint::from([1; 16]), life: None };
-/// assert_eq!(read_key(&key_text(&key)), Ok(key));
+/// let key = SuspectKey { fingerprint: RequestPrint::from([1; 16]), incarnation: None };
+/// assert_eq!(parse_key(&format_key(&key)), Ok(key));
 /// ```
-pub fn key_text(key: &SuspectKey) -> String {
-    match key.life {
-        Some(LifeKey(life)) => format!("{}-{life:016x}", key.print),
-        None => format!("{}-{CLEARED}", key.print),
+pub fn format_key(key: &SuspectKey) -> String {
+    match key.incarnation {
+        Some(LifeKey(incarnation)) => format!("{}-{incarnation:016x}", key.fingerprint),
+        None => format!("{}-{CLEARED}", key.fingerprint),
     }
 }
 
@@ -56,26 +56,29 @@
 /// # Errors
 ///
 /// Returns [`UnreadableRecord`] where it is none.
-pub fn read_key(text: &str) -> Result<SuspectKey, UnreadableRecord> {
-    let (print, life) = text.split_once('-').ok_or(UnreadableRecord)?;
-    let print: RequestPrint = print.parse().map_err(|_| UnreadableRecord)?;
-    let life = if life == CLEARED {
+pub fn parse_key(text: &str) -> Result<SuspectKey, UnreadableRecord> {
+    let (fingerprint, incarnation) = text.split_once('-').ok_or(UnreadableRecord)?;
+    let fingerprint: RequestPrint = fingerprint.parse().map_err(|_| UnreadableRecord)?;
+    let incarnation = if incarnation == CLEARED {
         None
     } else {
-        let life = u64::from_str_radix(life, 16).map_err(|_| UnreadableRecord)?;
-        Some(LifeKey(life))
+        let incarnation = u64::from_str_radix(incarnation, 16).map_err(|_| UnreadableRecord)?;
+        Some(LifeKey(incarnation))
     };
-    Ok(SuspectKey { print, life })
+    Ok(SuspectKey {
+        fingerprint,
+        incarnation,
+    })
 }
 
 impl From<&SuspectRow> for SuspectRecord {
     fn from(row: &SuspectRow) -> Self {
         let (domain, chance) = match row {
-            SuspectRow::End(end) => (Some(end.domain), Some(end.chance)),
+            SuspectRow::Crash(crash) => (Some(crash.domain), Some(crash.chance)),
             SuspectRow::Clear(_) => (None, None),
         };
         Self {
-            key: key_text(&row.key()),
+            key: format_key(&row.key()),
             value: SuspectValue {
                 at: row.at(),
                 domain,
@@ -89,14 +92,20 @@
     type Error = UnreadableRecord;
 
     fn try_from(record: SuspectRecord) -> Result<Self, Self::Error> {
-        let SuspectKey { print, life } = read_key(&record.key)?;
+        let SuspectKey {
+            fingerprint,
+            incarnation,
+        } = parse_key(&record.key)?;
         let SuspectValue { at, domain, chance } = record.value;
-        let Some(life) = life else {
-            return Ok(Self::Clear(ClearSign { print, at }));
+        let Some(incarnation) = incarnation else {
+            return Ok(Self::Clear(ClearSign {
+                print: fingerprint,
+                at,
+            }));
         };
-        Ok(Self::End(EndSign {
-            print,
-            life,
+        Ok(Self::Crash(EndSign {
+            print: fingerprint,
+            life: incarnation,
             domain: domain.ok_or(UnreadableRecord)?,
             at,
             chance: chance.ok_or(UnreadableRecord)?,
--- a/crates/fleet/src/suspect_row.rs
+++ b/crates/fleet/src/suspect_row.rs
@@ -7,9 +7,9 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct SuspectKey {
     /// Request.
-    pub print: RequestPrint,
+    pub fingerprint: RequestPrint,
     /// Life that ended; `None` for the word that the request is not the cause.
-    pub life: Option<LifeKey>,
+    pub incarnation: Option<LifeKey>,
 }
 
 /// A row in the table of requests under which targets have ended.
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SuspectRow {
     /// A target ended.
-    End(EndSign),
+    Crash(EndSign),
     /// The request is not the cause of earlier ends.
     Clear(ClearSign),
 }
@@ -26,17 +26,20 @@
 impl SuspectRow {
     /// Returns the row's name.
     pub fn key(&self) -> SuspectKey {
-        let (print, life) = match self {
-            Self::End(end) => (end.print, Some(end.life)),
+        let (fingerprint, incarnation) = match self {
+            Self::Crash(crash) => (crash.print, Some(crash.life)),
             Self::Clear(clear) => (clear.print, None),
         };
-        SuspectKey { print, life }
+        SuspectKey {
+            fingerprint,
+            incarnation,
+        }
     }
 
     /// Returns when what it says was seen.
     pub fn at(&self) -> StoreMillis {
         match self {
-            Self::End(end) => end.at,
+            Self::Crash(crash) => crash.at,
             Self::Clear(clear) => clear.at,
         }
     }
@@ -52,4 +55,4 @@
 }
 
 /// Most rows that are written and dropped at once.
-pub const MOST_SUSPECT_ROWS: usize = 100;
+pub const MAX_SUSPECT_ROWS: usize = 100;
--- /dev/null
+++ b/crates/fleet/src/suspect_sync.rs
@@ -0,0 +1,420 @@
+//! Has every node know of the requests under which targets have ended.
+//!
+//! Repeats of a request come to any node, so no node sees all that one has done. Each end is told to the two nodes
+//! that rank first for the request, which see its ends add up. What more than coincidence explains is written to the
+//! store's table, which every node follows: also one that reaches no other node, and one that has just started. A
+//! node that reaches nobody writes what it sees itself.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use briarswitch_core::crash::{
+    ClearSign, CrashVerdict, EndRate, EndSign, EndedTarget, StoreMillis,
+};
+use briarswitch_core::id::*;
+use briarswitch_core::print::RequestPrint;
+use briarswitch_http::{CallError, CallerClient, Codec};
+use briarswitch_kernel::{Service, ServiceLink};
+use briarswitch_membership::NodeEntry;
+use http::Method;
+use indexmap::{IndexMap, IndexSet};
+use serde_json::{json, Value};
+
+use crate::ports::{FeedMark, SourceError, SuspectChange, SuspectKey, SuspectRow};
+use crate::run_facts::RunFacts;
+use crate::store_sync::{retry_delay, SourceHealth};
+use crate::suspect_doc::SuspectDoc;
+use crate::suspect_host::{SuspectEvent, SuspectHost};
+use crate::suspect_table::{SuspectBatch, SuspectTable};
+use crate::verdict_log::VerdictLog;
+
+/// Path at which a node is told of ends.
+pub const SUSPECT_PATH: &str = "/suspects";
+/// Nodes that are told of each end; one may be lost at once.
+const HOLDERS_PER_REQUEST: usize = 2;
+/// Time to wait for a holder's answer.
+const HOLDER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Chance of a coincidence, in thousandths, above which an end says too little to be counted.
+const MAX_CHANCE_PERMILLE: u16 = 300;
+/// Longest time a question for changes of the table is held open.
+///
+/// A connection that fell silent is noticed after this and the time for an answer, and every node has to know
+/// within three seconds.
+const MAX_TABLE_WAIT: Duration = Duration::from_millis(2_000);
+/// Time that the second holder, and then whoever saw the end, leave those before them to write a row.
+const WRITE_STAGGER: Duration = Duration::from_millis(250);
+/// Time between looks at what is to be written or dropped.
+const ROUND_INTERVAL: Duration = Duration::from_millis(100);
+/// Time between two counts of the targets that have ended.
+const CRASH_RATE_INTERVAL: Duration = Duration::from_secs(2);
+
+/// Name of the keeper.
+pub const SUSPECT_SERVICE: &str = "suspects";
+
+/// A run that was under way when its target ended.
+#[derive(Clone, Debug)]
+pub struct CrashedRun {
+    /// What ran where.
+    pub facts: RunFacts,
+    /// How long it had run when the end was seen.
+    pub ran_for: Duration,
+    /// When the target ended, as far as the run tells.
+    pub ended_at: Moment,
+}
+
+/// Message to [`SuspectSync`].
+pub enum SuspectMessage {
+    /// Targets ended with these runs under way.
+    Crashed(Vec<CrashedRun>),
+    /// Another node told something of these requests that is news.
+    Reported(IndexSet<RequestPrint>),
+    /// A holder was told of these ends, and answered what it knows of the requests, or did not answer.
+    HolderResponded(Vec<EndSign>, Option<Vec<SuspectRow>>),
+    /// A request under which targets had ended was answered as a whole.
+    Completed(RequestPrint),
+    /// The operator takes back what is held of a request.
+    Released(RequestPrint),
+    /// Ask for changes of the table.
+    Poll,
+    /// The table's changes came or not.
+    Polled(Result<SuspectUpdate, SourceError>),
+    /// Rows were written and dropped, or not.
+    Written(SuspectBatch, Result<(), SourceError>),
+    /// Look at what is to be written or dropped.
+    Round,
+}
+
+/// Changes of the table.
+#[derive(Clone, Debug)]
+pub struct SuspectUpdate {
+    mark: FeedMark,
+    is_whole: bool,
+    changes: Vec<SuspectChange>,
+}
+
+/// Keeps the table of ends, and the board that traffic reads.
+pub struct SuspectSync {
+    host: Arc<dyn SuspectHost>,
+    client: CallerClient,
+    mark: Option<FeedMark>,
+    source_health: SourceHealth,
+    table: SuspectTable,
+    /// Holders that have not answered yet, by the end that they were told of; no entry once one has.
+    unacknowledged: IndexMap<SuspectKey, usize>,
+    verdicts: VerdictLog,
+    crash_rate: EndRate,
+    rate_sampled_at: Moment,
+}
+
+impl SuspectSync {
+    /// Opens a keeper that knows of no end.
+    pub fn new(host: Arc<dyn SuspectHost>) -> Self {
+        Self {
+            host,
+            client: CallerClient::open(Codec::Packed, None),
+            mark: None,
+            source_health: SourceHealth::default(),
+            table: SuspectTable::default(),
+            unacknowledged: IndexMap::new(),
+            verdicts: VerdictLog::default(),
+            crash_rate: EndRate::default(),
+            rate_sampled_at: Moment::ZERO,
+        }
+    }
+
+    /// Counts ends that this node saw, and tells their holders.
+    fn record_crashes(&mut self, runs: Vec<CrashedRun>, link: &ServiceLink<SuspectMessage>) {
+        let (store_time, crash_rate) = (self.host.suspects().now(), self.crash_rate.per_second());
+        let mut crashes = Vec::new();
+        for CrashedRun {
+            facts,
+            ran_for,
+            ended_at,
+        } in runs
+        {
+            // Dated by when they were noticed, ends that are noticed together would pass for one.
+            let elapsed = link.now().saturating_sub(ended_at).as_millis() as StoreMillis;
+            let at = store_time.saturating_sub(elapsed);
+            let target = EndedTarget {
+                target: &facts.life.target,
+                incarnation: facts.life.incarnation,
+                domain: &facts.domain,
+            };
+            let crash = EndSign::of(facts.print, target, at, ran_for, crash_rate);
+            if crash.chance > MAX_CHANCE_PERMILLE {
+                continue;
+            }
+            self.host.suspects().record(&SuspectRow::Crash(crash));
+            log::info!(
+                request = facts.request.as_str(),
+                print:% = facts.print,
+                organisation = facts.organisation.as_str(),
+                target_id = facts.life.target.as_str(),
+                ran_ms = ran_for.as_millis() as u64,
+                chance_permille = crash.chance,
+                ends = self.host.suspects().crashes(&facts.print);
+                "end_counted"
+            );
+            crashes.push(crash);
+        }
+        self.report_to_holders(&crashes, link);
+        let fingerprints = crashes.iter().map(|crash| crash.print).collect();
+        self.reevaluate(&fingerprints, true, link.now());
+    }
+
+    /// Tells the nodes that rank first for each request; where there is nobody, the rows are written at once.
+    fn report_to_holders(&mut self, crashes: &[EndSign], link: &ServiceLink<SuspectMessage>) {
+        let mut messages: IndexMap<NodeId, (Arc<NodeEntry>, Vec<EndSign>)> = IndexMap::new();
+        for crash in crashes {
+            let others = self
+                .host
+                .holders_of(&crash.print, HOLDERS_PER_REQUEST)
+                .others;
+            if others.is_empty() {
+                self.table
+                    .schedule_write(SuspectRow::Crash(*crash), link.now());
+            } else {
+                self.unacknowledged
+                    .insert(SuspectRow::Crash(*crash).key(), others.len());
+            }
+            for entry in others {
+                let message = messages.entry(entry.node.clone());
+                let message = message.or_insert_with(|| (entry, Vec::new()));
+                message.1.push(*crash);
+            }
+        }
+        for (entry, crashes) in messages.into_values() {
+            self.send(&entry, crashes, link);
+        }
+    }
+
+    /// Takes in a holder's answer; ends that no holder was told of are written.
+    fn apply_holder_response(
+        &mut self,
+        crashes: &[EndSign],
+        known: Option<Vec<SuspectRow>>,
+        now: Moment,
+    ) {
+        for crash in crashes {
+            let row = SuspectRow::Crash(*crash);
+            let Some(remaining) = self.unacknowledged.get_mut(&row.key()) else {
+                continue;
+            };
+            *remaining -= 1;
+            let is_last = *remaining == 0;
+            if is_last && known.is_none() {
+                self.table.schedule_write(row, now);
+            }
+            if is_last || known.is_some() {
+                self.unacknowledged.swap_remove(&row.key());
+            }
+        }
+        self.apply_rows(&known.unwrap_or_default(), true, now);
+    }
+
+    fn send(&self, holder: &NodeEntry, crashes: Vec<EndSign>, link: &ServiceLink<SuspectMessage>) {
+        let url = format!("http://{}{SUSPECT_PATH}", holder.address);
+        let client = self.client.clone();
+        self.host.count(SuspectEvent::CrashReported);
+        link.spawn(async move {
+            let doc: SuspectDoc = crashes.iter().copied().map(SuspectRow::Crash).collect();
+            let reported: Result<SuspectDoc, CallError> = client
+                .call(Method::POST, &url, Some(&doc), HOLDER_TIMEOUT)
+                .await;
+            if let Err(error) = &reported {
+                log::info!(error:% = error, ends = crashes.len(); "holder_missed");
+            }
+            SuspectMessage::HolderResponded(crashes, reported.ok().map(Vec::from))
+        });
+    }
+
+    /// Takes rows in; `is_own` where this node is one of those that have to see them written.
+    fn apply_rows(&mut self, rows: &[SuspectRow], must_write: bool, now: Moment) {
+        let updated = rows.iter().filter(|row| self.host.suspects().record(row));
+        let fingerprints: IndexSet<RequestPrint> =
+            updated.map(|row| row.key().fingerprint).collect();
+        self.reevaluate(&fingerprints, must_write, now);
+    }
+
+    /// Looks at requests of which something new is known: what is held of them, and what is to be written.
+    fn reevaluate(&mut self, fingerprints: &IndexSet<RequestPrint>, must_write: bool, now: Moment) {
+        for fingerprint in fingerprints {
+            let verdict = self.host.suspects().verdict(fingerprint);
+            self.verdicts
+                .record(self.host.as_ref(), fingerprint, verdict);
+            if verdict == CrashVerdict::Clear {
+                continue;
+            }
+            let rank = self.own_rank(fingerprint);
+            if !must_write && rank.is_none() {
+                continue;
+            }
+            let stagger = WRITE_STAGGER * rank.unwrap_or(HOLDERS_PER_REQUEST) as u32;
+            for row in self.host.suspects().rows(fingerprint) {
+                self.table.schedule_write(row, now + stagger);
+            }
+        }
+    }
+
+    fn own_rank(&self, fingerprint: &RequestPrint) -> Option<usize> {
+        self.host
+            .holders_of(fingerprint, HOLDERS_PER_REQUEST)
+            .own_place
+    }
+
+    /// Takes in that a request is not the cause of what has ended so far.
+    fn clear(&mut self, fingerprint: RequestPrint, reason: &'static str, now: Moment) {
+        if !self.host.suspects().has_crashes(&fingerprint) {
+            return;
+        }
+        let is_shared = self.verdicts.contains(&fingerprint) || self.table.contains(&fingerprint);
+        let at = self.host.suspects().now();
+        let row = SuspectRow::Clear(ClearSign {
+            print: fingerprint,
+            at,
+        });
+        self.host.suspects().record(&row);
+        log::info!(print:% = fingerprint, reason = reason; "request_cleared");
+        self.verdicts
+            .record(self.host.as_ref(), &fingerprint, CrashVerdict::Clear);
+        self.table.cancel_writes(&fingerprint);
+        if is_shared {
+            self.table.schedule_write(row, now);
+        }
+    }
+
+    /// Writes what is due, and drops what counts no more of the requests that this node ranks first for.
+    fn write_due(&mut self, link: &ServiceLink<SuspectMessage>) {
+        let host = Arc::clone(&self.host);
+        let is_first = |fingerprint: &RequestPrint| {
+            host.holders_of(fingerprint, HOLDERS_PER_REQUEST).own_place == Some(0)
+        };
+        let store_time = host.suspects().now();
+        let Some(batch) = self.table.begin_write(link.now(), store_time, is_first) else {
+            return;
+        };
+        host.count(SuspectEvent::RowsWritten);
+        link.spawn(async move {
+            let registry = host.registry();
+            let written = registry.write(batch.rows.clone(), batch.deleted.clone());
+            SuspectMessage::Written(batch, written.await)
+        });
+    }
+
+    fn apply_write_result(
+        &mut self,
+        batch: &SuspectBatch,
+        written: Result<(), SourceError>,
+        now: Moment,
+    ) {
+        match written {
+            Ok(()) => self.table.commit_batch(batch),
+            Err(error) => {
+                log::info!(error:% = error, rows = batch.rows.len(); "suspects_unwritten");
+                self.table.retry_batch(now + retry_delay());
+            }
+        }
+    }
+
+    fn poll(&self, link: &ServiceLink<SuspectMessage>) {
+        let host = Arc::clone(&self.host);
+        let (mark, wait) = (self.mark, self.source_health.max_wait(MAX_TABLE_WAIT));
+        link.spawn(async move {
+            let response = Arc::clone(&host).changes(mark, wait).await;
+            SuspectMessage::Polled(response.map(|response| SuspectUpdate {
+                mark: response.mark,
+                is_whole: response.is_whole,
+                changes: host.registry().news(&response),
+            }))
+        });
+    }
+
+    fn apply_update(&mut self, update: SuspectUpdate, now: Moment) {
+        self.mark = Some(update.mark);
+        let rows = self.table.apply(&update.changes, update.is_whole);
+        self.apply_rows(&rows, false, now);
+        if update.is_whole {
+            // What the store has lost, or never got, is written again.
+            let suspects = self.host.suspects().suspects().into_iter();
+            let fingerprints = suspects.map(|(fingerprint, _)| fingerprint).collect();
+            self.reevaluate(&fingerprints, false, now);
+        }
+    }
+
+    fn run_round(&mut self, link: &ServiceLink<SuspectMessage>) {
+        let now = link.now();
+        self.write_due(link);
+        if now >= self.rate_sampled_at + CRASH_RATE_INTERVAL {
+            self.rate_sampled_at = now;
+            let counts = self.host.crash_count();
+            self.crash_rate.note(counts.crashes, counts.targets, now);
+            self.host.suspects().prune();
+            self.refresh_verdicts();
+        }
+    }
+
+    /// Notes the quarantines that are over because their ends are forgotten.
+    fn refresh_verdicts(&mut self) {
+        for fingerprint in self.verdicts.fingerprints() {
+            let verdict = self.host.suspects().verdict(&fingerprint);
+            self.verdicts
+                .record(self.host.as_ref(), &fingerprint, verdict);
+        }
+    }
+}
+
+impl Service for SuspectSync {
+    type Message = SuspectMessage;
+
+    fn name(&self) -> &'static str {
+        SUSPECT_SERVICE
+    }
+
+    fn start(&mut self, link: &ServiceLink<SuspectMessage>) {
+        self.poll(link);
+        link.later(ROUND_INTERVAL, SuspectMessage::Round);
+    }
+
+    fn handle(&mut self, message: SuspectMessage, link: &ServiceLink<SuspectMessage>) {
+        let now = link.now();
+        match message {
+            SuspectMessage::Crashed(runs) => self.record_crashes(runs, link),
+            SuspectMessage::Reported(fingerprints) => self.reevaluate(&fingerprints, true, now),
+            SuspectMessage::HolderResponded(crashes, known) => {
+                self.apply_holder_response(&crashes, known, now);
+            }
+            SuspectMessage::Completed(fingerprint) => self.clear(fingerprint, "completed", now),
+            SuspectMessage::Released(fingerprint) => self.clear(fingerprint, "released", now),
+            SuspectMessage::Poll => self.poll(link),
+            SuspectMessage::Polled(Ok(update)) => {
+                self.source_health.record(SUSPECT_SERVICE, None, now);
+                self.apply_update(update, now);
+                self.poll(link);
+            }
+            SuspectMessage::Polled(Err(error)) => {
+                self.source_health
+                    .record(SUSPECT_SERVICE, Some(&error), now);
+                if error == SourceError::HistoryGone {
+                    self.mark = None;
+                }
+                link.later(retry_delay(), SuspectMessage::Poll);
+            }
+            SuspectMessage::Written(batch, written) => {
+                self.apply_write_result(&batch, written, now);
+            }
+            SuspectMessage::Round => {
+                self.run_round(link);
+                link.later(ROUND_INTERVAL, SuspectMessage::Round);
+            }
+        }
+    }
+
+    fn dump(&self) -> Value {
+        json!({
+            "held": self.verdicts.dump(self.host.as_ref()),
+            "stored_rows": self.table.stored_rows(),
+            "unwritten_rows": self.table.unwritten_rows(),
+            "ends_per_target_hour": self.crash_rate.per_second() * 3_600.0,
+        })
+    }
+}
--- a/crates/fleet/src/suspicion.rs
+++ b/crates/fleet/src/suspicion.rs
@@ -11,23 +11,23 @@
 use crate::table::RouteTarget;
 
 /// Least time without an answer after which a request that may be repeated is sent elsewhere.
-const LEAST_PATIENCE: Duration = Duration::from_millis(500);
+const MIN_REROUTE_DELAY: Duration = Duration::from_millis(500);
 /// Time for which a silent target gets no new work.
-const SUSPECT_TIME: Duration = Duration::from_millis(900);
+const SUSPICION_TTL: Duration = Duration::from_millis(900);
 
 /// Returns the time without an answer after which a request is worth sending elsewhere, if it may be.
-pub fn patience(job: &RequestJob) -> Duration {
-    (job.rule.objective * 2).max(LEAST_PATIENCE)
+pub fn reroute_delay(job: &RequestJob) -> Duration {
+    (job.rule.objective * 2).max(MIN_REROUTE_DELAY)
 }
 
 /// Returns the silence of a target after which it has lost a member or is cut off.
-pub fn silence_of(job: &RequestJob, target: &RouteTarget) -> Duration {
+pub fn silence_limit_for(job: &RequestJob, target: &RouteTarget) -> Duration {
     let model = target.group.as_ref().and_then(|group| {
         let engine = job.engine()?;
         Some((engine, engine.models.get(&group.model)?))
     });
     let Some((engine, model)) = model else {
-        return patience(job);
+        return reroute_delay(job);
     };
     let gauge = &target.gauge;
     let work = GroupWork {
@@ -41,13 +41,13 @@
 }
 
 /// Suspects targets, and tells those that give their groups orders.
-pub struct SuspicionTeller {
+pub struct SuspicionReporter {
     peers: Mailbox<PeerMessage>,
 }
 
-impl SuspicionTeller {
+impl SuspicionReporter {
     /// Opens a teller that tells `peers` of targets that fall silent.
-    pub fn open(peers: Mailbox<PeerMessage>) -> Self {
+    pub fn new(peers: Mailbox<PeerMessage>) -> Self {
         Self { peers }
     }
 
@@ -61,13 +61,13 @@
                 writers = target.gauge.writers();
                 "target_suspected"
             );
-            self.tell_suspicion(target);
+            self.report_suspicion(target);
         }
-        target.gauge.suspect(now + SUSPECT_TIME);
+        target.gauge.suspect(now + SUSPICION_TTL);
     }
 
     /// Has the node told that gives the group its orders; a single target has none.
-    fn tell_suspicion(&self, target: &RouteTarget) {
+    fn report_suspicion(&self, target: &RouteTarget) {
         if target.group.is_none() {
             return;
         }
--- a/crates/fleet/src/verdict_log.rs
+++ b/crates/fleet/src/verdict_log.rs
@@ -15,54 +15,59 @@
 
 impl VerdictLog {
     /// Returns whether a request is suspected or quarantined.
-    pub fn holds(&self, print: &RequestPrint) -> bool {
-        self.verdicts.contains_key(print)
+    pub fn contains(&self, fingerprint: &RequestPrint) -> bool {
+        self.verdicts.contains_key(fingerprint)
     }
 
     /// Returns the requests that are suspected or quarantined.
-    pub fn prints(&self) -> Vec<RequestPrint> {
+    pub fn fingerprints(&self) -> Vec<RequestPrint> {
         self.verdicts.keys().copied().collect()
     }
 
     /// Takes a verdict in, and tells what it changes.
-    pub fn note(&mut self, host: &dyn SuspectHost, print: &RequestPrint, verdict: CrashVerdict) {
-        let before = self.verdicts.get(print).copied();
-        let ends = host.suspects().ends(print);
-        let was_held = matches!(before, Some(CrashVerdict::Quarantined(_)));
+    pub fn record(
+        &mut self,
+        host: &dyn SuspectHost,
+        fingerprint: &RequestPrint,
+        verdict: CrashVerdict,
+    ) {
+        let previous = self.verdicts.get(fingerprint).copied();
+        let crashes = host.suspects().crashes(fingerprint);
+        let was_quarantined = matches!(previous, Some(CrashVerdict::Quarantined(_)));
         match verdict {
-            CrashVerdict::Quarantined(left) if !was_held => {
-                host.note(SuspectEvent::QuarantineBegun);
-                let left_ms = left.as_millis() as u64;
-                log::warn!(print:% = print, ends = ends, left_ms = left_ms; "quarantine_begun");
+            CrashVerdict::Quarantined(remaining) if !was_quarantined => {
+                host.count(SuspectEvent::QuarantineStarted);
+                let remaining_ms = remaining.as_millis() as u64;
+                log::warn!(print:% = fingerprint, ends = crashes, left_ms = remaining_ms; "quarantine_begun");
             }
-            CrashVerdict::Suspect if before.is_none() => {
-                log::info!(print:% = print, ends = ends; "request_suspected");
+            CrashVerdict::Suspect if previous.is_none() => {
+                log::info!(print:% = fingerprint, ends = crashes; "request_suspected");
             }
-            CrashVerdict::Clear if was_held => {
-                log::info!(print:% = print; "quarantine_ended");
+            CrashVerdict::Clear if was_quarantined => {
+                log::info!(print:% = fingerprint; "quarantine_ended");
             }
             _ => {}
         }
         if verdict == CrashVerdict::Clear {
-            self.verdicts.swap_remove(print);
+            self.verdicts.swap_remove(fingerprint);
         } else {
-            self.verdicts.insert(*print, verdict);
+            self.verdicts.insert(*fingerprint, verdict);
         }
     }
 
     /// Shows what is held of each request.
     pub fn dump(&self, host: &dyn SuspectHost) -> Vec<Value> {
-        let held = self.verdicts.iter().map(|(print, verdict)| {
-            let left = match verdict {
-                CrashVerdict::Quarantined(_) => host.suspects().quarantine(print),
+        let entries = self.verdicts.iter().map(|(fingerprint, verdict)| {
+            let remaining = match verdict {
+                CrashVerdict::Quarantined(_) => host.suspects().quarantine_left(fingerprint),
                 CrashVerdict::Clear | CrashVerdict::Suspect => None,
             };
             json!({
-                "print": print.to_string(),
-                "ends": host.suspects().ends(print),
-                "quarantine_ms": left.map(|left| left.as_millis() as u64),
+                "print": fingerprint.to_string(),
+                "ends": host.suspects().crashes(fingerprint),
+                "quarantine_ms": remaining.map(|remaining| remaining.as_millis() as u64),
             })
         });
-        held.collect()
+        entries.collect()
     }
 }
--- a/crates/fleet/tests/crashes.rs
+++ b/crates/fleet/tests/crashes.rs
@@ -14,13 +14,13 @@
 use support::{Ask, Fleet, KEYS};
 
 /// Time after the third end within which every node has to know.
-const KNOWN_TIME: Duration = Duration::from_secs(3);
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(3);
 /// Runs that are allowed after that, all nodes together.
-const LATE_RUNS: usize = 3;
+const MAX_LATE_RUNS: usize = 3;
 /// Time between two attempts of a caller that comes again at once.
-const PACE: Duration = Duration::from_millis(150);
+const RETRY_INTERVAL: Duration = Duration::from_millis(150);
 /// Ends of targets after which a request is not to run any more.
-const ENOUGH: usize = 3;
+const QUARANTINE_CRASHES: usize = 3;
 
 /// Returns when a body began to run, at all targets, in order.
 fn runs(fleet: &Fleet, body: &str) -> Vec<Instant> {
@@ -36,10 +36,12 @@
 /// Returns how many runs began later than all nodes have to know.
 fn late_runs(fleet: &Fleet, body: &str) -> usize {
     let runs = runs(fleet, body);
-    let Some(third) = runs.get(ENOUGH - 1) else {
+    let Some(third) = runs.get(QUARANTINE_CRASHES - 1) else {
         return 0;
     };
-    runs.iter().filter(|at| **at > *third + KNOWN_TIME).count()
+    runs.iter()
+        .filter(|at| **at > *third + PROPAGATION_LIMIT)
+        .count()
 }
 
 /// Repeats a request at one node after the other.
@@ -49,7 +51,7 @@
     while Instant::now() < end {
         fleet.ask(node % fleet.nodes.len(), Ask::chat(body)).await;
         node += 1;
-        tokio::time::sleep(PACE).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
 }
 
@@ -61,11 +63,11 @@
 /// attempts, so each repeat began from nothing. 35 runs began later than three seconds after the third end.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_ends_targets_is_run_no_more_at_any_node() {
+async fn a_request_that_crashes_targets_is_no_longer_run_at_any_node() {
     let fleet = Fleet::open(9, &["z1", "z1", "z2"]).await;
-    repeat(&fleet, DEADLY, KNOWN_TIME * 3).await;
-    expect_that!(runs(&fleet, DEADLY).len(), ge(ENOUGH));
-    expect_that!(late_runs(&fleet, DEADLY), le(LATE_RUNS));
+    repeat(&fleet, DEADLY, PROPAGATION_LIMIT * 3).await;
+    expect_that!(runs(&fleet, DEADLY).len(), ge(QUARANTINE_CRASHES));
+    expect_that!(late_runs(&fleet, DEADLY), le(MAX_LATE_RUNS));
 }
 
 /// Symptom: one attempt of a caller ends as many targets as its rule allows attempts.
@@ -73,7 +75,7 @@
 /// Cause guarded against: deciding on a repeat by what this attempt knows alone.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn an_attempt_does_not_go_on_once_two_targets_have_ended_before() {
+async fn an_attempt_is_not_retried_once_two_targets_have_crashed_before() {
     let fleet = Fleet::open(6, &["z1"]).await;
     fleet.ask(0, Ask::chat(DEADLY)).await;
     expect_that!(
@@ -82,23 +84,25 @@
         "one attempt, two targets"
     );
     fleet
-        .until("both ends are known", || async {
-            ends(&fleet, 0).await == [2]
+        .until("both crashes are known", || async {
+            crash_counts(&fleet, 0).await == [2]
         })
         .await;
     fleet.ask(0, Ask::chat(DEADLY)).await;
-    expect_that!(runs(&fleet, DEADLY).len(), eq(ENOUGH));
+    expect_that!(runs(&fleet, DEADLY).len(), eq(QUARANTINE_CRASHES));
 }
 
 /// Returns how many ends each suspected request has, as a node shows them.
-async fn ends(fleet: &Fleet, node: usize) -> Vec<u64> {
-    let held = held(fleet, node).await;
-    let ends = held.iter().filter_map(|one| one["ends"].as_u64());
-    ends.collect()
+async fn crash_counts(fleet: &Fleet, node: usize) -> Vec<u64> {
+    let suspects = suspects(fleet, node).await;
+    let counts = suspects
+        .iter()
+        .filter_map(|suspect| suspect["ends"].as_u64());
+    counts.collect()
 }
 
 /// Waits until a node refuses a request, and returns what its caller is told.
-async fn until_refused(fleet: &Fleet, node: usize, ask: Ask<'_>) -> support::Answer {
+async fn wait_until_refused(fleet: &Fleet, node: usize, ask: Ask<'_>) -> support::Answer {
     fleet
         .until("the request is refused", || async {
             fleet
@@ -120,7 +124,7 @@
 async fn a_quarantined_request_is_refused_as_not_run_and_no_other_is() {
     let fleet = Fleet::open(6, &["z1", "z1"]).await;
     repeat(&fleet, DEADLY, Duration::from_secs(2)).await;
-    let answer = until_refused(&fleet, 0, Ask::chat(DEADLY)).await;
+    let answer = wait_until_refused(&fleet, 0, Ask::chat(DEADLY)).await;
     expect_that!(answer.status, eq(503));
     expect_that!(answer.body, eq("quarantined"));
     expect_that!(answer.retry_after(), some(all!(gt(500.0), le(600.0))));
@@ -151,7 +155,11 @@
         ..Ask::chat(DEADLY)
     };
     fleet.ask(0, of_another).await;
-    expect_that!(runs(&fleet, DEADLY).len(), gt(before), "another caller's");
+    expect_that!(
+        runs(&fleet, DEADLY).len(),
+        gt(before),
+        "the request of another caller"
+    );
 }
 
 /// Symptom: a node that reaches no other node goes on sending a request to targets.
@@ -159,7 +167,7 @@
 /// Cause guarded against: telling other nodes and nobody else.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_reaches_no_other_node_knows() {
+async fn a_node_that_reaches_no_other_node_learns_of_crashes() {
     let mut fleet = Fleet::open(9, &["z1", "z1", "z2"]).await;
     fleet.nodes[2].door.hide();
     fleet.start(2).await;
@@ -167,8 +175,8 @@
     for node in [0, 1, 0, 1] {
         fleet.ask(node, Ask::chat(DEADLY)).await;
     }
-    until_refused(&fleet, 0, Ask::chat(DEADLY)).await;
-    tokio::time::sleep(KNOWN_TIME).await;
+    wait_until_refused(&fleet, 0, Ask::chat(DEADLY)).await;
+    tokio::time::sleep(PROPAGATION_LIMIT).await;
     let before = runs(&fleet, DEADLY).len();
     fleet.ask(2, Ask::chat(DEADLY)).await;
     expect_that!(runs(&fleet, DEADLY).len(), eq(before));
@@ -179,7 +187,7 @@
 /// Cause guarded against: writing down only what one node alone is sure of.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn nodes_that_do_not_reach_each_other_add_up_what_they_see() {
+async fn isolated_nodes_add_up_the_crashes_they_see() {
     let mut fleet = Fleet::open(9, &["z1", "z1", "z2", "z2"]).await;
     for index in 0..4 {
         fleet.kill(index);
@@ -189,9 +197,9 @@
         fleet.start(index).await;
     }
     fleet.until_known().await;
-    repeat(&fleet, DEADLY, KNOWN_TIME * 2).await;
-    expect_that!(late_runs(&fleet, DEADLY), le(LATE_RUNS));
-    expect_that!(runs(&fleet, DEADLY).len(), le(2 * ENOUGH + 2));
+    repeat(&fleet, DEADLY, PROPAGATION_LIMIT * 2).await;
+    expect_that!(late_runs(&fleet, DEADLY), le(MAX_LATE_RUNS));
+    expect_that!(runs(&fleet, DEADLY).len(), le(2 * QUARANTINE_CRASHES + 2));
 }
 
 /// Symptom: after all nodes were killed at once a request ends targets again.
@@ -199,13 +207,13 @@
 /// Cause guarded against: keeping a verdict in the memory of nodes only.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn nodes_that_all_start_again_still_know() {
+async fn nodes_that_all_restart_still_know_of_quarantines() {
     let mut fleet = Fleet::open(9, &["z1", "z1", "z2"]).await;
     repeat(&fleet, DEADLY, Duration::from_secs(2)).await;
-    until_refused(&fleet, 0, Ask::chat(DEADLY)).await;
+    wait_until_refused(&fleet, 0, Ask::chat(DEADLY)).await;
     fleet
-        .until("the ends are written down", || async {
-            fleet.platform.keys(SUSPECT_TABLE).len() >= ENOUGH
+        .until("the crashes are written to the store", || async {
+            fleet.platform.keys(SUSPECT_TABLE).len() >= QUARANTINE_CRASHES
         })
         .await;
     (0..3).for_each(|index| fleet.kill(index));
@@ -215,10 +223,10 @@
     let before = runs(&fleet, DEADLY).len();
     fleet.until_known().await;
     for index in 0..3 {
-        until_refused(&fleet, index, Ask::chat(DEADLY)).await;
+        wait_until_refused(&fleet, index, Ask::chat(DEADLY)).await;
     }
     // Whoever is asked before it has read the table runs it once at most.
-    expect_that!(runs(&fleet, DEADLY).len() - before, le(LATE_RUNS));
+    expect_that!(runs(&fleet, DEADLY).len() - before, le(MAX_LATE_RUNS));
 }
 
 /// Symptom: while the store is away a request ends targets without an end.
@@ -226,17 +234,20 @@
 /// Cause guarded against: learning of ends through the store alone, and forgetting what could not be written.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn nodes_tell_each_other_while_the_store_is_away_and_write_when_it_is_back() {
+async fn nodes_report_crashes_to_each_other_while_the_store_is_down_and_write_them_later() {
     let fleet = Fleet::open(12, &["z1", "z1", "z2"]).await;
     fleet.nodes.iter().for_each(|node| node.door.close(true));
-    repeat(&fleet, DEADLY, KNOWN_TIME * 2).await;
+    repeat(&fleet, DEADLY, PROPAGATION_LIMIT * 2).await;
     // Two nodes hear of all ends; any other one learns from them at its own next one.
-    expect_that!(runs(&fleet, DEADLY).len(), le(ENOUGH + fleet.nodes.len()));
+    expect_that!(
+        runs(&fleet, DEADLY).len(),
+        le(QUARANTINE_CRASHES + fleet.nodes.len())
+    );
     expect_that!(fleet.platform.keys(SUSPECT_TABLE), is_empty());
     fleet.nodes.iter().for_each(|node| node.door.close(false));
     fleet
-        .until("the ends are written down", || async {
-            fleet.platform.keys(SUSPECT_TABLE).len() >= ENOUGH
+        .until("the crashes are written to the store", || async {
+            fleet.platform.keys(SUSPECT_TABLE).len() >= QUARANTINE_CRASHES
         })
         .await;
 }
@@ -246,22 +257,26 @@
 /// Cause guarded against: taking a broken connection for the end of a target.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn connections_that_break_are_not_held_against_a_request() {
+async fn broken_connections_do_not_count_as_crashes() {
     let fleet = Fleet::open(6, &["z1"]).await;
     for _ in 0..8 {
         let answer = fleet.ask(0, Ask::chat(BREAKING)).await;
-        expect_that!(answer.status, eq(200), "it is sent, and breaks: {answer:?}");
+        expect_that!(
+            answer.status,
+            eq(200),
+            "it is sent, and its connection breaks: {answer:?}"
+        );
     }
     expect_that!(runs(&fleet, BREAKING).len(), ge(8));
     expect_that!(fleet.platform.keys(SUSPECT_TABLE), is_empty());
 }
 
 /// Returns what a node holds of the requests that it suspects.
-async fn held(fleet: &Fleet, node: usize) -> Vec<Value> {
+async fn suspects(fleet: &Fleet, node: usize) -> Vec<Value> {
     let state = fleet.operate(node, Method::GET, "/state").await.body;
     let state: Value = serde_json::from_str(&state).unwrap_or_default();
-    let held = state["suspects"]["held"].as_array();
-    held.cloned().unwrap_or_default()
+    let suspects = state["suspects"]["held"].as_array();
+    suspects.cloned().unwrap_or_default()
 }
 
 /// Symptom: a request that does no harm is refused for minutes, and nobody can help its caller.
@@ -272,13 +287,13 @@
 async fn an_operator_releases_a_request_at_all_nodes() {
     let fleet = Fleet::open(6, &["z1", "z2"]).await;
     let ask = Ask::chat(LASTING);
-    while !held(&fleet, 0)
+    while !suspects(&fleet, 0)
         .await
         .iter()
-        .any(|one| one["quarantine_ms"].is_u64())
+        .any(|suspect| suspect["quarantine_ms"].is_u64())
     {
         let before = runs(&fleet, LASTING).len();
-        let end = async {
+        let crash = async {
             fleet
                 .until("it runs", || async { runs(&fleet, LASTING).len() > before })
                 .await;
@@ -294,15 +309,15 @@
         tokio::pin!(asked);
         tokio::select! {
             _ = &mut asked => {}
-            () = end => {
+            () = crash => {
                 asked.await;
             }
         }
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
-    until_refused(&fleet, 1, ask).await;
-    let print = held(&fleet, 0).await.remove(0)["print"].clone();
-    let print = print.as_str().unwrap_or_default();
+    wait_until_refused(&fleet, 1, ask).await;
+    let fingerprint = suspects(&fleet, 0).await.remove(0)["print"].clone();
+    let fingerprint = fingerprint.as_str().unwrap_or_default();
     let unknown = format!("/release/{}", "0".repeat(32));
     expect_that!(
         fleet.operate(1, Method::POST, &unknown).await.status,
@@ -312,13 +327,13 @@
         fleet.operate(1, Method::POST, "/release/x").await.status,
         eq(400)
     );
-    let path = format!("/release/{print}");
+    let path = format!("/release/{fingerprint}");
     expect_that!(fleet.operate(1, Method::GET, &path).await.status, eq(405));
     expect_that!(fleet.operate(1, Method::POST, &path).await.status, eq(200));
     for node in 0..2 {
         fleet
-            .until("the node holds nothing", || async {
-                held(&fleet, node).await.is_empty()
+            .until("the node suspects no request", || async {
+                suspects(&fleet, node).await.is_empty()
             })
             .await;
     }
@@ -332,7 +347,7 @@
 /// callers were told to come again.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_are_not_sent_on_to_targets_that_have_ended() {
+async fn requests_are_not_sent_to_crashed_targets() {
     let fleet = Fleet::open_groups(8, &["z1"]).await;
     for target in &fleet.targets[..6] {
         target.end_for_good().await;
@@ -353,16 +368,16 @@
 /// Cause: a stream had one try to go on, also where that reached nobody. 3 of 3 broke off.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_goes_on_past_targets_that_have_ended() {
+async fn a_stream_is_resumed_past_crashed_targets() {
     for round in 0..3 {
         let fleet = Fleet::open_groups(5, &["z1"]).await;
         let body = format!("{LASTING} {round}");
-        let end = async {
+        let crash = async {
             fleet
                 .until("it runs", || async { !runs(&fleet, &body).is_empty() })
                 .await;
             // Its first event is on its way.
-            tokio::time::sleep(PACE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
             let is_running = |target: &&TargetStub| target.is_running(&body);
             let running = fleet.targets.iter().position(|target| is_running(&target));
             // The last that is chosen among those without work.
@@ -376,7 +391,7 @@
                 .into_iter()
                 .for_each(|index| fleet.targets[index].end());
         };
-        let (answer, ()) = tokio::join!(fleet.ask(0, Ask::model(&body)), end);
+        let (answer, ()) = tokio::join!(fleet.ask(0, Ask::model(&body)), crash);
         expect_true!(answer.is_served(), "{answer:?}");
     }
 }
--- a/crates/fleet/tests/feed.rs
+++ b/crates/fleet/tests/feed.rs
@@ -6,7 +6,7 @@
 
 use briarswitch_fleet::costs::CostLedger;
 use briarswitch_fleet::feed::FeedRelay;
-use briarswitch_fleet::feed_doc::FeedAnswerDoc;
+use briarswitch_fleet::feed_doc::FeedResponseDoc;
 use briarswitch_fleet::ports::{
     FeedAnswer, FeedMark, FeedQuestion, FeedRow, FeedSource, SourceError, SourceFuture,
 };
@@ -21,30 +21,30 @@
 /// A store that counts its calls and answers after a moment.
 struct CountingStore {
     calls: AtomicU32,
-    answer: std::result::Result<FeedAnswer, SourceError>,
+    response: std::result::Result<FeedAnswer, SourceError>,
 }
 
 impl FeedSource for CountingStore {
     fn changes(&self, _: FeedQuestion) -> SourceFuture<'static, FeedAnswer> {
         self.calls.fetch_add(1, Ordering::SeqCst);
-        let answer = self.answer.clone();
+        let response = self.response.clone();
         Box::pin(async move {
             tokio::time::sleep(Duration::from_millis(30)).await;
-            answer
+            response
         })
     }
 }
 
-fn store(answer: std::result::Result<FeedAnswer, SourceError>) -> Arc<CountingStore> {
+fn store(response: std::result::Result<FeedAnswer, SourceError>) -> Arc<CountingStore> {
     Arc::new(CountingStore {
         calls: AtomicU32::new(0),
-        answer,
+        response,
     })
 }
 
 fn relay_to(store: &Arc<CountingStore>) -> FeedRelay {
     let direct = Arc::clone(store) as Arc<dyn FeedSource>;
-    FeedRelay::open(direct, Arc::new(CostLedger::default()))
+    FeedRelay::new(direct, Arc::new(CostLedger::default()))
 }
 
 fn mark(version: u64) -> FeedMark {
@@ -66,7 +66,7 @@
     }
 }
 
-fn question() -> FeedQuestion {
+fn request() -> FeedQuestion {
     FeedQuestion {
         table: "t".to_owned(),
         mark: Some(mark(7)),
@@ -76,17 +76,23 @@
 
 #[gtest]
 #[tokio::test]
-async fn what_many_nodes_ask_is_asked_of_the_store_once() {
+async fn identical_requests_share_one_call() {
     let store = store(Ok(changed()));
     let relay = relay_to(&store);
-    let asks = (0..20).map(|_| relay.serve(question(), BootClock::now()));
-    for answer in join_all(asks).await {
-        expect_that!(answer.map(|answer| answer.rows), ok(eq(&changed().rows)));
+    let requests = (0..20).map(|_| relay.request_store(request(), BootClock::now()));
+    for response in join_all(requests).await {
+        expect_that!(
+            response.map(|response| response.rows),
+            ok(eq(&changed().rows))
+        );
     }
     // One that asks the same a little later gets what is known, and is told how old it is.
     let later = BootClock::now() + Duration::from_millis(400);
-    let answer = relay.serve(question(), later).await.expect("it is kept");
-    expect_that!(answer.age, ge(Duration::from_millis(400)));
+    let response = relay
+        .request_store(request(), later)
+        .await
+        .expect("it is cached");
+    expect_that!(response.age, ge(Duration::from_millis(400)));
     expect_that!(store.calls.load(Ordering::SeqCst), eq(1));
 }
 
@@ -95,15 +101,15 @@
 /// Cause guarded against: giving the kept answer again instead of holding the question open.
 #[gtest]
 #[tokio::test]
-async fn an_answer_without_changes_is_not_given_twice() {
+async fn a_response_without_changes_is_not_reused() {
     let store = store(Ok(FeedAnswer {
         mark: mark(7),
         ..FeedAnswer::default()
     }));
     let relay = relay_to(&store);
     for _ in 0..3 {
-        let answer = relay.serve(question(), BootClock::now()).await;
-        expect_that!(answer.map(|answer| answer.rows), ok(is_empty()));
+        let response = relay.request_store(request(), BootClock::now()).await;
+        expect_that!(response.map(|response| response.rows), ok(is_empty()));
     }
     expect_that!(store.calls.load(Ordering::SeqCst), eq(3));
 }
@@ -113,13 +119,13 @@
 /// Cause guarded against: giving a kept failure to those that ask later.
 #[gtest]
 #[tokio::test]
-async fn a_failure_is_not_kept() {
-    let gone = SourceError::Unavailable("down".to_owned());
-    let store = store(Err(gone.clone()));
+async fn a_failure_is_not_cached() {
+    let unavailable = SourceError::Unavailable("down".to_owned());
+    let store = store(Err(unavailable.clone()));
     let relay = relay_to(&store);
     for _ in 0..2 {
-        let answer = relay.serve(question(), BootClock::now()).await;
-        expect_that!(answer, err(eq(&gone)));
+        let response = relay.request_store(request(), BootClock::now()).await;
+        expect_that!(response, err(eq(&unavailable)));
     }
     expect_that!(store.calls.load(Ordering::SeqCst), eq(2));
 }
@@ -129,13 +135,13 @@
 /// Cause guarded against: a reader that sends the next question as soon as one has failed.
 #[gtest]
 #[tokio::test]
-async fn many_questions_while_the_store_is_away_cost_few_calls() {
+async fn many_requests_while_the_store_is_down_cost_few_calls() {
     let store = store(Err(SourceError::Unavailable("down".to_owned())));
     let relay = relay_to(&store);
     for _ in 0..10 {
-        let asks = (0..58).map(|_| relay.serve(question(), BootClock::now()));
-        for answer in join_all(asks).await {
-            expect_that!(answer, err(anything()));
+        let requests = (0..58).map(|_| relay.request_store(request(), BootClock::now()));
+        for response in join_all(requests).await {
+            expect_that!(response, err(anything()));
         }
     }
     expect_that!(store.calls.load(Ordering::SeqCst), le(10));
@@ -146,20 +152,20 @@
 /// Cause guarded against: a pace that each node keeps for itself.
 #[gtest]
 #[tokio::test]
-async fn held_questions_keep_a_pace_however_many_ask() {
+async fn long_polls_keep_their_interval_however_many_nodes_poll() {
     let store = store(Ok(changed()));
     let relay = relay_to(&store);
-    relay.set_pace("t", Duration::from_secs(3_600));
-    let first = relay.serve(question(), BootClock::now()).await;
+    relay.set_min_interval("t", Duration::from_secs(3_600));
+    let first = relay.request_store(request(), BootClock::now()).await;
     expect_that!(first, ok(anything()));
     let next = FeedQuestion {
         mark: Some(mark(8)),
         wait: Duration::from_millis(20),
-        ..question()
+        ..request()
     };
-    let begun = BootClock::now();
-    let asks = (0..20).map(|_| relay.serve(next.clone(), begun));
-    join_all(asks).await;
+    let started_at = BootClock::now();
+    let requests = (0..20).map(|_| relay.request_store(next.clone(), started_at));
+    join_all(requests).await;
     // Nobody waits longer than it asked to, and all share one call.
     expect_that!(store.calls.load(Ordering::SeqCst), eq(2));
 }
@@ -169,91 +175,91 @@
 /// Cause guarded against: a reader that answers nothing while it waits.
 #[gtest]
 #[tokio::test]
-async fn a_reader_says_in_time_that_the_store_is_silent() {
+async fn a_reader_reports_in_time_that_the_store_is_silent() {
     struct SilentStore;
     impl FeedSource for SilentStore {
         fn changes(&self, _: FeedQuestion) -> SourceFuture<'static, FeedAnswer> {
             Box::pin(std::future::pending())
         }
     }
-    let relay = FeedRelay::open(Arc::new(SilentStore), Arc::new(CostLedger::default()));
-    let asked = FeedQuestion {
+    let relay = FeedRelay::new(Arc::new(SilentStore), Arc::new(CostLedger::default()));
+    let request = FeedQuestion {
         wait: Duration::ZERO,
-        ..question()
+        ..request()
     };
-    let answer = relay.answer(asked, BootClock::now()).await;
-    expect_that!(answer, err(matches_pattern!(SourceError::Unavailable(_))));
+    let response = relay.respond(request, BootClock::now()).await;
+    expect_that!(response, err(matches_pattern!(SourceError::Unavailable(_))));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_whole_table_is_read_once_for_all_that_start_together() {
+async fn a_full_table_is_read_once_for_nodes_that_start_together() {
     let store = store(Ok(FeedAnswer {
         is_whole: true,
         ..changed()
     }));
     let relay = relay_to(&store);
-    let whole = FeedQuestion {
+    let full_table = FeedQuestion {
         mark: None,
         wait: Duration::ZERO,
-        ..question()
+        ..request()
     };
-    let asks = (0..58).map(|_| relay.answer(whole.clone(), BootClock::now()));
-    for answer in join_all(asks).await {
-        expect_true!(answer.is_ok_and(|answer| answer.is_complete()));
+    let requests = (0..58).map(|_| relay.respond(full_table.clone(), BootClock::now()));
+    for response in join_all(requests).await {
+        expect_true!(response.is_ok_and(|response| response.is_complete()));
     }
     expect_that!(store.calls.load(Ordering::SeqCst), eq(1));
 }
 
 /// What a reader of the zone does with a question.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum ReaderConduct {
+enum ReaderBehavior {
     /// Says that the store has not answered.
-    TurnedAway,
+    Unavailable,
     /// Gives no answer.
     Silent,
     /// Answers.
-    Answers,
+    Responds,
 }
 
 /// What happened, in order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum FeedEvent {
     /// A reader was asked, the first, the second and so on.
-    Asked(usize),
+    ReaderCalled(usize),
     /// The question to a silent reader was given up.
-    GivenUp,
+    Cancelled,
     /// The store was asked.
-    StoreAsked,
+    StoreCalled,
 }
 
 /// Readers that do as they are told in the order in which they are asked, and a store that answers.
 struct ZoneScript {
-    conducts: Vec<ReaderConduct>,
+    behaviors: Vec<ReaderBehavior>,
     events: Mutex<Vec<FeedEvent>>,
 }
 
 impl ZoneScript {
-    fn note(&self, event: FeedEvent) {
+    fn record(&self, event: FeedEvent) {
         self.events.lock().expect("the events").push(event);
     }
 
-    fn next_conduct(&self) -> ReaderConduct {
+    fn next_behavior(&self) -> ReaderBehavior {
         let mut events = self.events.lock().expect("the events");
-        let asked = events
+        let called = events
             .iter()
-            .filter(|event| matches!(event, FeedEvent::Asked(_)));
-        let index = asked.count();
-        events.push(FeedEvent::Asked(index + 1));
-        self.conducts[index % self.conducts.len()]
+            .filter(|event| matches!(event, FeedEvent::ReaderCalled(_)));
+        let index = called.count();
+        events.push(FeedEvent::ReaderCalled(index + 1));
+        self.behaviors[index % self.behaviors.len()]
     }
 }
 
-struct GiveUpNote(Arc<ZoneScript>);
+struct CancelRecorder(Arc<ZoneScript>);
 
-impl Drop for GiveUpNote {
+impl Drop for CancelRecorder {
     fn drop(&mut self) {
-        self.0.note(FeedEvent::GivenUp);
+        self.0.record(FeedEvent::Cancelled);
     }
 }
 
@@ -262,16 +268,16 @@
 impl Handler for ScriptedReader {
     fn handle(&self, _: Request) -> BoxFuture<'_, Response> {
         Box::pin(async {
-            match self.0.next_conduct() {
-                ReaderConduct::TurnedAway => {
+            match self.0.next_behavior() {
+                ReaderBehavior::Unavailable => {
                     return reply_text(StatusCode::SERVICE_UNAVAILABLE, "no answer yet");
                 }
-                ReaderConduct::Answers => {
-                    return reply_packed(StatusCode::OK, &FeedAnswerDoc::from(changed()));
+                ReaderBehavior::Responds => {
+                    return reply_packed(StatusCode::OK, &FeedResponseDoc::from(changed()));
                 }
-                ReaderConduct::Silent => {}
+                ReaderBehavior::Silent => {}
             }
-            let _note = GiveUpNote(Arc::clone(&self.0));
+            let _recorder = CancelRecorder(Arc::clone(&self.0));
             std::future::pending().await
         })
     }
@@ -281,15 +287,15 @@
 
 impl FeedSource for ScriptedStore {
     fn changes(&self, _: FeedQuestion) -> SourceFuture<'static, FeedAnswer> {
-        self.0.note(FeedEvent::StoreAsked);
+        self.0.record(FeedEvent::StoreCalled);
         Box::pin(async { Ok(changed()) })
     }
 }
 
 /// Asks as a follower in a zone of these readers, and returns what happened.
-async fn follow(conducts: &[ReaderConduct], question: FeedQuestion) -> Vec<FeedEvent> {
+async fn follow(behaviors: &[ReaderBehavior], request: FeedQuestion) -> Vec<FeedEvent> {
     let script = Arc::new(ZoneScript {
-        conducts: conducts.to_vec(),
+        behaviors: behaviors.to_vec(),
         events: Mutex::default(),
     });
     let own = NodeEntry {
@@ -302,7 +308,7 @@
     let mut membership = Membership::open(own.clone());
     let (_stop, stopped) = watch::channel(false);
     let mut guards = Vec::new();
-    for index in 0..conducts.len() {
+    for index in 0..behaviors.len() {
         let server = HttpServer::bind("127.0.0.1:0").await.expect("a port");
         let entry = NodeEntry {
             node: format!("reader-{index}"),
@@ -316,10 +322,13 @@
         guards.push(server.spawn(reader, stopped.clone()));
     }
     let direct = Arc::new(ScriptedStore(Arc::clone(&script)));
-    let relay = FeedRelay::open(direct, Arc::new(CostLedger::default()));
+    let relay = FeedRelay::new(direct, Arc::new(CostLedger::default()));
     let live = LiveView::of(&membership, now);
-    let answer = relay.changes(&live, question).await;
-    expect_that!(answer.map(|answer| answer.rows), ok(eq(&changed().rows)));
+    let response = relay.changes(&live, request).await;
+    expect_that!(
+        response.map(|response| response.rows),
+        ok(eq(&changed().rows))
+    );
     let events = script.events.lock().expect("the events");
     events.clone()
 }
@@ -330,16 +339,18 @@
 /// Cause: waits that are each bounded stood in a row, 1.5 s and twice 0.7 s, and nothing bounded their sum.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn after_two_readers_without_an_answer_the_store_is_not_left_waiting_for_a_third() {
-    use ReaderConduct::{Silent, TurnedAway};
-    for conducts in [[TurnedAway, Silent, Silent], [Silent, Silent, Silent]] {
-        let events = follow(&conducts, question()).await;
-        let asked = events
+async fn at_most_one_reader_times_out_before_the_store_is_called() {
+    use ReaderBehavior::{Silent, Unavailable};
+    for behaviors in [[Unavailable, Silent, Silent], [Silent, Silent, Silent]] {
+        let events = follow(&behaviors, request()).await;
+        let called = events
+            .iter()
+            .position(|event| *event == FeedEvent::StoreCalled);
+        let before = &events[..called.expect("the store is called")];
+        let cancelled = before
             .iter()
-            .position(|event| *event == FeedEvent::StoreAsked);
-        let before = &events[..asked.expect("the store is asked")];
-        let given_up = before.iter().filter(|event| **event == FeedEvent::GivenUp);
-        expect_that!(given_up.count(), le(1), "{conducts:?}: {events:?}");
+            .filter(|event| **event == FeedEvent::Cancelled);
+        expect_that!(cancelled.count(), le(1), "{behaviors:?}: {events:?}");
     }
 }
 
@@ -347,36 +358,36 @@
 /// its followers 1.9 s, and the time of a frozen one after it is not left to waste.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_silent_reader_after_one_that_does_not_reach_the_store_is_not_waited_for() {
-    use ReaderConduct::{Silent, TurnedAway};
-    let events = follow(&[TurnedAway, Silent, Silent], question()).await;
+async fn a_silent_reader_is_hedged_after_one_that_does_not_reach_the_store() {
+    use ReaderBehavior::{Silent, Unavailable};
+    let events = follow(&[Unavailable, Silent, Silent], request()).await;
     let mut before = events
         .iter()
-        .take_while(|event| **event != FeedEvent::StoreAsked);
+        .take_while(|event| **event != FeedEvent::StoreCalled);
     expect_false!(
-        before.any(|event| *event == FeedEvent::GivenUp),
+        before.any(|event| *event == FeedEvent::Cancelled),
         "{events:?}"
     );
-    expect_that!(events, contains(eq(&FeedEvent::StoreAsked)));
+    expect_that!(events, contains(eq(&FeedEvent::StoreCalled)));
 }
 
 /// Guards against a second without a configuration after all nodes lost power, when the first reader is up last.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_knows_nothing_asks_the_next_reader_beside_one_that_is_not_up() {
-    use ReaderConduct::{Answers, Silent};
-    let whole = FeedQuestion {
+async fn a_full_table_request_is_hedged_with_the_next_reader() {
+    use ReaderBehavior::{Responds, Silent};
+    let full_table = FeedQuestion {
         mark: None,
-        ..question()
+        ..request()
     };
-    for conducts in [&[Silent, Answers][..], &[Silent, Silent, Answers]] {
-        let events = follow(conducts, whole.clone()).await;
-        let asked: Vec<FeedEvent> = (1..=conducts.len()).map(FeedEvent::Asked).collect();
-        expect_that!(events[..asked.len()].to_vec(), eq(&asked), "{conducts:?}");
+    for behaviors in [&[Silent, Responds][..], &[Silent, Silent, Responds]] {
+        let events = follow(behaviors, full_table.clone()).await;
+        let calls: Vec<FeedEvent> = (1..=behaviors.len()).map(FeedEvent::ReaderCalled).collect();
+        expect_that!(events[..calls.len()].to_vec(), eq(&calls), "{behaviors:?}");
         expect_that!(
             events,
-            not(contains(eq(&FeedEvent::StoreAsked))),
-            "{conducts:?}"
+            not(contains(eq(&FeedEvent::StoreCalled))),
+            "{behaviors:?}"
         );
     }
 }
@@ -384,14 +395,18 @@
 /// Guards against nodes that never begin when no reader of their zone comes back.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_knows_nothing_asks_the_store_when_no_reader_answers() {
-    use ReaderConduct::{Silent, TurnedAway};
-    let whole = FeedQuestion {
+async fn a_full_table_is_read_from_the_store_when_no_reader_responds() {
+    use ReaderBehavior::{Silent, Unavailable};
+    let full_table = FeedQuestion {
         mark: None,
-        ..question()
+        ..request()
     };
-    for conduct in [Silent, TurnedAway] {
-        let events = follow(&[conduct; 3], whole.clone()).await;
-        expect_that!(events, contains(eq(&FeedEvent::StoreAsked)), "{conduct:?}");
+    for behavior in [Silent, Unavailable] {
+        let events = follow(&[behavior; 3], full_table.clone()).await;
+        expect_that!(
+            events,
+            contains(eq(&FeedEvent::StoreCalled)),
+            "{behavior:?}"
+        );
     }
 }
--- a/crates/fleet/tests/suspect_table.rs
+++ b/crates/fleet/tests/suspect_table.rs
@@ -5,17 +5,17 @@
 use briarswitch_core::crash::{EndSign, LifeKey, StoreMillis, MEMORY_TIME};
 use briarswitch_core::id::Moment;
 use briarswitch_core::print::RequestPrint;
-use briarswitch_fleet::ports::{SuspectChange, SuspectRow, MOST_SUSPECT_ROWS};
+use briarswitch_fleet::ports::{SuspectChange, SuspectRow, MAX_SUSPECT_ROWS};
 use briarswitch_fleet::suspect_table::{SuspectBatch, SuspectTable};
 use googletest::prelude::*;
 
 /// Reading of the store's clock when the rows are written.
 const NOW: StoreMillis = 1_000_000;
 
-fn row(life: u64) -> SuspectRow {
-    SuspectRow::End(EndSign {
+fn row(incarnation: u64) -> SuspectRow {
+    SuspectRow::Crash(EndSign {
         print: RequestPrint::from([1; 16]),
-        life: LifeKey(life),
+        life: LifeKey(incarnation),
         domain: 1,
         at: NOW,
         chance: 10,
@@ -36,9 +36,12 @@
 #[gtest]
 fn a_row_that_another_node_has_written_is_not_written_again() {
     let mut table = SuspectTable::default();
-    table.write_later(row(1), at(250));
-    table.write_later(row(2), at(250));
-    expect_that!(table.take(&[SuspectChange::Put(row(1))], false), len(eq(1)));
+    table.schedule_write(row(1), at(250));
+    table.schedule_write(row(2), at(250));
+    expect_that!(
+        table.apply(&[SuspectChange::Put(row(1))], false),
+        len(eq(1))
+    );
     expect_that!(rows(table.begin_write(at(249), NOW, |_| true)), eq(0));
     let batch = table.begin_write(at(250), NOW, |_| true);
     expect_that!(rows(batch.clone()), eq(1));
@@ -47,7 +50,7 @@
         eq(0),
         "one at a time"
     );
-    table.note_written(&batch.expect("a batch"));
+    table.commit_batch(&batch.expect("a batch"));
     expect_that!(table.unwritten_rows(), eq(0));
     expect_that!(table.stored_rows(), eq(2));
 }
@@ -58,50 +61,50 @@
 #[gtest]
 fn a_row_is_written_until_the_store_is_known_to_hold_it() {
     let mut table = SuspectTable::default();
-    table.write_later(row(1), at(0));
+    table.schedule_write(row(1), at(0));
     expect_that!(rows(table.begin_write(at(0), NOW, |_| true)), eq(1));
-    table.note_unwritten(at(400));
+    table.retry_batch(at(400));
     expect_that!(rows(table.begin_write(at(399), NOW, |_| true)), eq(0));
     let batch = table.begin_write(at(400), NOW, |_| true);
-    table.note_written(&batch.expect("a batch"));
-    table.write_later(row(1), at(500));
+    table.commit_batch(&batch.expect("a batch"));
+    table.schedule_write(row(1), at(500));
     expect_that!(rows(table.begin_write(at(500), NOW, |_| true)), eq(0));
-    table.take(&[], true);
-    table.write_later(row(1), at(600));
+    table.apply(&[], true);
+    table.schedule_write(row(1), at(600));
     expect_that!(rows(table.begin_write(at(600), NOW, |_| true)), eq(1));
 }
 
 /// Symptom: a request that ended a target a minute ago is unknown to a node that starts, or rows pile up for ever.
 /// Cause guarded against: dropping rows that still count, by nodes whose clocks differ, or by nobody.
 #[gtest]
-fn rows_are_dropped_by_one_node_once_they_count_no_more() {
+fn expired_rows_are_deleted_by_one_node() {
     let mut table = SuspectTable::default();
-    table.take(&[SuspectChange::Put(row(1))], false);
-    let memory = MEMORY_TIME.as_millis() as StoreMillis;
+    table.apply(&[SuspectChange::Put(row(1))], false);
+    let retention = MEMORY_TIME.as_millis() as StoreMillis;
     expect_true!(table
-        .begin_write(at(0), NOW + memory + 29_999, |_| true)
+        .begin_write(at(0), NOW + retention + 29_999, |_| true)
         .is_none());
     expect_true!(table
-        .begin_write(at(0), NOW + memory + 30_000, |_| false)
+        .begin_write(at(0), NOW + retention + 30_000, |_| false)
         .is_none());
-    let batch = table.begin_write(at(0), NOW + memory + 30_000, |_| true);
+    let batch = table.begin_write(at(0), NOW + retention + 30_000, |_| true);
     let batch = batch.expect("a batch");
-    expect_that!(batch.dropped, elements_are![eq(&row(1).key())]);
-    table.note_written(&batch);
+    expect_that!(batch.deleted, elements_are![eq(&row(1).key())]);
+    table.commit_batch(&batch);
     expect_that!(table.stored_rows(), eq(0));
 }
 
 #[gtest]
-fn a_batch_is_no_larger_than_the_store_takes() {
+fn a_batch_is_limited_to_the_maximum_number_of_rows() {
     let mut table = SuspectTable::default();
-    (0..250).for_each(|life| table.write_later(row(life), at(0)));
+    (0..250).for_each(|incarnation| table.schedule_write(row(incarnation), at(0)));
     let mut sizes = Vec::new();
     while let Some(batch) = table.begin_write(at(1), NOW, |_| true) {
         sizes.push(batch.rows.len());
-        table.note_written(&batch);
+        table.commit_batch(&batch);
     }
     expect_that!(
         sizes,
-        elements_are![eq(&MOST_SUSPECT_ROWS), eq(&MOST_SUSPECT_ROWS), eq(&50)]
+        elements_are![eq(&MAX_SUSPECT_ROWS), eq(&MAX_SUSPECT_ROWS), eq(&50)]
     );
 }
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -10,7 +10,7 @@
 use briarswitch_fleet::run::{RunReports, TargetRun};
 use briarswitch_fleet::run_facts::{RunFacts, TargetLife};
 use briarswitch_fleet::suspect_host::SuspectHost;
-use briarswitch_fleet::suspects::SuspectBoard;
+use briarswitch_fleet::suspect_ledger::SuspectLedger;
 use briarswitch_http::{stream_body, Response};
 use briarswitch_kernel::BootClock;
 use briarswitch_wire::caller::OUTCOME_HEADER;
@@ -109,7 +109,7 @@
     }
 
     /// Returns what is held of requests under which targets have ended.
-    pub fn suspects(&self) -> &SuspectBoard {
+    pub fn suspects(&self) -> &SuspectLedger {
         self.suspects.suspects()
     }
 
@@ -135,7 +135,7 @@
 
     /// Returns the refusal of a request that is not to run now.
     fn quarantined(&self, print: &RequestPrint) -> Option<CallerFailure> {
-        let left = self.suspects().quarantine(print)?;
+        let left = self.suspects().quarantine_left(print)?;
         let failure = CallerFailure::at(FailurePoint::Quarantined);
         Some(failure.retry_after(left))
     }
@@ -314,7 +314,7 @@
             };
             broken += usize::from(breaks_run(point));
             let may_retry = point.allows_retry(matched.ask.is_repeatable)
-                && self.suspects().may_go_on(&matched.print, broken);
+                && self.suspects().may_retry(&matched.print, broken);
             let point = worst(last, point);
             last = Some(point);
             if !may_retry || !self.spend_retry(&trace) {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 use briarswitch_core::prelude::*;
-use briarswitch_fleet::end_watch::EndWatch;
+use briarswitch_fleet::crash_watcher::CrashWatcher;
 use briarswitch_fleet::run::RunReports;
 use briarswitch_fleet::suspect_host::SuspectHost;
-use briarswitch_fleet::suspect_keeper::SuspectKeeper;
+use briarswitch_fleet::suspect_sync::SuspectSync;
 use briarswitch_http::{HttpServer, ServerGuard, TargetClient, TargetLimits};
 use briarswitch_kernel::{Kernel, KernelError, Mailbox};
 use briarswitch_platform::HttpPlatform;
@@ -114,9 +114,9 @@
         });
         let suspects = NodeSuspects::open(Arc::clone(&shared), watcher.clone());
         let host: Arc<dyn SuspectHost> = Arc::clone(&suspects) as Arc<dyn SuspectHost>;
-        let keeper = kernel.mount(SuspectKeeper::open(Arc::clone(&host)))?;
+        let keeper = kernel.mount(SuspectSync::new(Arc::clone(&host)))?;
         let reports = RunReports {
-            watch: kernel.mount(EndWatch::open(host, keeper.clone()))?,
+            watch: kernel.mount(CrashWatcher::new(host, keeper.clone()))?,
             suspects: keeper,
         };
         let runner = AttemptRunner::open(client, watcher);
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -208,7 +208,7 @@
         self.body = None;
         self.scanner.drop_tail();
         let print = self.run.subject.print();
-        let may_go_on = self.dispatcher.suspects().may_go_on(print, self.broken);
+        let may_go_on = self.dispatcher.suspects().may_retry(print, self.broken);
         if self.resumes >= RESUMES || !may_go_on {
             return false;
         }
--- a/crates/node/src/suspects.rs
+++ b/crates/node/src/suspects.rs
@@ -11,9 +11,9 @@
     SuspectChange, SuspectKey, SuspectRegistry, SuspectRow,
 };
 use briarswitch_fleet::run_facts::{RunFacts, TargetLife};
-use briarswitch_fleet::suspect_host::{EndCount, LifeSign, SuspectEvent, SuspectHost};
-use briarswitch_fleet::suspect_record::{key_text, SuspectRecord, SuspectValue};
-use briarswitch_fleet::suspects::SuspectBoard;
+use briarswitch_fleet::suspect_host::{CrashCount, Liveness, SuspectEvent, SuspectHost};
+use briarswitch_fleet::suspect_ledger::SuspectLedger;
+use briarswitch_fleet::suspect_record::{format_key, SuspectRecord, SuspectValue};
 use briarswitch_kernel::{BootClock, Mailbox};
 use briarswitch_membership::ThingHolders;
 use briarswitch_platform::{StoreError, TransactBuilder};
@@ -82,7 +82,7 @@
                 builder.put(format!("{PREFIX}{key}"), &value)
             });
             let builder = dropped.iter().fold(builder, |builder, key| {
-                builder.delete(format!("{PREFIX}{}", key_text(key)))
+                builder.delete(format!("{PREFIX}{}", format_key(key)))
             });
             let written = self.shared.platform.table.transact(builder.build()).await;
             written.map(|_| ()).map_err(|error| source_error(&error))
@@ -107,7 +107,7 @@
 /// What this node remembers, and how it finds out whether targets live.
 pub struct NodeSuspects {
     shared: Arc<NodeShared>,
-    board: SuspectBoard,
+    board: SuspectLedger,
     rows: TableSuspects,
     watch: Mailbox<WatchMessage>,
     ends_seen: AtomicU64,
@@ -117,7 +117,7 @@
     /// Opens a memory of nothing that tells `watch` of targets that have ended.
     pub fn open(shared: Arc<NodeShared>, watch: Mailbox<WatchMessage>) -> Arc<Self> {
         Arc::new(Self {
-            board: SuspectBoard::open(Arc::new(DayClock)),
+            board: SuspectLedger::new(Arc::new(DayClock)),
             rows: TableSuspects {
                 shared: Arc::clone(&shared),
             },
@@ -129,7 +129,7 @@
 }
 
 impl SuspectHost for NodeSuspects {
-    fn suspects(&self) -> &SuspectBoard {
+    fn suspects(&self) -> &SuspectLedger {
         &self.board
     }
 
@@ -159,14 +159,14 @@
         }
     }
 
-    fn life_sign<'a>(
+    fn probe<'a>(
         &'a self,
         facts: &'a RunFacts,
         limit: Duration,
-    ) -> BoxFuture<'a, Result<LifeSign, ReportError>> {
+    ) -> BoxFuture<'a, Result<Liveness, ReportError>> {
         Box::pin(async move {
             match tokio::time::timeout(limit, TcpStream::connect(&facts.address)).await {
-                Ok(Ok(_)) => Ok(LifeSign::Listens),
+                Ok(Ok(_)) => Ok(Liveness::Listening),
                 Ok(Err(_)) => Err(ReportError::Refused),
                 Err(_) => Err(ReportError::Silent),
             }
@@ -180,14 +180,14 @@
         vm.is_none_or(|vm| vm.incarnation == life.incarnation)
     }
 
-    fn end_count(&self) -> EndCount {
-        EndCount {
-            ends: self.ends_seen.load(Ordering::Relaxed),
+    fn crash_count(&self) -> CrashCount {
+        CrashCount {
+            crashes: self.ends_seen.load(Ordering::Relaxed),
             targets: self.shared.fleet.read().vms.len(),
         }
     }
 
-    fn keep_away(&self, target: &VmId, _until: Moment) {
+    fn exclude_target(&self, target: &VmId, _until: Moment) {
         let failed = WatchMessage::Failed {
             vm: target.clone(),
             at: BootClock::now(),
@@ -197,8 +197,8 @@
         }
     }
 
-    fn note(&self, event: SuspectEvent) {
-        if matches!(event, SuspectEvent::TargetEnded(_)) {
+    fn count(&self, event: SuspectEvent) {
+        if matches!(event, SuspectEvent::TargetCrashed(_)) {
             self.ends_seen.fetch_add(1, Ordering::Relaxed);
         }
     }
