--- a/crates/fleet/src/crash_watcher.rs
+++ b/crates/fleet/src/crash_watcher.rs
@@ -1,6 +1,7 @@
-//! Finds out whether a target at which a run broke off has ended.
+//! Finds out whether a target has crashed after a run of a request there failed.
 //!
-//! A broken connection does not tell: the target may have ended, or only the connection, or the way to it.
+//! A broken connection does not prove a crash: the target may be gone, or only the connection or
+//! the network path to it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,39 +16,40 @@
 use crate::suspect_host::{CrashEvidence, Liveness, SuspectEvent, SuspectHost};
 use crate::suspect_sync::{CrashedRun, SuspectMessage};
 
-/// Time to wait for a target's answer; a healthy one takes a few milliseconds.
+/// Time-out of a probe; a healthy target responds within a few milliseconds.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time between looks at the directory for targets that did not answer.
+/// Interval between checks whether the directory still lists targets that did not respond.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
-/// Time within which the directory drops a target that has ended: three renewals missed, and what it takes to
-/// hear of it.
+/// Time within which the directory drops a crashed target: three missed renewals, and the time
+/// until this node learns of it.
 const LAPSE_TIMEOUT: Duration = Duration::from_secs(6);
-/// Time within which the directory lists a later life that has begun: a renewal, and what it takes to hear of it.
+/// Time within which the directory lists the next incarnation of a target: one renewal, and the
+/// time until this node learns of it.
 const RESTART_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Time after which the end of a target has nothing to do any more with a run that nobody waits for.
+/// Time after which a crash of the target is no longer attributed to an abandoned run.
 const ABANDONED_RUN_TTL: Duration = Duration::from_millis(1_500);
-/// Time for which an end is remembered, for connections that break late.
+/// Time for which a crash is remembered, for connections that break late.
 const CRASHED_TTL: Duration = Duration::from_secs(10);
 
-/// Name of the watch.
+/// Name of the service.
 pub const WATCH_SERVICE: &str = "end_watch";
 
-/// What is known of a target at which a run broke off.
+/// What is known of a target at which a run failed.
 #[derive(Debug)]
 enum WatchState {
-    /// It was asked.
+    /// A probe is under way.
     Probing,
-    /// It did not answer; the directory will tell.
+    /// It did not respond to the probe; the directory decides.
     Silent,
-    /// Somebody listens at its address, perhaps a later life; the directory will tell.
+    /// A process listens at its address, perhaps a later incarnation; the directory decides.
     Listening,
-    /// Runs there were abandoned, which is no reason to ask.
+    /// Runs there were only abandoned, which is no reason to probe it.
     Unprobed,
-    /// It has ended.
+    /// It has crashed.
     Crashed(CrashEvidence),
 }
 
-/// A run that brought no whole answer.
+/// A run without a complete response.
 #[derive(Debug)]
 struct FailedRun {
     facts: RunFacts,
@@ -58,12 +60,13 @@
 #[derive(Debug)]
 struct WatchedTarget {
     state: WatchState,
+    /// When the failure or crash was noticed from which the time-outs of the state count.
     since: Moment,
     runs: Vec<FailedRun>,
 }
 
 impl WatchedTarget {
-    /// Drops the runs that nobody waited for any more well before a moment.
+    /// Drops the runs that were abandoned at least [`ABANDONED_RUN_TTL`] before a moment.
     fn drop_abandoned_before(&mut self, at: Moment) {
         self.runs
             .retain(|run| run.failure == RunBreak::Broken || at < run.at + ABANDONED_RUN_TTL);
@@ -72,15 +75,15 @@
 
 /// Message to [`CrashWatcher`].
 pub enum CrashWatchMessage {
-    /// A run brought no whole answer.
+    /// A run ended without a complete response.
     RunFailed(Box<RunFacts>, RunBreak),
-    /// A target answered, or not.
+    /// A probe of a target has finished.
     Probed(TargetLife, Result<Liveness, ReportError>),
-    /// Look at what is watched.
+    /// Check the watched targets against the directory.
     Sweep,
 }
 
-/// Watches the targets at which runs broke off.
+/// Watches the targets at which runs failed.
 pub struct CrashWatcher {
     host: Arc<dyn SuspectHost>,
     suspects: Mailbox<SuspectMessage>,
@@ -89,7 +92,8 @@
 }
 
 impl CrashWatcher {
-    /// Opens a watch of nothing that tells `suspects` which requests were under way when a target ended.
+    /// Creates a watcher that notifies `suspects` of the requests that were running when a target
+    /// crashed.
     pub fn new(host: Arc<dyn SuspectHost>, suspects: Mailbox<SuspectMessage>) -> Self {
         Self {
             host,
@@ -183,7 +187,8 @@
         }
     }
 
-    /// Notes that a life has ended, and with it the runs that were under way there.
+    /// Records that an incarnation of a target has crashed, together with the runs that were active
+    /// there.
     fn record_crash(&mut self, incarnation: &TargetLife, evidence: CrashEvidence, now: Moment) {
         let Some(watched) = self.targets.get_mut(incarnation) else {
             return;
@@ -209,8 +214,8 @@
         self.exclude_crashed(now);
         let crashed = runs.into_iter().map(|run| CrashedRun {
             ran_for: run.at.saturating_sub(run.facts.sent),
-            // A run that was given up says nothing of when its target ended.
-            ended_at: match run.failure {
+            // An abandoned run does not show when its target crashed.
+            crashed_at: match run.failure {
                 RunBreak::Broken => run.at,
                 RunBreak::Abandoned => now,
             },
@@ -222,9 +227,9 @@
         }
     }
 
-    /// Keeps new work from lives that have ended, as long as the directory lists them.
+    /// Excludes crashed targets from new work as long as the directory lists them.
     ///
-    /// Without requests at work they would look like the targets with the least to do.
+    /// Since they have no active requests, they would otherwise look like the least loaded targets.
     fn exclude_crashed(&self, now: Moment) {
         for (incarnation, watched) in &self.targets {
             if matches!(watched.state, WatchState::Crashed(_)) && self.host.is_listed(incarnation) {
--- a/crates/fleet/src/feed.rs
+++ b/crates/fleet/src/feed.rs
@@ -1,9 +1,10 @@
-//! Lets one node of each zone ask the store for changes, and the others ask it.
+//! Shares requests for the store's tables among the nodes of a zone.
 //!
-//! Every node needs the configuration and the list of targets within a second or two, and a question
-//! held open by each is paid for by the call: 71 nodes made 167 calls a second. One node of each zone
-//! asks the store; the questions of the others wait there for the same answer. A node whose reader does
-//! not answer, or can not reach the store, asks the next best of its zone, and only then the store.
+//! Every node needs the configuration and the list of targets within a second or two, and the store
+//! charges for each call: long polls from every node came to 167 calls a second with 71 nodes. One
+//! node of each zone therefore reads from the store, and the others send their requests to that
+//! reader, which answers all of them from one call. A node whose reader does not respond, or cannot
+//! reach the store, asks the next best reader of its zone, and the store itself only after that.
 
 use std::future::Future;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -24,52 +25,56 @@
 use crate::feed_pacer::{cost_kind_of, lock, request_paced, FeedPacer, FeedResult};
 use crate::ports::{FeedAnswer, FeedQuestion, FeedSource, SourceError};
 
-/// Status of an answer that the changes asked for are no longer kept.
+/// HTTP status of a response which says that the requested changes are no longer kept.
 const HISTORY_GONE: u16 = 410;
-/// Path at which a reader is asked.
+/// Path at which a node serves the store's tables to other nodes.
 pub const FEED_PATH: &str = "/feed";
-/// Nodes of a zone that are asked one after the other; two may be lost at once.
+/// Readers of a zone that are tried one after the other; two may fail at the same time.
 const MAX_READERS: usize = 3;
-/// Nodes of a zone from which on not all of them ask the store.
+/// Smallest number of nodes in a zone at which requests go through readers.
 ///
-/// Below it there is nothing to win, and a reader that freezes costs its followers a second and a half.
+/// A smaller zone would save nothing, and a reader that freezes delays its followers by 1.5 s.
 const MIN_RELAYED_ZONE_NODES: u32 = 3;
-/// Time beyond the time that a question is held open after which a reader has failed.
+/// Time beyond the requested wait after which a reader counts as failed.
 ///
-/// The store answers in a quarter of a second on its slowest days.
+/// The store itself answers within 250 ms even when it is slow.
 const READER_TIMEOUT: Duration = Duration::from_millis(700);
-/// Part of that time in which a reader says that the store has not answered.
+/// Time beyond the requested wait after which a reader reports that the store has not answered.
 ///
-/// Its followers would take it for lost otherwise, and each ask a store that is away.
+/// It is shorter than [`READER_TIMEOUT`]; otherwise the followers would take the reader for failed
+/// and would each call a store that is down.
 const STORE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time after which the store is asked beside a second reader.
+/// Time after which a request to the second reader is hedged with a request to the store.
 ///
-/// One that lives says at once that it does not reach the store either.
+/// A healthy reader that cannot reach the store either says so at once.
 const HEDGE_DELAY: Duration = Duration::from_millis(150);
-/// Seconds between two questions of a node whose readers do not reach the store, about.
+/// Approximate interval in seconds between requests of a node whose readers cannot reach the store.
 const MEAN_RETRY_INTERVAL_S: f64 = 0.4;
-/// Time after which a reader that is asked for a whole table has failed; the store may need several calls.
+/// Time after which a reader that was asked for a full table counts as failed; reading the table
+/// from the store may take several calls.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time after which the next reader is asked for a whole table beside those that have not answered.
+/// Time after which a request for a full table is hedged with a request to the next reader.
 const SNAPSHOT_HEDGE_DELAY: Duration = Duration::from_millis(150);
-/// Times that each reader is asked for a whole table before the store is.
+/// Number of times that each reader is asked for a full table before the store is.
 const SNAPSHOT_ROUNDS: usize = 2;
-/// Time for which a reader that failed is not asked.
+/// Time for which a failed reader is skipped.
 const READER_BACKOFF: Duration = Duration::from_secs(2);
-/// Time for which an answer is kept for others that ask the same.
+/// Time for which a response with changes is reused for identical requests.
 const CHANGES_TTL: Duration = Duration::from_secs(3);
-/// Time for which an answer without changes is kept for others that ask without waiting.
+/// Time for which a full table, or a response without changes to a request that does not wait, is
+/// reused for identical requests.
 const IMMEDIATE_TTL: Duration = Duration::from_millis(250);
-/// Questions in a second that the nodes of a zone together ask the store while its readers do not reach it.
+/// Requests per second that all nodes of a zone together send to the store while their readers
+/// cannot reach it.
 ///
-/// Those that do reach it are found so, and become its readers.
+/// Nodes that do reach the store are discovered this way and become readers.
 const PROBES_PER_SECOND: f64 = 8.0;
-/// Time for which an answer of the store shows that this node reaches it; longer than a held question.
+/// Time for which a response shows that this node reaches the store; longer than a long poll.
 const STORE_REACHABLE_TTL: Duration = Duration::from_millis(1_600);
 
 type ResponseFuture = Shared<BoxFuture<'static, FeedResult>>;
 
-/// A question that was sent to the store, and its answer once it is there.
+/// A request that was sent to the store, with its response once it has arrived.
 #[derive(Clone)]
 struct SharedRequest {
     started_at: Moment,
@@ -77,11 +82,11 @@
 }
 
 impl SharedRequest {
-    /// Returns whether the answer may be given to another who asks the same at `now`.
+    /// Returns whether an identical request made at `now` may get this response.
     ///
-    /// An answer without changes to a question that was held open would be given again at once to the same
-    /// node, over and over. One to a question that was not held open dates what many nodes hold, and is
-    /// told with its age.
+    /// If an empty response to a long poll were reused, the same node would get it again
+    /// immediately and would poll in a tight loop. An empty response to a request that does not
+    /// wait only confirms what many nodes hold, and is passed on with its age.
     fn is_reusable(&self, request: &FeedQuestion, now: Moment) -> bool {
         match self.response.peek() {
             None => true,
@@ -93,21 +98,22 @@
     }
 }
 
-/// Answers questions for changes, from the store or from another node.
+/// Reads tables of the store, directly or through another node.
 pub struct FeedRelay {
     store: Arc<dyn FeedSource>,
     client: CallerClient,
     shared_requests: Mutex<IndexMap<FeedQuestion, SharedRequest>>,
-    /// Readers that failed, and until when they are not asked.
+    /// Failed readers, with the time until which each is skipped.
     backed_off: Mutex<IndexMap<NodeId, Moment>>,
     pacers: Mutex<IndexMap<String, Arc<Mutex<FeedPacer>>>>,
-    /// Milliseconds of the clock at which the store last answered.
+    /// Time of the store's last response in milliseconds of [`BootClock`]; zero before the first
+    /// one.
     store_answered_ms: Arc<AtomicU64>,
     costs: Arc<CostLedger>,
 }
 
 impl FeedRelay {
-    /// Opens a relay before the store.
+    /// Creates a relay in front of `store`.
     pub fn new(store: Arc<dyn FeedSource>, costs: Arc<CostLedger>) -> Self {
         Self {
             store,
@@ -120,10 +126,10 @@
         }
     }
 
-    /// Sets the least time between two held questions for changes of a table.
+    /// Sets the minimum interval between two long polls for the changes of a table.
     ///
-    /// The questions of many nodes come at any time. Without a pace here each change is a call of its own,
-    /// whatever pause each node makes.
+    /// Requests of many nodes arrive at any time. Without a limit here, each change of the table
+    /// would cost a call of its own, whatever interval each node keeps.
     pub fn set_min_interval(&self, table: &str, min_interval: Duration) {
         lock(&self.pacer_for(table)).min_interval = min_interval;
     }
@@ -137,7 +143,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`SourceError`] when neither a reader nor the store answered.
+    /// Returns [`SourceError`] when neither a reader nor the store responded.
     pub async fn changes(
         &self,
         live: &LiveView,
@@ -160,12 +166,13 @@
         }
     }
 
-    /// Asks the readers of the zone, best first, and the store where none of them answers.
+    /// Asks the readers of the zone, best first, and the store if none of them responds.
     ///
-    /// One that answers without having reached the store may be the only one turned away, so another is
-    /// asked. Where that says so too the store is likely to be away, and only a few nodes of the zone ask it:
-    /// calls of all would be paid for in vain, and those of none would leave a zone whose readers are cut off
-    /// with keys that were taken away.
+    /// A reader that cannot reach the store may be the only node with that problem, so a second
+    /// reader is asked. If that one cannot reach it either, the store is probably down and only a
+    /// few nodes of the zone call it. If all nodes called it, they would pay for calls in vain; if
+    /// none did, a zone whose readers are partitioned from the store would keep accepting keys that
+    /// were revoked.
     async fn request_from_readers(
         &self,
         readers: &[Arc<NodeEntry>],
@@ -211,17 +218,19 @@
                     hedge_delay = Some(Duration::ZERO);
                 }
             }
-            // Time was lost already, so the next question is not held open.
+            // This attempt has already used up time, so the next request does not wait for changes.
             request.wait = Duration::ZERO;
         }
         self.request_store(request, BootClock::now()).await
     }
 
-    /// Asks the readers of the zone for a whole table, each beside those that have not answered yet, then the store.
+    /// Asks the readers of the zone for a full table, hedging with the next one after a delay, and
+    /// then the store.
     ///
-    /// A node that reads a whole table knows nothing yet. Where all nodes have lost power the first reader may not be
-    /// up again; what is sent to it is lost, and the connection is tried again only after a second, in which every
-    /// caller is refused. So the next is asked soon, and each of them again: by then it may be there.
+    /// A node that requests a full table has no data yet. After a power loss of all nodes the first
+    /// reader may not be up again; what is sent to it is lost and the connection is retried only
+    /// after a second, during which every caller is refused. So the next reader is asked soon, and
+    /// each of them twice: by then it may be up.
     async fn request_snapshot(
         &self,
         readers: &[Arc<NodeEntry>],
@@ -246,11 +255,12 @@
         self.request_store(request, BootClock::now()).await
     }
 
-    /// Asks the store beside a reader that has not answered after a pause, and returns whichever answer comes first.
+    /// Hedges a request to a reader with one to the store after a delay, and returns the first
+    /// response.
     ///
-    /// Readers that give no answer are each waited for in vain. One after the other the waits add up to more than
-    /// the three seconds after which no removed key may be in use: 1.9 s at a reader whose way to the store is silent,
-    /// and the time of the next one.
+    /// Unresponsive readers that are tried one after the other add up to more than the three
+    /// seconds within which a revoked key must stop working: 1.9 s for a reader whose connection to
+    /// the store is silent, and the time-out of the next reader.
     async fn hedge_with_store(
         &self,
         pending: impl Future<Output = Result<FeedAnswer, CallError>>,
@@ -268,11 +278,10 @@
         }
     }
 
-    /// Returns whether the store has lately answered this node itself.
+    /// Returns whether the store has recently responded to this node itself.
     pub fn reads_store(&self) -> bool {
-        let store_answered_ms =
-            Duration::from_millis(self.store_answered_ms.load(Ordering::Relaxed));
-        !store_answered_ms.is_zero() && BootClock::now() < store_answered_ms + STORE_REACHABLE_TTL
+        let answered_at = Duration::from_millis(self.store_answered_ms.load(Ordering::Relaxed));
+        !answered_at.is_zero() && BootClock::now() < answered_at + STORE_REACHABLE_TTL
     }
 
     fn back_off(&self, node: &NodeId) {
@@ -300,14 +309,14 @@
         backed_off.get(node).is_some_and(|until| now < *until)
     }
 
-    /// Answers a question of another node, in the time that it will wait.
+    /// Responds to a request of another node within the time that the node waits.
     ///
-    /// The answer's age counts up to `arrived`, when the question came, and so dates it for the node that
-    /// asked: the store was asked at most that long before the question was sent.
+    /// The age of the response is measured at `arrived`, when the request came in. That makes it
+    /// correct for the requesting node: the data was at most that old when the request was sent.
     ///
     /// # Errors
     ///
-    /// Returns [`SourceError`] when the store did not answer.
+    /// Returns [`SourceError`] when the store did not respond.
     pub async fn respond(
         &self,
         request: FeedQuestion,
@@ -315,15 +324,15 @@
     ) -> Result<FeedAnswer, SourceError> {
         let timeout = timeout_for(&request, STORE_TIMEOUT);
         let response = self.request_store(request, arrived);
-        let answered = tokio::time::timeout(timeout, response).await;
-        answered.unwrap_or_else(|_| Err(SourceError::Unavailable("no answer yet".to_owned())))
+        let result = tokio::time::timeout(timeout, response).await;
+        result.unwrap_or_else(|_| Err(SourceError::Unavailable("no answer yet".to_owned())))
     }
 
-    /// Answers a question; what many ask is asked of the store once.
+    /// Reads from the store; identical concurrent requests share one call.
     ///
     /// # Errors
     ///
-    /// Returns [`SourceError`] when the store did not answer.
+    /// Returns [`SourceError`] when the store did not respond.
     pub async fn request_store(
         &self,
         request: FeedQuestion,
@@ -353,7 +362,7 @@
     }
 }
 
-/// Returns the time for an answer; `beyond` the time that the question is held open.
+/// Returns the time-out of a request: its wait and a margin, or a fixed time for a full table.
 fn timeout_for(request: &FeedQuestion, margin: Duration) -> Duration {
     match request.mark {
         Some(_) => request.wait + margin,
@@ -361,7 +370,7 @@
     }
 }
 
-/// Returns how many nodes ask the store, of zones of this one's size.
+/// Returns how many nodes read from the store, assuming that all zones are as large as this one.
 pub fn store_reader_count(live: &LiveView) -> u32 {
     let nodes = live.live_nodes();
     let in_zone = live.zone_nodes();
--- a/crates/fleet/src/feed_doc.rs
+++ b/crates/fleet/src/feed_doc.rs
@@ -1,4 +1,4 @@
-//! Questions for changes and their answers on the wire between nodes.
+//! Wire format of requests for the store's tables, and of their responses, between nodes.
 
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct FeedResponseDoc {
     mark: MarkDoc,
-    /// Key, and content unless the row was dropped.
+    /// Key and value of each row; a deleted row has no value.
     rows: Vec<(String, Option<ByteBuf>)>,
     age_ms: u64,
     whole: bool,
@@ -70,7 +70,7 @@
         Self {
             mark: response.mark.into(),
             rows: rows.collect(),
-            // Rounded up, so that an age is never told as less than it is.
+            // Rounded up, so that the reported age is never too low.
             age_ms: response.age.as_millis() as u64 + 1,
             whole: response.is_whole,
         }
--- a/crates/fleet/src/feed_pacer.rs
+++ b/crates/fleet/src/feed_pacer.rs
@@ -1,4 +1,4 @@
-//! How often a table of the store is asked for.
+//! Limits how often a table of the store is requested.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,27 +10,27 @@
 use crate::costs::CostKind;
 use crate::ports::{FeedAnswer, FeedQuestion, FeedSource, SourceError};
 
-/// What the store said to a question.
+/// The store's response to a request.
 pub(crate) type FeedResult = Result<FeedAnswer, SourceError>;
 
-/// Time after a question that failed in which no other one is asked of the same table.
+/// Time after a failed request during which the same table is not requested again.
 ///
-/// The questions of 58 followers that retry would otherwise each be a call to a store that is away.
+/// Without it, the retries of 58 followers would each become a call to a store that is down.
 const FAILURE_DELAY: Duration = Duration::from_millis(400);
 
-/// How often a table is asked for.
+/// Rate limit of the requests for one table.
 #[derive(Debug, Default)]
 pub(crate) struct FeedPacer {
-    /// Least time between two questions that are held open.
+    /// Minimum interval between two long polls.
     pub(crate) min_interval: Duration,
-    /// When the next question may be held open.
+    /// Earliest time of the next long poll.
     next_held_at: Moment,
-    /// When the next question may be sent after one failed.
+    /// Earliest time of the next request after a failed one.
     retry_at: Moment,
 }
 
 impl FeedPacer {
-    /// Returns how long a question has to wait before it may be sent.
+    /// Returns how long a request has to be delayed.
     fn delay_before(&self, request: &FeedQuestion, now: Moment) -> Duration {
         match cost_kind_of(request) {
             CostKind::TableHeld => self.next_held_at.saturating_sub(now).min(request.wait),
@@ -46,7 +46,7 @@
     }
 }
 
-/// Asks the store, not sooner than the pace after the last answer or failure allows.
+/// Sends a request to the store as soon as the rate limit of its table allows.
 pub(crate) async fn request_paced(
     store: Arc<dyn FeedSource>,
     request: FeedQuestion,
@@ -65,7 +65,7 @@
     response
 }
 
-/// Returns what a question is counted as.
+/// Returns the kind of cost that a request is counted under.
 pub(crate) fn cost_kind_of(request: &FeedQuestion) -> CostKind {
     match request.mark {
         None => CostKind::TableWhole,
@@ -74,7 +74,7 @@
     }
 }
 
-/// Locks what no holder leaves half changed.
+/// Locks a mutex and ignores poisoning; no holder leaves its data inconsistent.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/fleet/src/peer_api.rs
+++ b/crates/fleet/src/peer_api.rs
@@ -1,4 +1,5 @@
-//! Answers the other nodes: their messages, their suspicions, and their questions for changes of the store.
+//! HTTP handler for other nodes: gossip, suspicions, crash reports, and requests for the store's
+//! tables.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -23,12 +24,12 @@
 use crate::suspect_doc::SuspectDoc;
 use crate::suspect_sync::{SuspectMessage, SUSPECT_PATH};
 
-/// Time for which what this node tells of itself is used again; hubs are asked many times a second.
+/// Time for which this node's own status is cached; hubs are polled many times per second.
 const STATUS_TTL: Duration = Duration::from_millis(20);
-/// Largest message in bytes.
+/// Maximum size of a message.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// Answers other nodes.
+/// Responds to other nodes.
 pub struct PeerApi {
     shared: Arc<FleetShared>,
     status: Mutex<(Moment, Standing)>,
@@ -36,7 +37,7 @@
 }
 
 impl PeerApi {
-    /// Opens the surface.
+    /// Creates the handler; `suspects` is notified of crashes that other nodes report.
     pub fn new(shared: Arc<FleetShared>, suspects: Mailbox<SuspectMessage>) -> Arc<Self> {
         Arc::new(Self {
             shared,
@@ -63,7 +64,8 @@
         self.shared.costs.count(CostKind::ReaderAnswered);
         match self.shared.feed.respond(doc.into(), arrived).await {
             Ok(response) => reply_packed(StatusCode::OK, &FeedResponseDoc::from(response)),
-            // The asker has to read everything anew; told as an outage it would ask the same for ever.
+            // The requesting node has to read the full table again. If this were reported as an
+            // outage, it would repeat the same request forever.
             Err(SourceError::HistoryGone) => reply_text(StatusCode::GONE, "history gone"),
             Err(error) => reply_text(StatusCode::SERVICE_UNAVAILABLE, error.to_string()),
         }
@@ -86,7 +88,8 @@
         reply_packed(StatusCode::OK, &GossipDoc::from(&response))
     }
 
-    /// Takes in ends that another node saw, and answers with all that is known of the requests under way there.
+    /// Records crashes that another node saw, and responds with all that is known of the requests
+    /// that were running there.
     async fn crashes(&self, request: Request) -> Response {
         let Some(doc) = read_message::<SuspectDoc>(request).await else {
             return reply_text(StatusCode::BAD_REQUEST, "expected ends of targets");
--- a/crates/fleet/src/peers.rs
+++ b/crates/fleet/src/peers.rs
@@ -1,5 +1,5 @@
-//! Sends the messages by which nodes know each other: who is alive, who has sent how much where, and what
-//! fell silent.
+//! Exchanges gossip between nodes: which nodes are alive, how many requests each has sent to which
+//! target, and which targets fell silent.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -17,42 +17,48 @@
 use crate::ports::{FeedMark, NodeNews, SourceError};
 use crate::shared::{FleetPhase, FleetShared};
 
-/// Path of the messages between nodes.
+/// Path of gossip between nodes.
 pub const GOSSIP_PATH: &str = "/gossip";
-/// Path at which a node is told of a target that fell silent.
+/// Path at which a node receives reports of silent targets.
 pub const SUSPICION_PATH: &str = "/suspicion";
-/// Time between looks at whom to ask; half of the shortest interval between two messages.
+/// Interval between checks for peers that are due; half of the shortest gossip interval.
 const TICK_INTERVAL: Duration = Duration::from_millis(25);
-/// Time between two sums of what others told.
+/// Interval at which the work reported by other nodes is added up.
 const AGGREGATION_INTERVAL: Duration = Duration::from_millis(100);
-/// Time in which most other nodes come to know of a request that was sent: report, hub and answer.
+/// Time until most other nodes know of a request that was sent to a target: report, hub and
+/// response.
 pub const PROPAGATION_TIME: Duration = Duration::from_millis(200);
-/// Time between two times at which sent requests count as known to others, nodes of other zones included.
+/// Interval after which requests sent to targets count as known to other nodes, those of other
+/// zones included.
 const UNREPORTED_RESET_INTERVAL: Duration = Duration::from_millis(300);
-/// Time to wait for an answer; longer than any healthy delay, shorter than a node is missed.
+/// Response time-out; longer than any healthy delay, shorter than the time after which a node
+/// counts as lost.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time for which a peer's suspicion of a target is shared; two messages, so that it ends soon after the peer's.
+/// Time for which a peer's suspicion of a target is adopted; two gossip messages, so that it ends
+/// soon after the peer's own.
 const PEER_SUSPICION_TTL: Duration = Duration::from_millis(250);
-/// Own silence of a target without which a peer's suspicion is not shared.
+/// Minimum time for which a target must have been silent towards this node before it adopts a
+/// peer's suspicion.
 const MIN_OWN_SILENCE: Duration = Duration::from_millis(120);
-/// Time that all nodes have to register before the first of them reads who has, at the first start.
+/// Delay before the registry is first read when all nodes start for the first time, so that every
+/// node can register.
 const FIRST_REGISTRY_READ_DELAY: Duration = Duration::from_millis(500);
-/// Longest time one question for new nodes is held open.
+/// Maximum wait of a long poll of the registry.
 const MAX_REGISTRY_WAIT: Duration = Duration::from_secs(8);
-/// Time between two questions for new nodes.
+/// Interval between two reads of the registry.
 ///
-/// Each registration answers every question that is held open; nodes that start together would make a call
-/// for each pair of them.
+/// Each registration ends every open long poll. Without this interval, nodes that start together
+/// would make a call for each pair of nodes.
 const REGISTRY_READ_INTERVAL: Duration = Duration::from_secs(1);
-/// Time to wait after the registry failed.
+/// Delay before a retry after the registry failed.
 const REGISTRY_RETRY_DELAY: Duration = Duration::from_millis(700);
-/// Time between two lines that tell what was spent.
+/// Interval between two log lines with the costs.
 const COST_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Name of the exchange.
+/// Name of the gossip service.
 pub const PEER_SERVICE: &str = "peers";
 
-/// Returns what this node tells of itself.
+/// Returns the status that this node reports about itself.
 pub fn own_status(shared: &FleetShared) -> Standing {
     let now = BootClock::now();
     Standing {
@@ -69,7 +75,7 @@
     }
 }
 
-/// Sends a message; returns the answer and the bytes of both.
+/// Sends a gossip message; returns the response and the size of both in bytes.
 async fn exchange(
     client: &CallerClient,
     target: &GossipTarget,
@@ -85,19 +91,19 @@
     Ok((doc.into(), size + response.len()))
 }
 
-/// Takes in others' suspicions.
+/// Applies suspicions that another node reported.
 pub fn apply_suspicions<'a>(shared: &FleetShared, suspects: impl Iterator<Item = &'a TargetId>) {
     let now = BootClock::now();
     for target in suspects {
         let gauge = shared.gauges.of(target);
-        // A target that this node hears is only cut off from the other.
+        // A target that this node hears from is only partitioned from the other node.
         if gauge.own() == 0 || gauge.silence(now) > MIN_OWN_SILENCE {
             gauge.suspect_as_told(now + PEER_SUSPICION_TTL);
         }
     }
 }
 
-/// Takes in what any message tells beside sums and signs of life.
+/// Applies the parts of a message that concern neither the work of nodes nor their liveness.
 pub fn apply_hints(shared: &FleetShared, gossip: &Gossip) {
     if gossip.has_traffic() {
         shared.has_traffic.store(true, Ordering::Relaxed);
@@ -105,7 +111,7 @@
     apply_suspicions(shared, gossip.suspects());
 }
 
-/// A target that fell silent, told to the node that gives its group orders.
+/// Report of a silent target to the node that controls its group.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct SuspicionDoc {
     /// Target.
@@ -117,13 +123,13 @@
 pub struct SilentTarget {
     /// Target.
     pub target: TargetId,
-    /// Its domain.
+    /// Domain of the target.
     pub domain: DomainId,
     /// Zone of the target.
     pub zone: ZoneId,
 }
 
-/// Exchanges messages with the other nodes.
+/// Exchanges gossip with the other nodes and keeps the list of nodes up to date.
 pub struct PeerExchange {
     shared: Arc<FleetShared>,
     client: CallerClient,
@@ -137,26 +143,26 @@
 
 /// Message to [`PeerExchange`].
 pub enum PeerMessage {
-    /// Ask whom it is time to ask.
+    /// Send gossip to the peers that are due.
     Tick,
-    /// A node answered a message that was sent at this moment.
-    Answered(Box<(GossipTarget, Gossip)>, Moment),
-    /// A node did not answer.
+    /// A node responded to a message that was sent at this moment.
+    Responded(Box<(GossipTarget, Gossip)>, Moment),
+    /// A node did not respond.
     Failed(NodeId, CallError),
     /// A target fell silent towards a request.
     Suspected(SilentTarget),
-    /// The node that gives its group orders was told, or did not answer.
+    /// The node that controls the group of a silent target received the report, or failed to.
     SuspicionSent(Option<CallError>),
-    /// This node's entry was written or not.
+    /// This node's entry was written to the registry, or the write failed.
     Registered(Result<(), SourceError>),
-    /// The registry answered.
+    /// The registry responded or failed.
     RegistryRead(Result<NodeNews, SourceError>),
-    /// Ask the registry.
+    /// Read the registry.
     ReadRegistry,
 }
 
 impl PeerExchange {
-    /// Opens an exchange that knows no other node.
+    /// Creates a service that knows no other node yet.
     pub fn new(shared: Arc<FleetShared>) -> Self {
         Self {
             shared,
@@ -180,7 +186,8 @@
         });
     }
 
-    /// Asks the registry for new nodes, if that is this node's part; the others hear of them from hubs.
+    /// Reads new nodes from the registry if this node is a hub or has not read it yet; the others
+    /// learn of new nodes from hubs.
     fn read_registry(&self, link: &ServiceLink<PeerMessage>) {
         let reads_registry = self.mark.is_none() || self.shared.membership().is_hub(link.now());
         if !reads_registry {
@@ -195,10 +202,10 @@
         });
     }
 
-    fn apply_registry_update(&mut self, news: &NodeNews, now: Moment) {
-        self.mark = Some(news.mark);
+    fn apply_registry_update(&mut self, update: &NodeNews, now: Moment) {
+        self.mark = Some(update.mark);
         let mut membership = self.shared.membership();
-        for entry in &news.nodes {
+        for entry in &update.nodes {
             if membership.learn(entry, now) {
                 log::info!(peer = entry.node.as_str(), address = entry.address.as_str(); "peer_known");
             }
@@ -238,7 +245,7 @@
             match exchange(&client, &target).await {
                 Ok((response, bytes)) => {
                     costs.count_bytes(kind, bytes);
-                    PeerMessage::Answered(Box::new((target, response)), now)
+                    PeerMessage::Responded(Box::new((target, response)), now)
                 }
                 Err(error) => {
                     costs.count(kind);
@@ -248,7 +255,7 @@
         });
     }
 
-    /// Sums up what others told, for placing and planning.
+    /// Adds up the work that other nodes reported, for target selection and planning.
     fn aggregate(&mut self, now: Moment) {
         self.aggregated_at = now;
         let started_at = BootClock::now();
@@ -264,7 +271,7 @@
         self.shared.costs.count_time(CostKind::WorkFolded, elapsed);
     }
 
-    /// Publishes who lives, if that has changed.
+    /// Publishes the list of live nodes if it has changed.
     fn publish(&mut self, now: Moment) {
         let mut membership = self.shared.membership();
         for node in membership.take_returned() {
@@ -280,9 +287,10 @@
         self.shared.live.publish(view);
     }
 
-    /// Tells the node that gives a silent target's group orders, at once.
+    /// Reports a silent target immediately to the node that controls its group.
     ///
-    /// Through hubs it would hear of it up to half a second later, and the group serves nobody meanwhile.
+    /// Through hubs the report would take up to half a second longer, during which the group serves
+    /// no requests.
     fn send_suspicion(&self, silent: SilentTarget, link: &ServiceLink<PeerMessage>) {
         let live = self.shared.live.read();
         let Some(entry) = live.first_for(&silent.domain, &silent.zone) else {
@@ -328,7 +336,7 @@
                 self.tick(now, link);
                 link.later(TICK_INTERVAL, PeerMessage::Tick);
             }
-            PeerMessage::Answered(exchanged, sent_at) => {
+            PeerMessage::Responded(exchanged, sent_at) => {
                 let (target, gossip) = *exchanged;
                 apply_hints(&self.shared, &gossip);
                 let mut membership = self.shared.membership();
@@ -352,8 +360,8 @@
                 log::warn!(error:% = error; "registration_failed");
                 self.register(REGISTRY_RETRY_DELAY, link);
             }
-            PeerMessage::RegistryRead(Ok(news)) => {
-                self.apply_registry_update(&news, now);
+            PeerMessage::RegistryRead(Ok(update)) => {
+                self.apply_registry_update(&update, now);
                 self.shared.peers_known.send_replace(true);
                 link.later(REGISTRY_READ_INTERVAL, PeerMessage::ReadRegistry);
             }
--- a/crates/fleet/src/store_sync.rs
+++ b/crates/fleet/src/store_sync.rs
@@ -1,4 +1,4 @@
-//! Keeps the configuration and the directory up to date from their sources.
+//! Keeps the configuration and the directory of targets in sync with the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,51 +13,55 @@
 use crate::ports::{ConfigNews, DirectoryNews, FeedMark, SourceError};
 use crate::shared::{DirectoryView, FleetShared};
 
-/// Longest time one question for a newer configuration is held open.
+/// Maximum wait of a long poll for a newer configuration.
 ///
-/// A connection that fell silent is noticed after this and the time for an answer, and has to be
-/// noticed within the three seconds after which every node must know a new version again.
+/// A connection that fell silent is noticed after this time and the response time-out. That has to
+/// happen within the three seconds after which every node must know a new version.
 const MAX_CONFIG_WAIT: Duration = Duration::from_millis(1_000);
-/// Age of the last confirmation from which on an answer with changes is followed by a question that is not
-/// held open.
+/// Age of the last confirmation above which a response with changes is followed by a request that
+/// does not wait.
 ///
-/// Keys are trusted for 4.75 s where they are valid for five; a held question and its answer take two.
+/// Keys are trusted for 4.75 s of their validity of five seconds; a long poll and its response take
+/// up to two.
 const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(1_500);
-/// Longest time one question for changes of the directory is held open.
+/// Maximum wait of a long poll for changes of the directory.
 ///
-/// A reader that freezes is noticed after this and [`READER_TIME`](crate::feed), and a leaving target has to be
-/// known within two seconds.
+/// A reader that freezes is noticed after this time and [`READER_TIMEOUT`](crate::feed), and a
+/// target that is leaving has to be known within two seconds.
 const MAX_DIRECTORY_WAIT: Duration = Duration::from_millis(1_000);
-/// Least and longest time between two questions for changes of the directory.
+/// Minimum and maximum interval between two polls for changes of the directory.
 ///
-/// Targets renew their entries all the time; without a pause every renewal would be a call. The
-/// longest stays well below the two seconds within which a leaving target gets nothing new.
+/// Targets renew their entries all the time; without a minimum, every renewal would cost a call.
+/// The maximum stays well below the two seconds after which a target that is leaving must not get
+/// new work.
 const DIRECTORY_INTERVAL: (Duration, Duration) =
     (Duration::from_millis(200), Duration::from_millis(1_000));
-/// Time between questions that each node adds, so that all together ask thirty times a second.
+/// Interval added per node that reads from the store, so that all of them together poll 30 times
+/// per second.
 ///
-/// The store answers two thousand calls a second and is paid by the call; 71 nodes at the shortest pace
-/// made 13,416 calls in a day of 56 s.
+/// The store handles 2,000 calls per second and charges for each; 71 nodes that polled at the
+/// minimum interval made 13,416 calls in 56 s.
 const DIRECTORY_INTERVAL_PER_READER: Duration = Duration::from_millis(33);
-/// Least time between two questions for the directory, so that a source that holds none open is not flooded.
+/// Minimum delay before the next poll of the directory, which protects a source that returns at
+/// once.
 const MIN_DIRECTORY_DELAY: Duration = Duration::from_millis(20);
-/// Time to wait after a source failed; the shortest and the longest.
+/// Minimum and maximum delay before a retry after a source failed.
 const RETRY_DELAY: (Duration, Duration) = (Duration::from_millis(250), Duration::from_millis(450));
-/// Time between looks for lapsed entries whose time is over.
+/// Interval between checks for lapsed entries that have expired.
 const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Name of the configuration's keeper.
+/// Name of the service that syncs the configuration.
 pub const CONFIG_SERVICE: &str = "config";
-/// Name of the directory's keeper.
+/// Name of the service that syncs the directory.
 pub const DIRECTORY_SERVICE: &str = "directory";
 
-/// Returns the time to wait after a source failed.
+/// Returns a random delay before a retry after a source failed.
 pub(crate) fn retry_delay() -> Duration {
     let (min, max) = RETRY_DELAY;
     min + (max - min).mul_f64(rand::random::<f64>())
 }
 
-/// Tells when a source is lost and regained, once each.
+/// Tracks whether a source is available, and logs each change once.
 #[derive(Debug, Default)]
 pub(crate) struct SourceHealth {
     lost_at: Option<Moment>,
@@ -79,39 +83,41 @@
         }
     }
 
-    /// Returns how long the next question may be held open.
+    /// Returns the maximum wait of the next request.
     ///
-    /// A question that is held open while its connection is cut ends only with its own time. Until the
-    /// source has answered again questions ask for an answer at once, or a cut that has healed would be
-    /// noticed two seconds later than it could, and callers' keys be refused so long.
-    pub(crate) fn max_wait(&self, usual: Duration) -> Duration {
+    /// A long poll whose connection is cut ends only at its time-out. Until the source has
+    /// responded again, requests therefore do not wait. Otherwise the end of a partition would be
+    /// noticed two seconds late, and callers' keys would be refused that much longer.
+    pub(crate) fn max_wait(&self, normal: Duration) -> Duration {
         if self.lost_at.is_some() {
             Duration::ZERO
         } else {
-            usual
+            normal
         }
     }
 }
 
-/// What the configuration's keeper asks next.
+/// The next request for the configuration.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 enum ConfigRequest {
     /// The newest configuration, without its history.
     #[default]
     Whole,
-    /// Changes after a mark, held open until there are any.
+    /// Changes after a mark, as a long poll.
     Held(FeedMark),
-    /// Changes after a mark, answered at once: whether more follows what has just come.
+    /// Changes after a mark without waiting, to find out whether there are more than those just
+    /// received.
     AtOnce(FeedMark),
 }
 
 impl ConfigRequest {
-    /// Returns what to ask after an answer, where the configuration was last confirmed `age` ago.
+    /// Returns the request that follows a response, where the configuration was last confirmed
+    /// `age` ago.
     ///
-    /// A question that is held open says soon enough whether more follows an answer with changes, as long
-    /// as the last confirmation is not old. A second answer with changes after that means a long history,
-    /// of which only the end matters: read part by part, versions of half a megabyte in quick succession
-    /// took a node eight seconds.
+    /// After a response with changes, another long poll shows soon enough whether there are more,
+    /// unless the last confirmation is old. A second response with changes in a row means that
+    /// there is a long history, of which only the last version matters: a node that read it in
+    /// parts, with half a megabyte for each version in quick succession, took eight seconds.
     fn next(self, mark: FeedMark, is_newest: bool, age: Duration) -> Self {
         match self {
             _ if is_newest => Self::Held(mark),
@@ -122,7 +128,7 @@
     }
 }
 
-/// Keeps the configuration.
+/// Keeps the configuration in sync with the store.
 pub struct ConfigSync {
     shared: Arc<FleetShared>,
     request: ConfigRequest,
@@ -131,14 +137,14 @@
 
 /// Message to [`ConfigSync`].
 pub enum ConfigMessage {
-    /// Ask the source.
+    /// Poll the source.
     Poll,
-    /// The source answered a question asked at this moment.
+    /// The source responded to a request sent at this moment, or failed.
     Polled(Moment, Result<ConfigNews, SourceError>),
 }
 
 impl ConfigSync {
-    /// Opens a keeper that knows no configuration.
+    /// Creates a service that has no configuration yet.
     pub fn new(shared: Arc<FleetShared>) -> Self {
         Self {
             shared,
@@ -149,7 +155,7 @@
 
     fn poll(&self, link: &ServiceLink<ConfigMessage>) {
         let shared = Arc::clone(&self.shared);
-        let (request, asked_at) = (self.request, link.now());
+        let (request, requested_at) = (self.request, link.now());
         let wait = self.source_health.max_wait(MAX_CONFIG_WAIT);
         link.spawn(async move {
             let config = &shared.platform.config;
@@ -160,44 +166,46 @@
             };
             let response = shared.changes(config.table(), mark, wait).await;
             ConfigMessage::Polled(
-                asked_at,
+                requested_at,
                 response.and_then(|response| config.news(&response)),
             )
         });
     }
 
-    fn apply(&mut self, asked_at: Moment, news: ConfigNews) {
-        let (mark, is_newest) = (news.mark, news.is_newest);
-        if let Some(book) = news.book {
-            self.adopt(*book);
+    fn apply(&mut self, requested_at: Moment, update: ConfigNews) {
+        let (mark, is_newest) = (update.mark, update.is_newest);
+        if let Some(config) = update.book {
+            self.adopt(*config);
         }
         if is_newest && self.shared.book.read().is_some() {
-            self.shared.confirm_book(asked_at.saturating_sub(news.age));
+            self.shared
+                .confirm_book(requested_at.saturating_sub(update.age));
         }
         self.request = self.request.next(mark, is_newest, self.shared.book_age());
     }
 
-    /// Takes a configuration over if it is newer; an older one read late changes nothing.
-    fn adopt(&self, book: TrafficBook) {
+    /// Puts a configuration in force if it is newer than the current one; responses may arrive out
+    /// of order.
+    fn adopt(&self, config: TrafficBook) {
         let current = self
             .shared
             .book
             .read()
             .as_ref()
             .as_ref()
-            .map(|book| book.version);
-        if current.is_some_and(|version| version >= book.version) {
+            .map(|config| config.version);
+        if current.is_some_and(|version| version >= config.version) {
             return;
         }
         log::info!(
-            version = book.version,
+            version = config.version,
             from = current.unwrap_or(0),
-            hosts = book.hosts.len(),
-            services = book.services.len();
+            hosts = config.hosts.len(),
+            services = config.services.len();
             "config_adopted"
         );
-        self.shared.metrics.set_config(book.version);
-        self.shared.adopt_book(book);
+        self.shared.metrics.set_config(config.version);
+        self.shared.adopt_book(config);
     }
 }
 
@@ -215,9 +223,9 @@
     fn handle(&mut self, message: ConfigMessage, link: &ServiceLink<ConfigMessage>) {
         match message {
             ConfigMessage::Poll => self.poll(link),
-            ConfigMessage::Polled(asked_at, Ok(news)) => {
+            ConfigMessage::Polled(requested_at, Ok(update)) => {
                 self.source_health.record(CONFIG_SERVICE, None, link.now());
-                self.apply(asked_at, news);
+                self.apply(requested_at, update);
                 self.poll(link);
             }
             ConfigMessage::Polled(_, Err(error)) => {
@@ -240,7 +248,7 @@
             .read()
             .as_ref()
             .as_ref()
-            .map(|book| book.version);
+            .map(|config| config.version);
         json!({
             "version": version,
             "age_ms": self.shared.book_age().as_millis() as u64,
@@ -249,11 +257,11 @@
     }
 }
 
-/// Keeps the directory.
+/// Keeps the directory of targets in sync with the store.
 pub struct DirectorySync {
     shared: Arc<FleetShared>,
     mark: Option<FeedMark>,
-    /// Era of the store that the list is from.
+    /// Era of the store from which the list was read.
     era: Option<u64>,
     view: DirectoryView,
     source_health: SourceHealth,
@@ -263,16 +271,16 @@
 
 /// Message to [`DirectorySync`].
 pub enum DirectoryMessage {
-    /// Ask the source.
+    /// Poll the source.
     Poll,
-    /// The source answered.
+    /// The source responded or failed.
     Polled(Result<DirectoryNews, SourceError>),
-    /// Look for lapsed entries whose time is over.
+    /// Check for lapsed entries that have expired.
     Expire,
 }
 
 impl DirectorySync {
-    /// Opens a keeper that knows no target.
+    /// Creates a service that knows no targets yet.
     pub fn new(shared: Arc<FleetShared>) -> Self {
         Self {
             shared,
@@ -300,16 +308,17 @@
         });
     }
 
-    fn apply(&mut self, news: DirectoryNews, now: Moment, link: &ServiceLink<DirectoryMessage>) {
-        let era = news.mark().era;
+    fn apply(&mut self, update: DirectoryNews, now: Moment, link: &ServiceLink<DirectoryMessage>) {
+        let era = update.mark().era;
         if self.era.replace(era).is_some_and(|before| before != era) {
-            // The store has lost its last seconds. What it does not list may only have to write itself again, as
-            // after an absence; dropped at once, a target that serves would get nothing until it has.
+            // The store was restored and has lost its last seconds. A target that is not listed may
+            // only have to register again, as after an outage of the store; if it were dropped now,
+            // a target that serves would get no requests until then.
             self.lapse_window.note_failure();
         }
         self.lapse_window.note_answer(now);
         let keep = self.lapse_window.keep_until(now);
-        match news {
+        match update {
             DirectoryNews::Whole(mark, listed) => {
                 self.mark = Some(mark);
                 self.view.book.replace(listed, keep);
@@ -364,9 +373,9 @@
         let now = link.now();
         match message {
             DirectoryMessage::Poll => self.poll(link),
-            DirectoryMessage::Polled(Ok(news)) => {
+            DirectoryMessage::Polled(Ok(update)) => {
                 self.source_health.record(DIRECTORY_SERVICE, None, now);
-                self.apply(news, now, link);
+                self.apply(update, now, link);
                 link.later(MIN_DIRECTORY_DELAY, DirectoryMessage::Poll);
             }
             DirectoryMessage::Polled(Err(error)) => {
@@ -381,7 +390,7 @@
             }
             DirectoryMessage::Expire => {
                 self.is_expiry_scheduled = false;
-                // While the directory is away again, nobody can put an entry back.
+                // While the store is unavailable, no target can renew its entry.
                 if self.source_health.lost_at.is_none() && self.view.book.expire(now) {
                     self.publish();
                 }
--- a/crates/fleet/src/suspect_doc.rs
+++ b/crates/fleet/src/suspect_doc.rs
@@ -1,4 +1,4 @@
-//! Ends of targets and the requests under way there, on the wire between nodes.
+//! Wire format of crash reports between nodes.
 
 use briarswitch_core::crash::{ClearSign, EndSign, LifeKey, StoreMillis};
 use serde::{Deserialize, Serialize};
@@ -9,15 +9,16 @@
 /// Bytes of a request's fingerprint.
 type FingerprintDoc = ByteArray<16>;
 
-/// Request, life of the target, domain, moment, thousandths of the chance of a coincidence.
+/// Fingerprint of the request, incarnation of the target, domain, time, and the probability of a
+/// coincidence in thousandths.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct CrashDoc(FingerprintDoc, u64, u64, StoreMillis, u16);
 
-/// Request, moment.
+/// Fingerprint of the request, and time.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct ClearDoc(FingerprintDoc, StoreMillis);
 
-/// What one node tells another of requests under which targets have ended.
+/// What one node reports to another about requests that were running when targets crashed.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct SuspectDoc {
     ends: Vec<CrashDoc>,
--- a/crates/fleet/src/suspect_host.rs
+++ b/crates/fleet/src/suspect_host.rs
@@ -1,7 +1,7 @@
-//! What the memory of requests under which targets have ended needs of the node it runs in.
+//! What crash detection and the sync of crash reports need of the node they run in.
 //!
-//! Nodes that find their targets through a platform and nodes whose settings name everything differ in all of
-//! this, and in nothing else of that memory.
+//! Nodes that find their targets through a platform and nodes whose settings list all targets
+//! implement this interface differently; everything else is common to both.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,14 +15,14 @@
 use crate::run_facts::{RunFacts, TargetLife};
 use crate::suspect_ledger::SuspectLedger;
 
-/// What shows that a life of a target has ended.
+/// Evidence that an incarnation of a target has crashed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CrashEvidence {
     /// Nobody listens at its address.
     Refused,
-    /// Another life answers at its address.
+    /// Another incarnation responds at its address.
     OtherIncarnation,
-    /// The directory lists another life, or none.
+    /// The directory lists another incarnation, or none.
     Unlisted,
 }
 
@@ -37,73 +37,73 @@
     }
 }
 
-/// What an answer at a target's address shows.
+/// What a probe of a target's address shows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Liveness {
-    /// The life that was meant lives.
+    /// The probed incarnation is alive.
     Alive,
-    /// Somebody listens.
+    /// A process listens there; which incarnation it is, is not known.
     Listening,
 }
 
-/// Targets, and how many have ended so far without asking for no new work before.
+/// Number of targets, and of crashes so far; a target that announced its shutdown has not crashed.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct CrashCount {
-    /// Ends.
+    /// Crashes since this node started.
     pub crashes: u64,
     /// Targets.
     pub targets: usize,
 }
 
-/// What a node counts.
+/// Event that a node counts in its metrics or costs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SuspectEvent {
-    /// A target at which a run broke was asked whether it lives.
+    /// A target at which a run failed was probed.
     TargetProbed,
-    /// Another node was told of ends.
+    /// Crashes were reported to another node.
     CrashReported,
-    /// Rows were written.
+    /// Rows were written to the store or deleted.
     RowsWritten,
-    /// A target has ended.
+    /// A target has crashed.
     TargetCrashed(CrashEvidence),
-    /// A request is not to run for a while.
+    /// A request was quarantined.
     QuarantineStarted,
 }
 
-/// The node that remembers.
+/// The node in which crash reports are kept.
 pub trait SuspectHost: Send + Sync {
-    /// Returns what traffic reads.
+    /// Returns the ledger that traffic reads.
     fn suspects(&self) -> &SuspectLedger;
 
-    /// Returns the table that all nodes follow.
+    /// Returns the store's table of crash reports, which all nodes follow.
     fn registry(&self) -> &dyn SuspectRegistry;
 
-    /// Returns the whole table, or its changes after a mark.
+    /// Returns the full table, or its changes after a mark.
     fn changes(
         self: Arc<Self>,
         mark: Option<FeedMark>,
         wait: Duration,
     ) -> SourceFuture<'static, FeedAnswer>;
 
-    /// Returns the nodes that add up the ends of a request.
+    /// Returns the nodes that collect the crash reports of a request.
     ///
-    /// A node that tells nobody writes each end itself.
+    /// A node that reports to no other node writes each crash to the store itself.
     fn holders_of(&self, fingerprint: &RequestPrint, count: usize) -> ThingHolders;
 
-    /// Finds out whether the target of a run that broke lives.
+    /// Probes whether the target of a failed run is alive.
     fn probe<'a>(
         &'a self,
         facts: &'a RunFacts,
         timeout: Duration,
     ) -> BoxFuture<'a, Result<Liveness, ReportError>>;
 
-    /// Returns whether the directory lists a life, as far as this node follows it.
+    /// Returns whether the directory lists an incarnation, as far as this node knows its entries.
     fn is_listed(&self, incarnation: &TargetLife) -> bool;
 
-    /// Returns how many targets have ended.
+    /// Returns how many targets there are and how many have crashed.
     fn crash_count(&self) -> CrashCount;
 
-    /// Keeps new work from a target.
+    /// Excludes a target from new work until a moment.
     fn exclude_target(&self, target: &TargetId, until: Moment);
 
     /// Counts an event.
--- a/crates/fleet/src/suspect_ledger.rs
+++ b/crates/fleet/src/suspect_ledger.rs
@@ -1,4 +1,4 @@
-//! What traffic reads of the requests under which targets have ended.
+//! Crash history of requests, shared by the control thread and the traffic threads.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -9,16 +9,16 @@
 
 use crate::ports::{StoreClock, SuspectRow};
 
-/// The ledger of ends, shared by the control thread and traffic.
+/// Records which requests were running when targets crashed.
 pub struct SuspectLedger {
     clock: Arc<dyn StoreClock>,
     ledger: Mutex<CrashLedger>,
-    /// Whether the ledger holds anything; nearly always it does not.
+    /// Whether any crash is recorded. Usually none is, and traffic then skips the lock.
     is_nonempty: AtomicBool,
 }
 
 impl SuspectLedger {
-    /// Opens a board that knows of no end.
+    /// Creates an empty ledger.
     ///
     /// ```
     /// use std::sync::Arc;
@@ -46,12 +46,12 @@
         }
     }
 
-    /// Returns the time by which ends are dated.
+    /// Returns the current time of the store's clock, which dates crashes.
     pub fn now(&self) -> StoreMillis {
         self.clock.millis()
     }
 
-    /// Returns what is held of a request.
+    /// Returns the verdict on a request.
     pub fn verdict(&self, fingerprint: &RequestPrint) -> CrashVerdict {
         if !self.is_nonempty.load(Ordering::Relaxed) {
             return CrashVerdict::Clear;
@@ -59,7 +59,7 @@
         self.lock().verdict(fingerprint, self.now())
     }
 
-    /// Returns how long a request is not to run, if it is not to.
+    /// Returns the remaining quarantine of a request, or `None` if it may run.
     pub fn quarantine_left(&self, fingerprint: &RequestPrint) -> Option<Duration> {
         match self.verdict(fingerprint) {
             CrashVerdict::Quarantined(left) => Some(left),
@@ -67,10 +67,12 @@
         }
     }
 
-    /// Returns whether a request may be sent once more for the same attempt, `broken` of whose runs broke off.
+    /// Returns whether a request may be sent again within the same attempt, `broken_runs` of whose
+    /// runs broke off.
     ///
-    /// A caller's own repeat is decided by what all nodes know. Between two runs of one attempt nobody else can
-    /// know yet what the first has done, and going on would end the next target at once.
+    /// A caller's own retry is decided by what all nodes know. Between two runs of one attempt no
+    /// other node can know yet what the first run has done, and another run could crash the next
+    /// target immediately.
     pub fn may_retry(&self, fingerprint: &RequestPrint, broken_runs: usize) -> bool {
         let is_nonempty = self.is_nonempty.load(Ordering::Relaxed);
         let crashes = if is_nonempty {
@@ -81,27 +83,28 @@
         crashes + broken_runs < LEAST_ENDS
     }
 
-    /// Returns how many targets have ended with the request under way, as far as they count.
+    /// Returns how many targets have crashed while running the request, without expired crashes and
+    /// those it was cleared of.
     pub fn crashes(&self, fingerprint: &RequestPrint) -> usize {
         self.lock().ends(fingerprint, self.now()).len()
     }
 
-    /// Returns whether any target has ended with the request under way.
+    /// Returns whether any target has crashed while running the request.
     pub fn has_crashes(&self, fingerprint: &RequestPrint) -> bool {
         self.is_nonempty.load(Ordering::Relaxed) && self.lock().has_ends(fingerprint)
     }
 
-    /// Takes in what was seen or told; returns whether it is news.
+    /// Records a row that was observed here or reported; returns whether it is new.
     pub fn record(&self, row: &SuspectRow) -> bool {
         let mut ledger = self.lock();
         self.is_nonempty.store(true, Ordering::Relaxed);
         match row {
-            SuspectRow::Crash(end) => ledger.take_end(*end),
+            SuspectRow::Crash(crash) => ledger.take_end(*crash),
             SuspectRow::Clear(clear) => ledger.take_clear(*clear),
         }
     }
 
-    /// Returns all that is known of a request.
+    /// Returns all rows about a request.
     pub fn rows(&self, fingerprint: &RequestPrint) -> Vec<SuspectRow> {
         let ledger = self.lock();
         let crashes = ledger.ends(fingerprint, self.now());
@@ -110,7 +113,7 @@
         crashes.chain(clear).collect()
     }
 
-    /// Returns the requests that are not clear, and what is held of them.
+    /// Returns the requests that are suspected or quarantined, with their verdicts.
     pub fn suspects(&self) -> Vec<(RequestPrint, CrashVerdict)> {
         let now = self.now();
         let ledger = self.lock();
@@ -122,7 +125,7 @@
             .collect()
     }
 
-    /// Forgets what counts no more.
+    /// Drops expired crashes.
     pub fn prune(&self) {
         let mut ledger = self.lock();
         ledger.prune(self.now());
--- a/crates/fleet/src/suspect_record.rs
+++ b/crates/fleet/src/suspect_record.rs
@@ -1,4 +1,4 @@
-//! Rows on requests under which targets have ended, as tables hold them.
+//! Stored form of crash rows.
 
 use briarswitch_core::crash::{ClearSign, EndSign, LifeKey, StoreMillis};
 use briarswitch_core::print::RequestPrint;
@@ -6,35 +6,36 @@
 
 use crate::suspect_row::{SuspectKey, SuspectRow};
 
-/// What stands for the life in the key of a row that clears a request.
+/// Stands in place of the incarnation in the key of a row that clears a request.
 const CLEARED: &str = "cleared";
 
-/// Content of a row: an end, or where there is no domain and chance, the word that the request is not the cause.
+/// Value of a row: a crash, or, without domain and chance, the statement that the request caused
+/// none.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct SuspectValue {
     at: StoreMillis,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     domain: Option<u64>,
-    /// Thousandths.
+    /// Probability of a coincidence in thousandths.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     chance: Option<u16>,
 }
 
-/// A row as a table holds it.
+/// A row as it is stored.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SuspectRecord {
     /// Key.
     pub key: String,
-    /// Content.
+    /// Value.
     pub value: SuspectValue,
 }
 
-/// A row's key or content can not be understood.
+/// The key or value of a row is malformed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("malformed crash report row")]
 pub struct UnreadableRecord;
 
-/// Returns the text of a row's key.
+/// Formats the key of a row.
 ///
 /// ```
 /// use briarswitch_core::print::RequestPrint;
@@ -51,11 +52,11 @@
     }
 }
 
-/// Reads the text of a row's key.
+/// Parses the key of a row.
 ///
 /// # Errors
 ///
-/// Returns [`UnreadableRecord`] where it is none.
+/// Returns [`UnreadableRecord`] if the text is not a key.
 pub fn parse_key(text: &str) -> Result<SuspectKey, UnreadableRecord> {
     let (fingerprint, incarnation) = text.split_once('-').ok_or(UnreadableRecord)?;
     let fingerprint: RequestPrint = fingerprint.parse().map_err(|_| UnreadableRecord)?;
--- a/crates/fleet/src/suspect_row.rs
+++ b/crates/fleet/src/suspect_row.rs
@@ -1,30 +1,31 @@
-//! Rows on requests under which targets have ended.
+//! Rows of the table of crash reports.
 
 use briarswitch_core::crash::{ClearSign, EndSign, LifeKey, StoreMillis};
 use briarswitch_core::print::RequestPrint;
 
-/// Names a row in the table of requests under which targets have ended.
+/// Key of a row in the table of crash reports.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct SuspectKey {
-    /// Request.
+    /// Fingerprint of the request.
     pub fingerprint: RequestPrint,
-    /// Life that ended; `None` for the word that the request is not the cause.
+    /// Incarnation that crashed; `None` for a row that clears the request.
     pub incarnation: Option<LifeKey>,
 }
 
-/// A row in the table of requests under which targets have ended.
+/// A row in the table of crash reports.
 ///
-/// Each end is a row of its own: nodes that write at the same moment, or late, never undo each other's word.
+/// Each crash has a row of its own, so that nodes that write concurrently or late never overwrite
+/// each other's reports.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SuspectRow {
-    /// A target ended.
+    /// A target crashed while it ran the request.
     Crash(EndSign),
-    /// The request is not the cause of earlier ends.
+    /// The request did not cause earlier crashes.
     Clear(ClearSign),
 }
 
 impl SuspectRow {
-    /// Returns the row's name.
+    /// Returns the key of the row.
     pub fn key(&self) -> SuspectKey {
         let (fingerprint, incarnation) = match self {
             Self::Crash(crash) => (crash.print, Some(crash.life)),
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Returns when what it says was seen.
+    /// Returns when the row's content was observed.
     pub fn at(&self) -> StoreMillis {
         match self {
             Self::Crash(crash) => crash.at,
@@ -45,14 +46,14 @@
     }
 }
 
-/// One change of the table of requests under which targets have ended.
+/// A change of the table of crash reports.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SuspectChange {
     /// The row is new or has changed.
     Put(SuspectRow),
-    /// The row is gone.
+    /// The row was deleted.
     Removed(SuspectKey),
 }
 
-/// Most rows that are written and dropped at once.
+/// Maximum number of rows that are written and deleted in one call.
 pub const MAX_SUSPECT_ROWS: usize = 100;
--- a/crates/fleet/src/suspect_sync.rs
+++ b/crates/fleet/src/suspect_sync.rs
@@ -1,9 +1,11 @@
-//! Has every node know of the requests under which targets have ended.
+//! Distributes crash reports, so that every node knows which requests were running when targets
+//! crashed.
 //!
-//! Repeats of a request come to any node, so no node sees all that one has done. Each end is told to the two nodes
-//! that rank first for the request, which see its ends add up. What more than coincidence explains is written to the
-//! store's table, which every node follows: also one that reaches no other node, and one that has just started. A
-//! node that reaches nobody writes what it sees itself.
+//! Retries of a request may arrive at any node, so no single node sees all crashes that it causes.
+//! Each crash is reported to the two nodes that rank first for the request, which thus see all of
+//! its crashes. Requests whose crashes are unlikely to be a coincidence are written to a table of
+//! the store, which every node follows, including nodes that reach no other node and nodes that
+//! have just started. A node that reaches no other node writes the crashes that it sees itself.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,78 +30,81 @@
 use crate::suspect_table::{SuspectBatch, SuspectTable};
 use crate::verdict_log::VerdictLog;
 
-/// Path at which a node is told of ends.
+/// Path at which a node receives crash reports.
 pub const SUSPECT_PATH: &str = "/suspects";
-/// Nodes that are told of each end; one may be lost at once.
+/// Nodes that receive each crash report; one of them may fail.
 const HOLDERS_PER_REQUEST: usize = 2;
-/// Time to wait for a holder's answer.
+/// Time-out of a report to a holder.
 const HOLDER_TIMEOUT: Duration = Duration::from_millis(400);
-/// Chance of a coincidence, in thousandths, above which an end says too little to be counted.
+/// Probability of a coincidence, in thousandths, above which a crash says too little to be counted.
 const MAX_CHANCE_PERMILLE: u16 = 300;
-/// Longest time a question for changes of the table is held open.
+/// Maximum wait of a long poll for changes of the table.
 ///
-/// A connection that fell silent is noticed after this and the time for an answer, and every node has to know
-/// within three seconds.
+/// A connection that fell silent is noticed after this time and the response time-out, and every
+/// node has to know of a crash within three seconds.
 const MAX_TABLE_WAIT: Duration = Duration::from_millis(2_000);
-/// Time that the second holder, and then whoever saw the end, leave those before them to write a row.
+/// Delay per rank before a row is written: the second holder, and after it the node that saw the
+/// crash, give those before them time to write it.
 const WRITE_STAGGER: Duration = Duration::from_millis(250);
-/// Time between looks at what is to be written or dropped.
+/// Interval between checks for rows to write or delete.
 const ROUND_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between two counts of the targets that have ended.
+/// Interval at which the crash rate of targets is sampled.
 const CRASH_RATE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Name of the keeper.
+/// Name of the service.
 pub const SUSPECT_SERVICE: &str = "suspects";
 
-/// A run that was under way when its target ended.
+/// A run that was active when its target crashed.
 #[derive(Clone, Debug)]
 pub struct CrashedRun {
-    /// What ran where.
+    /// The request and its target.
     pub facts: RunFacts,
-    /// How long it had run when the end was seen.
+    /// How long it had run when it failed.
     pub ran_for: Duration,
-    /// When the target ended, as far as the run tells.
-    pub ended_at: Moment,
+    /// When the target crashed, as far as the run shows.
+    pub crashed_at: Moment,
 }
 
 /// Message to [`SuspectSync`].
 pub enum SuspectMessage {
-    /// Targets ended with these runs under way.
+    /// Targets crashed while these runs were active.
     Crashed(Vec<CrashedRun>),
-    /// Another node told something of these requests that is news.
+    /// Another node reported something new about these requests.
     Reported(IndexSet<RequestPrint>),
-    /// A holder was told of these ends, and answered what it knows of the requests, or did not answer.
+    /// A holder received these crash reports and responded with what it knows of the requests, or
+    /// did not respond.
     HolderResponded(Vec<EndSign>, Option<Vec<SuspectRow>>),
-    /// A request under which targets had ended was answered as a whole.
+    /// A request that had crashed targets before received a complete response.
     Completed(RequestPrint),
-    /// The operator takes back what is held of a request.
+    /// The operator released a request.
     Released(RequestPrint),
-    /// Ask for changes of the table.
+    /// Poll the table for changes.
     Poll,
-    /// The table's changes came or not.
+    /// The poll returned changes or failed.
     Polled(Result<SuspectUpdate, SourceError>),
-    /// Rows were written and dropped, or not.
+    /// A batch of rows was written, or the write failed.
     Written(SuspectBatch, Result<(), SourceError>),
-    /// Look at what is to be written or dropped.
+    /// Check for rows to write or delete.
     Round,
 }
 
-/// Changes of the table.
+/// The full table, or changes of it.
 #[derive(Clone, Debug)]
 pub struct SuspectUpdate {
     mark: FeedMark,
-    is_whole: bool,
+    is_snapshot: bool,
     changes: Vec<SuspectChange>,
 }
 
-/// Keeps the table of ends, and the board that traffic reads.
+/// Keeps the ledger that traffic reads in sync with other nodes and the store's table.
 pub struct SuspectSync {
     host: Arc<dyn SuspectHost>,
     client: CallerClient,
     mark: Option<FeedMark>,
     source_health: SourceHealth,
     table: SuspectTable,
-    /// Holders that have not answered yet, by the end that they were told of; no entry once one has.
+    /// Number of holders that have not responded yet, by the reported crash; removed as soon as one
+    /// has.
     unacknowledged: IndexMap<SuspectKey, usize>,
     verdicts: VerdictLog,
     crash_rate: EndRate,
@@ -107,7 +112,7 @@
 }
 
 impl SuspectSync {
-    /// Opens a keeper that knows of no end.
+    /// Creates a service that knows of no crash.
     pub fn new(host: Arc<dyn SuspectHost>) -> Self {
         Self {
             host,
@@ -122,18 +127,19 @@
         }
     }
 
-    /// Counts ends that this node saw, and tells their holders.
+    /// Records crashes that this node saw, and reports them to their holders.
     fn record_crashes(&mut self, runs: Vec<CrashedRun>, link: &ServiceLink<SuspectMessage>) {
         let (store_time, crash_rate) = (self.host.suspects().now(), self.crash_rate.per_second());
         let mut crashes = Vec::new();
         for CrashedRun {
             facts,
             ran_for,
-            ended_at,
+            crashed_at,
         } in runs
         {
-            // Dated by when they were noticed, ends that are noticed together would pass for one.
-            let elapsed = link.now().saturating_sub(ended_at).as_millis() as StoreMillis;
+            // The time of the crash itself is used: crashes that are only noticed together would
+            // otherwise count as one.
+            let elapsed = link.now().saturating_sub(crashed_at).as_millis() as StoreMillis;
             let at = store_time.saturating_sub(elapsed);
             let target = EndedTarget {
                 target: &facts.life.target,
@@ -162,7 +168,8 @@
         self.reevaluate(&fingerprints, true, link.now());
     }
 
-    /// Tells the nodes that rank first for each request; where there is nobody, the rows are written at once.
+    /// Reports crashes to the nodes that rank first for each request; if there are none, the rows
+    /// are written immediately.
     fn report_to_holders(&mut self, crashes: &[EndSign], link: &ServiceLink<SuspectMessage>) {
         let mut messages: IndexMap<NodeId, (Arc<NodeEntry>, Vec<EndSign>)> = IndexMap::new();
         for crash in crashes {
@@ -188,7 +195,7 @@
         }
     }
 
-    /// Takes in a holder's answer; ends that no holder was told of are written.
+    /// Applies a holder's response; crashes that no holder received are written to the store.
     fn apply_holder_response(
         &mut self,
         crashes: &[EndSign],
@@ -228,7 +235,8 @@
         });
     }
 
-    /// Takes rows in; `is_own` where this node is one of those that have to see them written.
+    /// Applies rows; `must_write` if this node is one of those that have to make sure they are
+    /// written.
     fn apply_rows(&mut self, rows: &[SuspectRow], must_write: bool, now: Moment) {
         let updated = rows.iter().filter(|row| self.host.suspects().record(row));
         let fingerprints: IndexSet<RequestPrint> =
@@ -236,7 +244,8 @@
         self.reevaluate(&fingerprints, must_write, now);
     }
 
-    /// Looks at requests of which something new is known: what is held of them, and what is to be written.
+    /// Reevaluates requests of which something new is known: updates the verdicts and schedules
+    /// writes.
     fn reevaluate(&mut self, fingerprints: &IndexSet<RequestPrint>, must_write: bool, now: Moment) {
         for fingerprint in fingerprints {
             let verdict = self.host.suspects().verdict(fingerprint);
@@ -262,7 +271,7 @@
             .own_place
     }
 
-    /// Takes in that a request is not the cause of what has ended so far.
+    /// Records that a request did not cause the crashes so far.
     fn clear(&mut self, fingerprint: RequestPrint, reason: &'static str, now: Moment) {
         if !self.host.suspects().has_crashes(&fingerprint) {
             return;
@@ -283,7 +292,8 @@
         }
     }
 
-    /// Writes what is due, and drops what counts no more of the requests that this node ranks first for.
+    /// Writes rows that are due, and deletes expired rows of the requests that this node ranks
+    /// first for.
     fn write_due(&mut self, link: &ServiceLink<SuspectMessage>) {
         let host = Arc::clone(&self.host);
         let is_first = |fingerprint: &RequestPrint| {
@@ -323,7 +333,7 @@
             let response = Arc::clone(&host).changes(mark, wait).await;
             SuspectMessage::Polled(response.map(|response| SuspectUpdate {
                 mark: response.mark,
-                is_whole: response.is_whole,
+                is_snapshot: response.is_whole,
                 changes: host.registry().news(&response),
             }))
         });
@@ -331,10 +341,10 @@
 
     fn apply_update(&mut self, update: SuspectUpdate, now: Moment) {
         self.mark = Some(update.mark);
-        let rows = self.table.apply(&update.changes, update.is_whole);
+        let rows = self.table.apply(&update.changes, update.is_snapshot);
         self.apply_rows(&rows, false, now);
-        if update.is_whole {
-            // What the store has lost, or never got, is written again.
+        if update.is_snapshot {
+            // Rows that the store lost or never received are written again.
             let suspects = self.host.suspects().suspects().into_iter();
             let fingerprints = suspects.map(|(fingerprint, _)| fingerprint).collect();
             self.reevaluate(&fingerprints, false, now);
@@ -353,7 +363,7 @@
         }
     }
 
-    /// Notes the quarantines that are over because their ends are forgotten.
+    /// Updates the verdicts of requests whose crashes may have expired.
     fn refresh_verdicts(&mut self) {
         for fingerprint in self.verdicts.fingerprints() {
             let verdict = self.host.suspects().verdict(&fingerprint);
--- a/crates/fleet/src/suspect_table.rs
+++ b/crates/fleet/src/suspect_table.rs
@@ -1,4 +1,4 @@
-//! What the store's table holds of requests under which targets have ended, and what this node is to write there.
+//! Local copy of the store's table of crash reports, and the rows that this node has to write.
 
 use briarswitch_core::crash::{is_forgotten, StoreMillis};
 use briarswitch_core::id::Moment;
@@ -7,15 +7,15 @@
 
 use crate::ports::{SuspectChange, SuspectKey, SuspectRow, MAX_SUSPECT_ROWS};
 
-/// Time for which a row that counts no more is left, so that clocks need not agree to the second.
+/// Time for which an expired row is kept, in case the clocks of nodes differ.
 const DELETION_GRACE_MS: StoreMillis = 30_000;
 
-/// Rows to write and to drop in one call.
+/// Rows to write and to delete in one call.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SuspectBatch {
     /// Rows to write.
     pub rows: Vec<SuspectRow>,
-    /// Rows to drop.
+    /// Rows to delete.
     pub deleted: Vec<SuspectKey>,
 }
 
@@ -28,7 +28,7 @@
 /// The table as this node knows it.
 #[derive(Debug, Default)]
 pub struct SuspectTable {
-    /// Rows that the store holds, and when what they say was seen.
+    /// Rows that the store holds, with the time when their content was observed.
     stored: IndexMap<SuspectKey, StoreMillis>,
     pending: IndexMap<SuspectKey, PendingRow>,
     is_writing: bool,
@@ -45,14 +45,14 @@
         self.pending.len()
     }
 
-    /// Returns whether the store holds anything of a request.
+    /// Returns whether the store holds any row of a request.
     pub fn contains(&self, fingerprint: &RequestPrint) -> bool {
         self.stored
             .keys()
             .any(|key| key.fingerprint == *fingerprint)
     }
 
-    /// Has a row written from a moment on, unless the store holds it by then.
+    /// Schedules a row to be written at a moment, unless the store holds it by then.
     ///
     /// ```
     /// use std::time::Duration;
@@ -81,14 +81,14 @@
         self.pending.insert(key, PendingRow { row, at });
     }
 
-    /// Forgets what was to be written of a request.
+    /// Cancels all scheduled writes of a request.
     pub fn cancel_writes(&mut self, fingerprint: &RequestPrint) {
         self.pending
             .retain(|key, _| key.fingerprint != *fingerprint);
     }
 
-    /// Returns what is due and nobody else has written, and of the rows that count no more those that `drops` names;
-    /// `None` while there is nothing or the last batch is still on its way.
+    /// Returns the scheduled rows that are due, and the expired rows of requests that `may_delete`
+    /// accepts; `None` if there are none or the last batch is still being written.
     pub fn begin_write(
         &mut self,
         now: Moment,
@@ -111,7 +111,7 @@
         self.is_writing.then_some(SuspectBatch { rows, deleted })
     }
 
-    /// Notes that a batch was written.
+    /// Records that a batch was written.
     pub fn commit_batch(&mut self, batch: &SuspectBatch) {
         self.is_writing = false;
         batch.rows.iter().for_each(|row| self.record_stored(row));
@@ -120,7 +120,8 @@
         }
     }
 
-    /// Notes that a batch may not have been written: its rows stay due, and written twice they are the same rows.
+    /// Records that the write of a batch may have failed. Its rows stay scheduled, and nothing is
+    /// written before `retry_at`; writing a row twice has no effect.
     pub fn retry_batch(&mut self, retry_at: Moment) {
         self.is_writing = false;
         for due in self.pending.values_mut() {
@@ -128,9 +129,9 @@
         }
     }
 
-    /// Takes changes in, or the whole table, and returns the rows that were put.
-    pub fn apply(&mut self, changes: &[SuspectChange], is_whole: bool) -> Vec<SuspectRow> {
-        if is_whole {
+    /// Applies changes, or the full table, and returns the rows that were added or changed.
+    pub fn apply(&mut self, changes: &[SuspectChange], is_snapshot: bool) -> Vec<SuspectRow> {
+        if is_snapshot {
             self.stored.clear();
         }
         let mut rows = Vec::new();
--- a/crates/fleet/src/suspicion.rs
+++ b/crates/fleet/src/suspicion.rs
@@ -1,4 +1,5 @@
-//! Keeps new work from targets that fall silent or refuse connections, and has them looked at.
+//! Excludes targets that fall silent or refuse connections from new work, and has their groups
+//! checked.
 
 use std::time::Duration;
 
@@ -10,17 +11,20 @@
 use crate::peers::{PeerMessage, SilentTarget};
 use crate::table::RouteTarget;
 
-/// Least time without an answer after which a request that may be repeated is sent elsewhere.
+/// Minimum time without a response after which a request that may be repeated is sent to another
+/// target.
 const MIN_REROUTE_DELAY: Duration = Duration::from_millis(500);
 /// Time for which a silent target gets no new work.
 const SUSPICION_TTL: Duration = Duration::from_millis(900);
 
-/// Returns the time without an answer after which a request is worth sending elsewhere, if it may be.
+/// Returns the time without a response after which a request is better sent to another target, if
+/// it may be.
 pub fn reroute_delay(job: &RequestJob) -> Duration {
     (job.rule.objective * 2).max(MIN_REROUTE_DELAY)
 }
 
-/// Returns the silence of a target after which it has lost a member or is cut off.
+/// Returns the silence of a target after which it counts as having lost a member or being
+/// partitioned.
 pub fn silence_limit_for(job: &RequestJob, target: &RouteTarget) -> Duration {
     let model = target.group.as_ref().and_then(|group| {
         let engine = job.engine()?;
@@ -40,18 +44,18 @@
     silence_limit(engine, model, &work)
 }
 
-/// Suspects targets, and tells those that give their groups orders.
+/// Marks targets as suspect and reports them to the nodes that control their groups.
 pub struct SuspicionReporter {
     peers: Mailbox<PeerMessage>,
 }
 
 impl SuspicionReporter {
-    /// Opens a teller that tells `peers` of targets that fall silent.
+    /// Creates a reporter that sends silent targets to `peers`.
     pub fn new(peers: Mailbox<PeerMessage>) -> Self {
         Self { peers }
     }
 
-    /// Keeps new work from a target that fell silent, and has it looked at.
+    /// Excludes a silent target from new work and has its group checked.
     pub fn suspect(&self, target: &RouteTarget, now: Moment) {
         if !target.gauge.is_suspect(now) {
             log::warn!(
@@ -66,7 +70,8 @@
         target.gauge.suspect(now + SUSPICION_TTL);
     }
 
-    /// Has the node told that gives the group its orders; a single target has none.
+    /// Has the target reported to the node that controls its group; a target without a group has
+    /// none.
     fn report_suspicion(&self, target: &RouteTarget) {
         if target.group.is_none() {
             return;
--- a/crates/fleet/src/verdict_log.rs
+++ b/crates/fleet/src/verdict_log.rs
@@ -1,4 +1,4 @@
-//! What was last held of each request under which targets have ended, told when it changes.
+//! Tracks the verdict on each request that was running when targets crashed, and logs changes.
 
 use briarswitch_core::crash::CrashVerdict;
 use briarswitch_core::print::RequestPrint;
@@ -24,7 +24,7 @@
         self.verdicts.keys().copied().collect()
     }
 
-    /// Takes a verdict in, and tells what it changes.
+    /// Records a verdict, and logs and counts what it changes.
     pub fn record(
         &mut self,
         host: &dyn SuspectHost,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Shows what is held of each request.
+    /// Returns the state of each request for the node's state dump.
     pub fn dump(&self, host: &dyn SuspectHost) -> Vec<Value> {
         let entries = self.verdicts.iter().map(|(fingerprint, verdict)| {
             let remaining = match verdict {
--- a/crates/fleet/tests/crashes.rs
+++ b/crates/fleet/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that end the targets that run them, through whole nodes.
+//! End-to-end tests of requests that crash the targets that run them.
 
 mod support;
 
@@ -13,16 +13,16 @@
 use support::target::{TargetStub, BREAKING, DEADLY, LASTING};
 use support::{Ask, Fleet, KEYS};
 
-/// Time after the third end within which every node has to know.
+/// Time after the third crash within which every node has to know of it.
 const PROPAGATION_LIMIT: Duration = Duration::from_secs(3);
-/// Runs that are allowed after that, all nodes together.
+/// Maximum number of runs after that time, at all nodes together.
 const MAX_LATE_RUNS: usize = 3;
-/// Time between two attempts of a caller that comes again at once.
+/// Interval between two attempts of a caller that retries immediately.
 const RETRY_INTERVAL: Duration = Duration::from_millis(150);
-/// Ends of targets after which a request is not to run any more.
+/// Crashes after which a request must not run any more.
 const QUARANTINE_CRASHES: usize = 3;
 
-/// Returns when a body began to run, at all targets, in order.
+/// Returns the start times of all runs of a body at all targets, in order.
 fn runs(fleet: &Fleet, body: &str) -> Vec<Instant> {
     let seen = fleet.targets.iter().flat_map(|target| target.seen());
     let mut runs: Vec<Instant> = seen
@@ -33,7 +33,7 @@
     runs
 }
 
-/// Returns how many runs began later than all nodes have to know.
+/// Returns how many runs began after every node had to know of the third crash.
 fn late_runs(fleet: &Fleet, body: &str) -> usize {
     let runs = runs(fleet, body);
     let Some(third) = runs.get(QUARANTINE_CRASHES - 1) else {
@@ -44,7 +44,7 @@
         .count()
 }
 
-/// Repeats a request at one node after the other.
+/// Repeats a request, with the next node each time.
 async fn repeat(fleet: &Fleet, body: &str, time: Duration) {
     let end = Instant::now() + time;
     let mut node = 0;
@@ -55,12 +55,13 @@
     }
 }
 
-/// Symptom: callers of a service get nothing in time for seconds on end; 23 targets end one after the other, each
-/// back after some seconds.
-/// Events: a caller's request ends the target that runs it. Its stream goes on at a second target, which ends too. The
-/// caller comes again, with the same path and body under another id, at any node, and so on.
-/// Cause: nothing remembered what a request had done to a target, neither between two runs of one attempt nor between
-/// attempts, so each repeat began from nothing. 35 runs began later than three seconds after the third end.
+/// Guards against a request that crashes one target after the other; once, 23 targets crashed in
+/// turn, each was away for some seconds, and callers of the service got no response in time.
+///
+/// The request crashes the target that runs it, its stream is resumed at a second target and
+/// crashes that as well, and the caller retries at any node with the same path and body under
+/// another id. Without a record of crashes, kept between the runs of an attempt and between
+/// attempts, 35 runs began more than three seconds after the third crash.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_crashes_targets_is_no_longer_run_at_any_node() {
@@ -70,9 +71,10 @@
     expect_that!(late_runs(&fleet, DEADLY), le(MAX_LATE_RUNS));
 }
 
-/// Symptom: one attempt of a caller ends as many targets as its rule allows attempts.
-/// Events: a stream breaks with its target and goes on at another, though two targets have ended under it before.
-/// Cause guarded against: deciding on a repeat by what this attempt knows alone.
+/// Guards against an attempt that crashes as many targets as its rule allows runs.
+///
+/// A stream breaks with its target and is resumed at another one, though two targets have crashed
+/// under the request before. The decision must not rest on this attempt alone.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn an_attempt_is_not_retried_once_two_targets_have_crashed_before() {
@@ -92,7 +94,7 @@
     expect_that!(runs(&fleet, DEADLY).len(), eq(QUARANTINE_CRASHES));
 }
 
-/// Returns how many ends each suspected request has, as a node shows them.
+/// Returns the number of crashes of each suspected request, as shown by a node.
 async fn crash_counts(fleet: &Fleet, node: usize) -> Vec<u64> {
     let suspects = suspects(fleet, node).await;
     let counts = suspects
@@ -101,7 +103,7 @@
     counts.collect()
 }
 
-/// Waits until a node refuses a request, and returns what its caller is told.
+/// Waits until a node refuses a request, and returns the refusal.
 async fn wait_until_refused(fleet: &Fleet, node: usize, ask: Ask<'_>) -> support::Answer {
     fleet
         .until("the request is refused", || async {
@@ -115,10 +117,9 @@
     fleet.ask(node, ask).await
 }
 
-/// Symptom: a caller is kept waiting for a place, or is told nothing of when to come back, or another caller is
-/// refused with it.
-/// Events: a request was quarantined; it comes again, and so do others of its caller and of another one.
-/// Cause guarded against: refusing late, or by too little of what makes the request.
+/// Guards against a quarantined request that waits in the queue instead of being refused at once,
+/// against a refusal that does not say when to retry, and against a fingerprint that matches too
+/// much: other requests of the same caller, and the same request of another caller, must still run.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_quarantined_request_is_refused_as_not_run_and_no_other_is() {
@@ -162,9 +163,8 @@
     );
 }
 
-/// Symptom: a node that reaches no other node goes on sending a request to targets.
-/// Events: three targets end at other nodes; the node reaches the platform only.
-/// Cause guarded against: telling other nodes and nobody else.
+/// Guards against crash reports that travel only between nodes: a node that reaches only the
+/// platform has to learn of three crashes at other nodes as well.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_that_reaches_no_other_node_learns_of_crashes() {
@@ -182,9 +182,8 @@
     expect_that!(runs(&fleet, DEADLY).len(), eq(before));
 }
 
-/// Symptom: a request ends a few targets at each node, many in all.
-/// Events: no node reaches another; each sees less than enough by itself.
-/// Cause guarded against: writing down only what one node alone is sure of.
+/// Guards against many crashes in total when no node reaches another and each sees too few crashes
+/// to be certain. Every node therefore has to write down what it sees.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn isolated_nodes_add_up_the_crashes_they_see() {
@@ -202,9 +201,8 @@
     expect_that!(runs(&fleet, DEADLY).len(), le(2 * QUARANTINE_CRASHES + 2));
 }
 
-/// Symptom: after all nodes were killed at once a request ends targets again.
-/// Events: it was quarantined; every node starts again without anything that it knew.
-/// Cause guarded against: keeping a verdict in the memory of nodes only.
+/// Guards against verdicts that are kept in memory only: after all nodes were killed and started
+/// again, a quarantined request would crash targets again.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn nodes_that_all_restart_still_know_of_quarantines() {
@@ -225,20 +223,21 @@
     for index in 0..3 {
         wait_until_refused(&fleet, index, Ask::chat(DEADLY)).await;
     }
-    // Whoever is asked before it has read the table runs it once at most.
+    // A node that has not read the table yet runs the request at most once.
     expect_that!(runs(&fleet, DEADLY).len() - before, le(MAX_LATE_RUNS));
 }
 
-/// Symptom: while the store is away a request ends targets without an end.
-/// Events: no node reaches the store; the request comes again at all of them; the store returns.
-/// Cause guarded against: learning of ends through the store alone, and forgetting what could not be written.
+/// Guards against crash reports that travel through the store only: while no node reaches the
+/// store, a request that is repeated at all nodes would crash targets without limit. Reports that
+/// could not be written have to be written once the store is back.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn nodes_report_crashes_to_each_other_while_the_store_is_down_and_write_them_later() {
     let fleet = Fleet::open(12, &["z1", "z1", "z2"]).await;
     fleet.nodes.iter().for_each(|node| node.door.close(true));
     repeat(&fleet, DEADLY, PROPAGATION_LIMIT * 2).await;
-    // Two nodes hear of all ends; any other one learns from them at its own next one.
+    // Two nodes receive all crash reports; any other node learns of them when it reports its own
+    // next crash.
     expect_that!(
         runs(&fleet, DEADLY).len(),
         le(QUARANTINE_CRASHES + fleet.nodes.len())
@@ -252,9 +251,8 @@
         .await;
 }
 
-/// Symptom: callers are refused although no target has ended under their requests.
-/// Events: the connection of each run breaks while its target lives on, as on a bad path.
-/// Cause guarded against: taking a broken connection for the end of a target.
+/// Guards against broken connections, as on a bad network path, that are taken for crashes: callers
+/// would be refused although their requests crashed no target.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn broken_connections_do_not_count_as_crashes() {
@@ -271,7 +269,7 @@
     expect_that!(fleet.platform.keys(SUSPECT_TABLE), is_empty());
 }
 
-/// Returns what a node holds of the requests that it suspects.
+/// Returns the suspected requests from a node's state dump.
 async fn suspects(fleet: &Fleet, node: usize) -> Vec<Value> {
     let state = fleet.operate(node, Method::GET, "/state").await.body;
     let state: Value = serde_json::from_str(&state).unwrap_or_default();
@@ -279,9 +277,9 @@
     suspects.cloned().unwrap_or_default()
 }
 
-/// Symptom: a request that does no harm is refused for minutes, and nobody can help its caller.
-/// Events: three targets ended by themselves under it; the operator releases it at one node.
-/// Cause guarded against: a verdict that only time turns over, or a release that one node knows of.
+/// Guards against a harmless request that stays refused for minutes because three targets happened
+/// to crash while running it: an operator has to be able to release it, and the release has to
+/// reach all nodes.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn an_operator_releases_a_request_at_all_nodes() {
@@ -304,13 +302,13 @@
                 .filter(runs)
                 .for_each(|target| target.end());
         };
-        // Once it is quarantined it does not run again; the next look at what is held shows that.
-        let asked = fleet.ask(0, ask);
-        tokio::pin!(asked);
+        // Once it is quarantined it does not run again, which the loop condition detects.
+        let response = fleet.ask(0, ask);
+        tokio::pin!(response);
         tokio::select! {
-            _ = &mut asked => {}
+            _ = &mut response => {}
             () = crash => {
-                asked.await;
+                response.await;
             }
         }
         tokio::time::sleep(Duration::from_millis(300)).await;
@@ -339,12 +337,13 @@
     }
 }
 
-/// Symptom: of callers that come while targets have ended half are told to come again, each after four refused
-/// connections; 2,198 were refused within 16 s.
-/// Events: six of eight targets end. The directory drops them seconds later; until then they look like the ones with
-/// the least work.
-/// Cause: a refused connection was forgotten with the request that met it, and counted towards giving that up. 30 of 30
-/// callers were told to come again.
+/// Guards against callers who are told to retry although healthy targets are left: half of them
+/// were, each after four refused connections, 2,198 within 16 s.
+///
+/// Six of eight targets crash. The directory drops them only seconds later; until then they look
+/// like the least loaded targets. When a refused connection was forgotten together with its
+/// request, and counted towards the request's maximum number of attempts, 30 of 30 callers were
+/// told to retry.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_are_not_sent_to_crashed_targets() {
@@ -358,14 +357,15 @@
         let answer = fleet.ask(0, Ask::model(&body)).await;
         unserved += usize::from(!answer.is_served());
     }
-    // Two may each find four targets gone before the node knows of all six.
+    // Two requests may each meet four crashed targets before the node knows of all six.
     expect_that!(unserved, le(2));
 }
 
-/// Symptom: callers' streams break off although another target has room for them; 123 did within 16 s.
-/// Events: the target of a stream ends, and others with it. The stream is to go on at one of those, which refuses
-/// the connection.
-/// Cause: a stream had one try to go on, also where that reached nobody. 3 of 3 broke off.
+/// Guards against streams that break off although another target has capacity; 123 did within 16 s.
+///
+/// The target of a stream crashes, and others with it; one of those is chosen to resume the stream
+/// and refuses the connection. When a stream could be resumed only once, even if that attempt
+/// reached no target, 3 of 3 streams broke off.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_is_resumed_past_crashed_targets() {
@@ -376,11 +376,11 @@
             fleet
                 .until("it runs", || async { !runs(&fleet, &body).is_empty() })
                 .await;
-            // Its first event is on its way.
+            // Leaves time for its first event.
             tokio::time::sleep(RETRY_INTERVAL).await;
             let is_running = |target: &&TargetStub| target.is_running(&body);
             let running = fleet.targets.iter().position(|target| is_running(&target));
-            // The last that is chosen among those without work.
+            // The idle target that would be chosen last.
             let spared = if running == Some(4) { 3 } else { 4 };
             for (index, target) in fleet.targets.iter().enumerate() {
                 if index != spared && Some(index) != running {
--- a/crates/fleet/tests/feed.rs
+++ b/crates/fleet/tests/feed.rs
@@ -1,4 +1,4 @@
-//! Questions of many nodes that are asked of the store once.
+//! Requests for the store's tables that many nodes share.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{Arc, Mutex};
@@ -18,7 +18,7 @@
 use http::StatusCode;
 use tokio::sync::watch;
 
-/// A store that counts its calls and answers after a moment.
+/// A store that counts its calls and responds after a delay.
 struct CountingStore {
     calls: AtomicU32,
     response: std::result::Result<FeedAnswer, SourceError>,
@@ -86,7 +86,7 @@
             ok(eq(&changed().rows))
         );
     }
-    // One that asks the same a little later gets what is known, and is told how old it is.
+    // An identical request a little later gets the cached response with its age.
     let later = BootClock::now() + Duration::from_millis(400);
     let response = relay
         .request_store(request(), later)
@@ -96,9 +96,9 @@
     expect_that!(store.calls.load(Ordering::SeqCst), eq(1));
 }
 
-/// Symptom: a node asks its reader thousands of times a second.
-/// Events: nothing has changed, so the answer leaves the mark where it was, and the node asks the same again.
-/// Cause guarded against: giving the kept answer again instead of holding the question open.
+/// Guards against a node that polls its reader in a tight loop: when nothing has changed, the mark
+/// stays the same and the node repeats its request. If it got the cached response, instead of a new
+/// long poll, it would send thousands of requests per second.
 #[gtest]
 #[tokio::test]
 async fn a_response_without_changes_is_not_reused() {
@@ -114,9 +114,8 @@
     expect_that!(store.calls.load(Ordering::SeqCst), eq(3));
 }
 
-/// Symptom: a zone knows nothing new for seconds after the store is back.
-/// Events: the store turns a question away; the next one comes when it answers again.
-/// Cause guarded against: giving a kept failure to those that ask later.
+/// Guards against a zone that receives no updates for seconds after the store is back, because the
+/// failure of an earlier request is cached and returned to later ones.
 #[gtest]
 #[tokio::test]
 async fn a_failure_is_not_cached() {
@@ -130,9 +129,9 @@
     expect_that!(store.calls.load(Ordering::SeqCst), eq(2));
 }
 
-/// Symptom: 81 nodes made 2,400 calls to a store that was away for five seconds.
-/// Events: every node asks its reader again and again, and each of those questions is a call of the reader's.
-/// Cause guarded against: a reader that sends the next question as soon as one has failed.
+/// Guards against nodes that flood a store that is down; 81 nodes made 2,400 calls in five seconds.
+/// Every node retries at its reader, and a reader without a delay after a failure turns each of
+/// those requests into a call.
 #[gtest]
 #[tokio::test]
 async fn many_requests_while_the_store_is_down_cost_few_calls() {
@@ -147,9 +146,9 @@
     expect_that!(store.calls.load(Ordering::SeqCst), le(10));
 }
 
-/// Symptom: each of a thousand targets that change costs a call, whatever pause every node makes.
-/// Events: followers ask at any time; as soon as an answer has come, one of them asks for what follows.
-/// Cause guarded against: a pace that each node keeps for itself.
+/// Guards against one call for each of a thousand changing targets. Followers send requests at any
+/// time, and one of them asks for the next change as soon as a response has arrived, so an interval
+/// that each node keeps by itself does not limit the calls.
 #[gtest]
 #[tokio::test]
 async fn long_polls_keep_their_interval_however_many_nodes_poll() {
@@ -166,13 +165,13 @@
     let started_at = BootClock::now();
     let requests = (0..20).map(|_| relay.request_store(next.clone(), started_at));
     join_all(requests).await;
-    // Nobody waits longer than it asked to, and all share one call.
+    // No request waits longer than it asked for, and all share one call.
     expect_that!(store.calls.load(Ordering::SeqCst), eq(2));
 }
 
-/// Symptom: the followers of a reader that does not hear from the store each ask the store as well.
-/// Events: the store is silent; the followers' own patience ends and they take their reader for lost.
-/// Cause guarded against: a reader that answers nothing while it waits.
+/// Guards against followers that call the store themselves because their reader does not respond
+/// while it waits for a silent store, so that their time-out ends and they take the reader for
+/// failed.
 #[gtest]
 #[tokio::test]
 async fn a_reader_reports_in_time_that_the_store_is_silent() {
@@ -211,29 +210,30 @@
     expect_that!(store.calls.load(Ordering::SeqCst), eq(1));
 }
 
-/// What a reader of the zone does with a question.
+/// What a reader of the zone does with a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum ReaderBehavior {
-    /// Says that the store has not answered.
+    /// Says that the store has not responded.
     Unavailable,
-    /// Gives no answer.
+    /// Never responds.
     Silent,
-    /// Answers.
+    /// Responds with changes.
     Responds,
 }
 
-/// What happened, in order.
+/// An event of a test; events are recorded in order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum FeedEvent {
-    /// A reader was asked, the first, the second and so on.
+    /// A reader received a request; they are counted from one.
     ReaderCalled(usize),
-    /// The question to a silent reader was given up.
+    /// The request to a silent reader was cancelled.
     Cancelled,
-    /// The store was asked.
+    /// The store received a request.
     StoreCalled,
 }
 
-/// Readers that do as they are told in the order in which they are asked, and a store that answers.
+/// Readers that behave as scripted, in the order in which they receive requests, and a store that
+/// responds.
 struct ZoneScript {
     behaviors: Vec<ReaderBehavior>,
     events: Mutex<Vec<FeedEvent>>,
@@ -292,7 +292,7 @@
     }
 }
 
-/// Asks as a follower in a zone of these readers, and returns what happened.
+/// Sends a request as a follower in a zone with these readers, and returns the events.
 async fn follow(behaviors: &[ReaderBehavior], request: FeedQuestion) -> Vec<FeedEvent> {
     let script = Arc::new(ZoneScript {
         behaviors: behaviors.to_vec(),
@@ -313,7 +313,7 @@
         let entry = NodeEntry {
             node: format!("reader-{index}"),
             address: server.address().to_string(),
-            // Those with more bandwidth read for the zone.
+            // Nodes with more bandwidth become readers of the zone.
             link_mbps: 1_000,
             ..own.clone()
         };
@@ -333,10 +333,11 @@
     events.clone()
 }
 
-/// Symptom: a node uses a key 3.0 to 3.2 s after it was taken away.
-/// Events: its reader's way to the store falls silent, and the reader says so after its own wait. The next readers are
-/// frozen; each costs the time for an answer before the store itself is asked.
-/// Cause: waits that are each bounded stood in a row, 1.5 s and twice 0.7 s, and nothing bounded their sum.
+/// Guards against a revoked key that is still accepted 3.0 to 3.2 s after its removal.
+///
+/// A reader's connection to the store falls silent, and the reader says so only after its own wait;
+/// the next readers are frozen, and each costs a time-out before the store itself is called. The
+/// waits were bounded one by one, 1.5 s and twice 0.7 s, but their sum was not.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn at_most_one_reader_times_out_before_the_store_is_called() {
@@ -354,8 +355,9 @@
     }
 }
 
-/// Guards against a removed key in use 3.1 s after its removal: a reader whose way to the store has fallen silent costs
-/// its followers 1.9 s, and the time of a frozen one after it is not left to waste.
+/// Guards against a revoked key that is still accepted 3.1 s after its removal: a reader whose
+/// connection to the store has fallen silent costs its followers 1.9 s, so they must not also wait
+/// for the time-out of a frozen reader after it.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_silent_reader_is_hedged_after_one_that_does_not_reach_the_store() {
@@ -371,7 +373,8 @@
     expect_that!(events, contains(eq(&FeedEvent::StoreCalled)));
 }
 
-/// Guards against a second without a configuration after all nodes lost power, when the first reader is up last.
+/// Guards against a second without a configuration after a power loss of all nodes, when the first
+/// reader is the last to be up again.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_full_table_request_is_hedged_with_the_next_reader() {
@@ -392,7 +395,7 @@
     }
 }
 
-/// Guards against nodes that never begin when no reader of their zone comes back.
+/// Guards against nodes that never start to serve when no reader of their zone comes back.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_full_table_is_read_from_the_store_when_no_reader_responds() {
--- a/crates/fleet/tests/suspect_table.rs
+++ b/crates/fleet/tests/suspect_table.rs
@@ -1,4 +1,4 @@
-//! Which rows a node writes of requests under which targets have ended, and when.
+//! Tests which crash rows a node writes to the store's table, and when.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use briarswitch_fleet::suspect_table::{SuspectBatch, SuspectTable};
 use googletest::prelude::*;
 
-/// Reading of the store's clock when the rows are written.
+/// Time of the store's clock when the rows are written.
 const NOW: StoreMillis = 1_000_000;
 
 fn row(incarnation: u64) -> SuspectRow {
@@ -30,9 +30,8 @@
     batch.map_or(0, |batch| batch.rows.len())
 }
 
-/// Symptom: three nodes that saw one end each pay for the same row.
-/// Events: the first one writes it; the others read that before their turn.
-/// Cause guarded against: writing without looking at what is there.
+/// Guards against three nodes that saw the same crash and each pay for writing its row: the first
+/// one writes it, and the others read it from the table before their turn.
 #[gtest]
 fn a_row_that_another_node_has_written_is_not_written_again() {
     let mut table = SuspectTable::default();
@@ -55,9 +54,9 @@
     expect_that!(table.stored_rows(), eq(2));
 }
 
-/// Symptom: other nodes never learn of an end.
-/// Events: the answer to a write is lost, and the row with it, or not; later the store has lost a row that it held.
-/// Cause guarded against: taking what was sent once for written.
+/// Guards against a crash that other nodes never learn of, because a row counts as written once it
+/// was sent: the response to a write may be lost, with or without the row, and the store may later
+/// lose a row that it held.
 #[gtest]
 fn a_row_is_written_until_the_store_is_known_to_hold_it() {
     let mut table = SuspectTable::default();
@@ -74,8 +73,9 @@
     expect_that!(rows(table.begin_write(at(600), NOW, |_| true)), eq(1));
 }
 
-/// Symptom: a request that ended a target a minute ago is unknown to a node that starts, or rows pile up for ever.
-/// Cause guarded against: dropping rows that still count, by nodes whose clocks differ, or by nobody.
+/// Guards against rows that are deleted while they still count, which would hide a recent crash
+/// from a node that starts, and against rows that are never deleted: clocks of nodes differ, and
+/// one node has to delete each row.
 #[gtest]
 fn expired_rows_are_deleted_by_one_node() {
     let mut table = SuspectTable::default();
