--- a/crates/fleet/src/suspect_ledger.rs
+++ b/crates/fleet/src/suspect_ledger.rs
@@ -13,7 +13,7 @@
 pub struct SuspectLedger {
     clock: Arc<dyn StoreClock>,
     ledger: Mutex<CrashLedger>,
-    /// Whether any crash is recorded. Usually none is, and traffic then skips the lock.
+    /// Whether the ledger holds anything. Usually it does not, and traffic then skips the lock.
     is_nonempty: AtomicBool,
 }
 
