--- a/crates/fleet/src/dispatch.rs
+++ b/crates/fleet/src/dispatch.rs
@@ -25,7 +25,7 @@
 use crate::routing_table::RouteTarget;
 use crate::run::{RunListeners, TargetRun};
 use crate::shared::FleetShared;
-use crate::suspicion::{patience, silence_of, SuspicionTeller};
+use crate::suspicion::{reroute_delay, silence_limit_for, SuspicionReporter};
 use crate::target_selector::TargetSelector;
 use crate::trace::{RequestEnd, RequestTrace};
 
@@ -56,7 +56,7 @@
     client: TargetClient,
     budgets: RetryBudgets,
     selector: TargetSelector,
-    suspicion: SuspicionTeller,
+    suspicion: SuspicionReporter,
     run_listeners: RunListeners,
 }
 
@@ -76,7 +76,7 @@
             selector: TargetSelector::new(Arc::clone(&shared)),
             shared,
             client,
-            suspicion: SuspicionTeller::open(peers),
+            suspicion: SuspicionReporter::new(peers),
             run_listeners,
         })
     }
@@ -92,7 +92,7 @@
     }
 
     /// Returns the reporter of silent targets.
-    pub fn suspicion(&self) -> &SuspicionTeller {
+    pub fn suspicion(&self) -> &SuspicionReporter {
         &self.suspicion
     }
 
@@ -104,7 +104,12 @@
     /// Runs a request, with retries as its rule allows, and returns the response for the caller.
     pub async fn run(self: &Arc<Self>, job: RequestJob, mut trace: RequestTrace) -> Response {
         self.budgets.deposit(&job.service);
-        if self.shared.suspects.quarantine(&job.fingerprint).is_some() {
+        if self
+            .shared
+            .suspects
+            .quarantine_left(&job.fingerprint)
+            .is_some()
+        {
             return self.reply_failed(FailurePoint::Quarantined, &mut trace);
         }
         let mut tried: Vec<TargetId> = Vec::new();
@@ -154,7 +159,7 @@
                 && self
                     .shared
                     .suspects
-                    .may_go_on(&job.fingerprint, trace.broken_runs)
+                    .may_retry(&job.fingerprint, trace.broken_runs)
                 && trace.attempts_sent < job.rule.max_attempts
                 && unreached < MAX_UNREACHED_ATTEMPTS
                 && BootClock::now() < job.deadline;
@@ -189,7 +194,12 @@
             return Err(FailurePoint::QueueDeadline.into());
         }
         // While it waited for a slot, the same request may have crashed a target through another node.
-        if self.shared.suspects.quarantine(&job.fingerprint).is_some() {
+        if self
+            .shared
+            .suspects
+            .quarantine_left(&job.fingerprint)
+            .is_some()
+        {
             return Err(FailurePoint::Quarantined.into());
         }
         let request = self.build_request(job, &target, remaining, last_event);
@@ -248,7 +258,7 @@
         may_reroute: bool,
     ) -> Result<TargetReply, HeadWaitError> {
         tokio::pin!(sending);
-        let reroute_delay = patience(job);
+        let reroute_delay = reroute_delay(job);
         loop {
             match tokio::time::timeout(SILENCE_POLL_INTERVAL, &mut sending).await {
                 Ok(Ok(reply)) => return Ok(reply),
@@ -260,7 +270,7 @@
                 return Err(HeadWaitError::Deadline);
             }
             let waited = now.saturating_sub(sent);
-            let limit = silence_of(job, target);
+            let limit = silence_limit_for(job, target);
             let is_silent = waited > limit && target.gauge.silence(now) > limit;
             if is_silent {
                 self.suspicion.suspect(target, now);
@@ -428,7 +438,7 @@
         }
         let remaining = trace
             .fingerprint
-            .and_then(|fingerprint| self.shared.suspects.quarantine(&fingerprint));
+            .and_then(|fingerprint| self.shared.suspects.quarantine_left(&fingerprint));
         let remaining = remaining.unwrap_or_default();
         self.shared.metrics.count_refusal(&trace.organisation);
         log::info!(
--- a/crates/fleet/src/fleet_suspect_host.rs
+++ b/crates/fleet/src/fleet_suspect_host.rs
@@ -12,11 +12,11 @@
 use crate::ports::{FeedMark, FeedResponse, ReportError, SourceFuture, SuspectRegistry};
 use crate::run_info::{RunInfo, TargetIncarnation};
 use crate::shared::FleetShared;
-use crate::suspect_host::{EndCount, LifeSign, SuspectEvent, SuspectHost};
-use crate::suspects::SuspectBoard;
+use crate::suspect_host::{CrashCount, Liveness, SuspectEvent, SuspectHost};
+use crate::suspect_ledger::SuspectLedger;
 
 impl SuspectHost for FleetShared {
-    fn suspects(&self) -> &SuspectBoard {
+    fn suspects(&self) -> &SuspectLedger {
         &self.suspects
     }
 
@@ -39,23 +39,23 @@
         self.live_view.read().holders_of(&print.to_string(), count)
     }
 
-    fn life_sign<'a>(
+    fn probe<'a>(
         &'a self,
         facts: &'a RunInfo,
         limit: Duration,
-    ) -> BoxFuture<'a, Result<LifeSign, ReportError>> {
+    ) -> BoxFuture<'a, Result<Liveness, ReportError>> {
         Box::pin(async move {
             let targets = &self.platform.targets;
             let (target, address) = (&facts.target.id, &facts.address);
             // A target without a group does not report its incarnation; only its port can be probed.
             if facts.group.is_empty() {
                 let reached = targets.probe(address, limit).await;
-                return reached.map(|()| LifeSign::Listens);
+                return reached.map(|()| Liveness::Listening);
             }
             let report = targets.report(target, address, limit).await?;
             let is_same = report.incarnation == facts.target.incarnation;
             is_same
-                .then_some(LifeSign::Lives)
+                .then_some(Liveness::Alive)
                 .ok_or(ReportError::OtherIncarnation)
         })
     }
@@ -66,25 +66,25 @@
         record.is_some_and(|record| record.incarnation == target.incarnation)
     }
 
-    fn end_count(&self) -> EndCount {
+    fn crash_count(&self) -> CrashCount {
         let directory = self.directory.load();
-        EndCount {
-            ends: directory.cache.unexpected_exits(),
+        CrashCount {
+            crashes: directory.cache.unexpected_exits(),
             targets: directory.cache.targets().len(),
         }
     }
 
-    fn keep_away(&self, target: &TargetId, until: Moment) {
+    fn exclude_target(&self, target: &TargetId, until: Moment) {
         self.gauges.get(target).suspect(until);
     }
 
-    fn note(&self, event: SuspectEvent) {
+    fn count(&self, event: SuspectEvent) {
         match event {
-            SuspectEvent::EndChecked => self.costs.count(CostKind::EndChecked),
-            SuspectEvent::EndTold => self.costs.count(CostKind::EndTold),
+            SuspectEvent::TargetProbed => self.costs.count(CostKind::EndChecked),
+            SuspectEvent::CrashReported => self.costs.count(CostKind::EndTold),
             SuspectEvent::RowsWritten => self.costs.count(CostKind::SuspectWrite),
-            SuspectEvent::TargetEnded(proof) => self.metrics.count_target_end(proof.name()),
-            SuspectEvent::QuarantineBegun => self.metrics.count_quarantine(),
+            SuspectEvent::TargetCrashed(proof) => self.metrics.count_target_end(proof.name()),
+            SuspectEvent::QuarantineStarted => self.metrics.count_quarantine(),
         }
     }
 }
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -1,5 +1,7 @@
 //! A fleet node: starts its services and listeners, and shuts them down.
 
+use crate::store_sync::ConfigSync;
+use crate::store_sync::DirectorySync;
 use std::io;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -17,17 +19,16 @@
 
 use crate::caller_api::CallerApi;
 use crate::controller::GroupController;
+use crate::crash_watcher::CrashWatcher;
 use crate::dispatch::FleetDispatcher;
-use crate::end_watch::EndWatch;
-use crate::keeper::{BookKeeper, DirectoryKeeper};
-use crate::peer_surface::PeerSurface;
+use crate::peer_api::PeerApi;
 use crate::peers::PeerExchange;
 use crate::ports::FleetPlatform;
 use crate::run::RunListeners;
 use crate::settings::FleetSettings;
 use crate::shared::{FleetPhase, FleetShared};
 use crate::suspect_host::SuspectHost;
-use crate::suspect_keeper::{SuspectKeeper, SuspectMessage};
+use crate::suspect_sync::{SuspectMessage, SuspectSync};
 
 /// Time for which requests are still accepted after the node has reported that it is not ready.
 ///
@@ -83,13 +84,13 @@
         let shared = FleetShared::new(settings, new_incarnation(), platform);
         let settings = &shared.settings;
         let kernel = Kernel::spawn()?;
-        kernel.mount(BookKeeper::open(Arc::clone(&shared)))?;
-        kernel.mount(DirectoryKeeper::open(Arc::clone(&shared)))?;
-        let exchange = kernel.mount(PeerExchange::open(Arc::clone(&shared)))?;
+        kernel.mount(ConfigSync::new(Arc::clone(&shared)))?;
+        kernel.mount(DirectorySync::new(Arc::clone(&shared)))?;
+        let exchange = kernel.mount(PeerExchange::new(Arc::clone(&shared)))?;
         kernel.mount(GroupController::new(Arc::clone(&shared)))?;
         let host: Arc<dyn SuspectHost> = Arc::clone(&shared) as Arc<dyn SuspectHost>;
-        let suspects = kernel.mount(SuspectKeeper::open(Arc::clone(&host)))?;
-        let watch = kernel.mount(EndWatch::open(host, suspects.clone()))?;
+        let suspects = kernel.mount(SuspectSync::new(Arc::clone(&host)))?;
+        let watch = kernel.mount(CrashWatcher::new(host, suspects.clone()))?;
         let run_listeners = RunListeners {
             watch,
             suspects: suspects.clone(),
@@ -97,7 +98,7 @@
         let dispatcher = FleetDispatcher::new(Arc::clone(&shared), exchange, run_listeners);
         let (stop, stopped) = watch::channel(false);
         let caller_api = CallerApi::new(Arc::clone(&shared), dispatcher);
-        let peer_api = PeerSurface::open(Arc::clone(&shared), suspects.clone());
+        let peer_api = PeerApi::new(Arc::clone(&shared), suspects.clone());
         let admin_api = AdminApi::new(Arc::clone(&shared), kernel, suspects);
         let servers = vec![
             callers.spawn(caller_api, stopped.clone()),
@@ -197,7 +198,7 @@
         let Ok(fingerprint) = fingerprint.parse::<RequestFingerprint>() else {
             return reply_text(StatusCode::BAD_REQUEST, "expected a request's fingerprint");
         };
-        if !self.shared.suspects.has_ends(&fingerprint) {
+        if !self.shared.suspects.has_crashes(&fingerprint) {
             return reply_text(StatusCode::NOT_FOUND, "nothing is held of this request");
         }
         let message = SuspectMessage::Released(fingerprint);
--- a/crates/fleet/src/relay.rs
+++ b/crates/fleet/src/relay.rs
@@ -15,7 +15,7 @@
 use crate::gauge::SlotGuard;
 use crate::job::{RequestJob, ResponseStart};
 use crate::slot_queue::ReservedTarget;
-use crate::suspicion::silence_of;
+use crate::suspicion::silence_limit_for;
 use crate::trace::{RequestEnd, RequestTrace};
 
 /// Delay of the node's own timer beyond which silence is not attributed to the target.
@@ -138,7 +138,7 @@
     /// A silent group is reported as suspect even if the stream may not be resumed.
     fn should_resume(&self, now: Moment) -> bool {
         let target = &self.response.target;
-        let limit = silence_of(&self.job, target);
+        let limit = silence_limit_for(&self.job, target);
         let is_silent =
             now.saturating_sub(self.last_received) > limit && target.gauge.silence(now) > limit;
         if is_silent {
@@ -151,7 +151,7 @@
         let suspects = &self.dispatcher.shared().suspects;
         self.job.rule.is_repeatable()
             && self.trace.attempts_sent < self.job.rule.max_attempts
-            && suspects.may_go_on(&self.job.fingerprint, self.trace.broken_runs)
+            && suspects.may_retry(&self.job.fingerprint, self.trace.broken_runs)
     }
 
     fn record_events(&mut self) {
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -2,10 +2,10 @@
 
 use briarswitch_kernel::{BootClock, Mailbox};
 
-use crate::end_watch::WatchMessage;
+use crate::crash_watcher::CrashWatchMessage;
 use crate::run_info::{RunEnd, RunInfo};
-use crate::suspect_keeper::SuspectMessage;
-use crate::suspects::SuspectBoard;
+use crate::suspect_ledger::SuspectLedger;
+use crate::suspect_sync::SuspectMessage;
 
 /// A run in progress. A run that ends without a complete response is reported to the watch of targets.
 ///
@@ -20,7 +20,7 @@
 #[derive(Clone)]
 pub struct RunListeners {
     /// Receives runs that ended without a complete response.
-    pub watch: Mailbox<WatchMessage>,
+    pub watch: Mailbox<CrashWatchMessage>,
     /// Receives complete responses to requests that were running on targets when these crashed.
     pub suspects: Mailbox<SuspectMessage>,
 }
@@ -42,11 +42,11 @@
     /// Ends the run with a complete response.
     ///
     /// The request did not crash the target, so it is cleared of the suspicion from earlier crashes.
-    pub fn complete(&mut self, suspects: &SuspectBoard) {
+    pub fn complete(&mut self, suspects: &SuspectLedger) {
         let Some(info) = self.info.take() else {
             return;
         };
-        if suspects.has_ends(&info.fingerprint) {
+        if suspects.has_crashes(&info.fingerprint) {
             let message = SuspectMessage::Completed(info.fingerprint);
             if let Err(error) = self.listeners.suspects.post(message) {
                 log::warn!(error:% = error; "run_untold");
@@ -72,7 +72,7 @@
     }
 
     fn report(&self, info: RunInfo, end: RunEnd) {
-        let message = WatchMessage::Ended(Box::new(info), end);
+        let message = CrashWatchMessage::RunFailed(Box::new(info), end);
         if let Err(error) = self.listeners.watch.post(message) {
             log::warn!(error:% = error; "run_untold");
         }
--- a/crates/fleet/src/shared.rs
+++ b/crates/fleet/src/shared.rs
@@ -21,7 +21,7 @@
 use crate::ports::{FeedMark, FeedRequest, FeedResponse, FleetPlatform, NodeEntry, SourceError};
 use crate::routing_table::RoutingTable;
 use crate::settings::FleetSettings;
-use crate::suspects::SuspectBoard;
+use crate::suspect_ledger::SuspectLedger;
 
 /// Fraction of the configured key validity during which keys are trusted.
 ///
@@ -72,7 +72,7 @@
     /// Targets to which requests may be sent.
     pub routing_table: Snapshot<RoutingTable>,
     /// Requests that were running on targets when these crashed.
-    pub suspects: SuspectBoard,
+    pub suspects: SuspectLedger,
     /// Load and liveness of each target.
     pub gauges: GaugeMap,
     /// The other live nodes.
@@ -120,11 +120,11 @@
         Arc::new(Self {
             settings,
             incarnation,
-            feed: FeedRelay::open(Arc::clone(&platform.feed), Arc::clone(&costs)),
+            feed: FeedRelay::new(Arc::clone(&platform.feed), Arc::clone(&costs)),
             config: Snapshot::open(None),
             directory: Snapshot::open(DirectoryView::default()),
             routing_table: Snapshot::open(RoutingTable::default()),
-            suspects: SuspectBoard::open(Arc::clone(&platform.clock)),
+            suspects: SuspectLedger::new(Arc::clone(&platform.clock)),
             gauges: GaugeMap::default(),
             live_view: Snapshot::open(LiveView::open(own.clone())),
             membership: Mutex::new(Membership::open(own)),
--- a/crates/fleet/src/suspect_doc.rs
+++ b/crates/fleet/src/suspect_doc.rs
@@ -1,4 +1,4 @@
-//! Ends of targets and the requests under way there, on the wire between nodes.
+//! Wire format of crash reports between nodes.
 
 use briarswitch_core::crash::{ClearReport, CrashReport, IncarnationKey, StoreMillis};
 use serde::{Deserialize, Serialize};
@@ -7,20 +7,21 @@
 use crate::ports::SuspectRow;
 
 /// Bytes of a request's fingerprint.
-type PrintDoc = ByteArray<16>;
+type FingerprintDoc = ByteArray<16>;
 
-/// Request, life of the target, domain, moment, thousandths of the chance of a coincidence.
+/// Fingerprint of the request, incarnation of the target, domain, time, and the probability of a
+/// coincidence in thousandths.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-struct EndDoc(PrintDoc, u64, u64, StoreMillis, u16);
+struct CrashDoc(FingerprintDoc, u64, u64, StoreMillis, u16);
 
-/// Request, moment.
+/// Fingerprint of the request, and time.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-struct ClearDoc(PrintDoc, StoreMillis);
+struct ClearDoc(FingerprintDoc, StoreMillis);
 
-/// What one node tells another of requests under which targets have ended.
+/// What one node reports to another about requests that were running when targets crashed.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct SuspectDoc {
-    ends: Vec<EndDoc>,
+    ends: Vec<CrashDoc>,
     clears: Vec<ClearDoc>,
 }
 
@@ -29,16 +30,16 @@
         let mut doc = Self::default();
         for row in rows {
             match row {
-                SuspectRow::End(end) => doc.ends.push(EndDoc(
-                    PrintDoc::new(end.fingerprint.into()),
-                    end.incarnation.0,
-                    end.domain,
-                    end.at,
-                    end.chance_permille,
+                SuspectRow::Crash(crash) => doc.ends.push(CrashDoc(
+                    FingerprintDoc::new(crash.fingerprint.into()),
+                    crash.incarnation.0,
+                    crash.domain,
+                    crash.at,
+                    crash.chance_permille,
                 )),
                 SuspectRow::Clear(clear) => {
-                    let print = PrintDoc::new(clear.fingerprint.into());
-                    doc.clears.push(ClearDoc(print, clear.at));
+                    let fingerprint = FingerprintDoc::new(clear.fingerprint.into());
+                    doc.clears.push(ClearDoc(fingerprint, clear.at));
                 }
             }
         }
@@ -48,23 +49,20 @@
 
 impl From<SuspectDoc> for Vec<SuspectRow> {
     fn from(doc: SuspectDoc) -> Self {
-        let ends = doc.ends.into_iter();
-        let ends = ends.map(|EndDoc(print, life, domain, at, chance)| {
-            SuspectRow::End(CrashReport {
-                fingerprint: print.into_array().into(),
-                incarnation: IncarnationKey(life),
+        let crashes = doc.ends.into_iter();
+        let crashes = crashes.map(|CrashDoc(fingerprint, incarnation, domain, at, chance)| {
+            SuspectRow::Crash(CrashReport {
+                fingerprint: fingerprint.into_array().into(),
+                incarnation: IncarnationKey(incarnation),
                 domain,
                 at,
                 chance_permille: chance,
             })
         });
-        let clears = doc.clears.into_iter().map(|ClearDoc(print, at)| {
-            let print = print.into_array().into();
-            SuspectRow::Clear(ClearReport {
-                fingerprint: print,
-                at,
-            })
+        let clears = doc.clears.into_iter().map(|ClearDoc(fingerprint, at)| {
+            let fingerprint = fingerprint.into_array().into();
+            SuspectRow::Clear(ClearReport { fingerprint, at })
         });
-        ends.chain(clears).collect()
+        crashes.chain(clears).collect()
     }
 }
--- a/crates/fleet/src/suspect_host.rs
+++ b/crates/fleet/src/suspect_host.rs
@@ -1,7 +1,7 @@
-//! What the memory of requests under which targets have ended needs of the node it runs in.
+//! What crash detection and the sync of crash reports need of the node they run in.
 //!
-//! Nodes that find their targets through a platform and nodes whose settings name everything differ in all of
-//! this, and in nothing else of that memory.
+//! Nodes that find their targets through a platform and nodes whose settings list all targets
+//! implement this interface differently; everything else is common to both.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,99 +13,99 @@
 
 use crate::ports::{FeedMark, FeedResponse, ReportError, SourceFuture, SuspectRegistry};
 use crate::run_info::{RunInfo, TargetIncarnation};
-use crate::suspects::SuspectBoard;
+use crate::suspect_ledger::SuspectLedger;
 
-/// What shows that a life of a target has ended.
+/// Evidence that an incarnation of a target has crashed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum EndProof {
+pub enum CrashEvidence {
     /// Nobody listens at its address.
     Refused,
-    /// Another life answers at its address.
-    OtherLife,
-    /// The directory lists another life, or none.
+    /// Another incarnation responds at its address.
+    OtherIncarnation,
+    /// The directory lists another incarnation, or none.
     Unlisted,
 }
 
-impl EndProof {
+impl CrashEvidence {
     /// Returns the name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Refused => "refused",
-            Self::OtherLife => "other_life",
+            Self::OtherIncarnation => "other_life",
             Self::Unlisted => "unlisted",
         }
     }
 }
 
-/// What an answer at a target's address shows.
+/// What a probe of a target's address shows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum LifeSign {
-    /// The life that was meant lives.
-    Lives,
-    /// Somebody listens.
-    Listens,
+pub enum Liveness {
+    /// The probed incarnation is alive.
+    Alive,
+    /// A process listens there; which incarnation it is, is not known.
+    Listening,
 }
 
-/// Targets, and how many have ended so far without asking for no new work before.
+/// Number of targets, and of crashes so far; a target that announced its shutdown has not crashed.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct EndCount {
-    /// Ends.
-    pub ends: u64,
+pub struct CrashCount {
+    /// Crashes since this node started.
+    pub crashes: u64,
     /// Targets.
     pub targets: usize,
 }
 
-/// What a node counts.
+/// Event that a node counts in its metrics or costs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SuspectEvent {
-    /// A target at which a run broke was asked whether it lives.
-    EndChecked,
-    /// Another node was told of ends.
-    EndTold,
-    /// Rows were written.
+    /// A target at which a run failed was probed.
+    TargetProbed,
+    /// Crashes were reported to another node.
+    CrashReported,
+    /// Rows were written to the store or deleted.
     RowsWritten,
-    /// A target has ended.
-    TargetEnded(EndProof),
-    /// A request is not to run for a while.
-    QuarantineBegun,
+    /// A target has crashed.
+    TargetCrashed(CrashEvidence),
+    /// A request was quarantined.
+    QuarantineStarted,
 }
 
-/// The node that remembers.
+/// The node in which crash reports are kept.
 pub trait SuspectHost: Send + Sync {
-    /// Returns what traffic reads.
-    fn suspects(&self) -> &SuspectBoard;
+    /// Returns the ledger that traffic reads.
+    fn suspects(&self) -> &SuspectLedger;
 
-    /// Returns the table that all nodes follow.
+    /// Returns the store's table of crash reports, which all nodes follow.
     fn registry(&self) -> &dyn SuspectRegistry;
 
-    /// Returns the whole table, or its changes after a mark.
+    /// Returns the full table, or its changes after a mark.
     fn changes(
         self: Arc<Self>,
         mark: Option<FeedMark>,
         wait: Duration,
     ) -> SourceFuture<'static, FeedResponse>;
 
-    /// Returns the nodes that add up the ends of a request.
+    /// Returns the nodes that collect the crash reports of a request.
     ///
-    /// A node that tells nobody writes each end itself.
-    fn holders_of(&self, print: &RequestFingerprint, count: usize) -> ThingHolders;
+    /// A node that reports to no other node writes each crash to the store itself.
+    fn holders_of(&self, fingerprint: &RequestFingerprint, count: usize) -> ThingHolders;
 
-    /// Finds out whether the target of a run that broke lives.
-    fn life_sign<'a>(
+    /// Probes whether the target of a failed run is alive.
+    fn probe<'a>(
         &'a self,
         facts: &'a RunInfo,
-        limit: Duration,
-    ) -> BoxFuture<'a, Result<LifeSign, ReportError>>;
+        timeout: Duration,
+    ) -> BoxFuture<'a, Result<Liveness, ReportError>>;
 
-    /// Returns whether the directory lists a life, as far as this node follows it.
-    fn is_listed(&self, life: &TargetIncarnation) -> bool;
+    /// Returns whether the directory lists an incarnation, as far as this node knows its entries.
+    fn is_listed(&self, incarnation: &TargetIncarnation) -> bool;
 
-    /// Returns how many targets have ended.
-    fn end_count(&self) -> EndCount;
+    /// Returns how many targets there are and how many have crashed.
+    fn crash_count(&self) -> CrashCount;
 
-    /// Keeps new work from a target.
-    fn keep_away(&self, target: &TargetId, until: Moment);
+    /// Excludes a target from new work until a moment.
+    fn exclude_target(&self, target: &TargetId, until: Moment);
 
     /// Counts an event.
-    fn note(&self, event: SuspectEvent);
+    fn count(&self, event: SuspectEvent);
 }
--- a/crates/fleet/src/target_selector.rs
+++ b/crates/fleet/src/target_selector.rs
@@ -13,7 +13,7 @@
 
 use crate::gauge::SlotGuard;
 use crate::job::RequestJob;
-use crate::peers::KNOWN_TIME;
+use crate::peers::PROPAGATION_TIME;
 use crate::routing_table::RouteTarget;
 use crate::shared::FleetShared;
 use crate::slot_queue::{wait_for_slot, QueueKey, ReservedTarget, SlotQueue, SlotRequest};
@@ -171,7 +171,7 @@
                 let arrivals = peer_work.arrivals.get(&model.id).copied();
                 let terms = PlacementParams {
                     prompt_tokens: slot_request.prompt_tokens,
-                    unseen_requests: arrivals.unwrap_or_default() * KNOWN_TIME.as_secs_f64(),
+                    unseen_requests: arrivals.unwrap_or_default() * PROPAGATION_TIME.as_secs_f64(),
                     draw: rand::random(),
                     turn: self.overflow_turn(&model.id, now),
                 };
@@ -189,7 +189,7 @@
     /// It differs between nodes, and changes after the time in which the other nodes learn of the load that this node
     /// has added.
     fn overflow_turn(&self, model: &str, now: Moment) -> f64 {
-        let window = now.as_millis() / KNOWN_TIME.as_millis();
+        let window = now.as_millis() / PROPAGATION_TIME.as_millis();
         let seed = xxh3_64(model.as_bytes()) ^ self.shared.incarnation ^ window as u64;
         let hash = xxh3_64_with_seed(self.shared.settings.node.as_bytes(), seed);
         hash as f64 / u64::MAX as f64
