--- a/crates/core/examples/policies.rs
+++ b/crates/core/examples/policies.rs
@@ -136,7 +136,7 @@
 
 /// Returns lower bounds that no policy can beat. Each loss of a member of a wanted group costs at
 /// least one regrouping, and machines that do not fit into any permitted group are always stranded.
-/// Machines that are down do not count as stranded.
+/// The time for which such machines can replace machines that are down is subtracted.
 fn lower_bounds(weights: PlanWeights, scale: &Scale, size: usize) -> (f64, f64) {
     let wanted = wanted(scale.vms, size) as usize;
     let span = (scale.days * scale.zones as u64) as f64;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -6,8 +6,8 @@
 //! ```
 //! use briarswitch_core::prelude::*;
 //!
-//! let book = VersionedConfig::default();
-//! assert_eq!(book.version(), 0);
+//! let config = VersionedConfig::default();
+//! assert_eq!(config.version(), 0);
 //! ```
 
 pub mod assembly;
--- a/crates/core/tests/crash.rs
+++ b/crates/core/tests/crash.rs
@@ -182,7 +182,10 @@
         eq(CrashVerdict::Clear)
     );
     history.record_crash(crashes(1, LOW_CRASH_RATE)[0]);
-    expect_false!(history.has_crashes(&fingerprint()), "reported late");
+    expect_false!(
+        history.has_crashes(&fingerprint()),
+        "a late report of an earlier crash"
+    );
     for index in 0..3 {
         history.record_crash(crash(
             &format!("u{index}"),
@@ -194,15 +197,15 @@
     expect_true!(is_quarantined(history.verdict(&fingerprint(), 10_000)));
 }
 
-/// Guards against a quarantine that never ends, and against one that forgets all earlier crashes
-/// when it ends. When enough crashes have expired the request runs again; one more crash restores
-/// the quarantine.
+/// Guards against a quarantine that never ends or outlasts the time announced to the caller, and
+/// against one that forgets all earlier crashes when it ends. When enough crashes have expired the
+/// request runs again; one more crash restores the quarantine.
 #[gtest]
 fn a_quarantine_expires_as_announced_and_one_more_crash_restores_it() {
     let mut history = history_of(&crashes(3, LOW_CRASH_RATE));
     let verdict = history.verdict(&fingerprint(), 4_000);
     let CrashVerdict::Quarantined(left) = verdict else {
-        panic!("it is {verdict:?}");
+        panic!("unexpected verdict: {verdict:?}");
     };
     // The first crash, at one second, expires then.
     expect_that!(left, eq(CRASH_RETENTION - Duration::from_secs(3)));
@@ -258,11 +261,11 @@
 }
 
 fn report() -> impl Strategy<Value = Report> {
-    let crashes = (0..4_u64, 1..60_u64, 10..400_u16).prop_map(|(life, at, chance)| {
+    let crashes = (0..4_u64, 1..60_u64, 10..400_u16).prop_map(|(incarnation, at, chance)| {
         Report::Crash(CrashReport {
             fingerprint: fingerprint(),
-            incarnation: IncarnationKey(life),
-            domain: life % 2,
+            incarnation: IncarnationKey(incarnation),
+            domain: incarnation % 2,
             at: at * 100,
             chance_permille: chance,
         })
