--- a/crates/core/src/evidence.rs
+++ b/crates/core/src/evidence.rs
@@ -70,7 +70,7 @@
 pub struct Evidence {
     /// The report.
     pub report: MemberReport,
-    /// Local time at or before which the report was requested.
+    /// Local time read just before the report was requested.
     pub requested_at: Moment,
 }
 
