--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -12,7 +12,7 @@
 use http::StatusCode;
 
 use crate::auth::{is_bearer, is_token};
-use crate::caller::CallerApi;
+use crate::caller::CallerSurface;
 use crate::peers::EXCHANGE_PATH;
 use crate::shared::{ConfigView, NodeShared, Phase};
 
@@ -22,12 +22,12 @@
 /// Answers other nodes.
 pub struct PeerSurface {
     shared: Arc<NodeShared>,
-    callers: Arc<CallerApi>,
+    callers: Arc<CallerSurface>,
 }
 
 impl PeerSurface {
     /// Opens the surface.
-    pub fn open(shared: Arc<NodeShared>, callers: Arc<CallerApi>) -> Arc<Self> {
+    pub fn open(shared: Arc<NodeShared>, callers: Arc<CallerSurface>) -> Arc<Self> {
         Arc::new(Self { shared, callers })
     }
 
--- a/crates/node/src/caller.rs
+++ b/crates/node/src/caller.rs
@@ -34,7 +34,7 @@
 const LEAVING_RETRY: Duration = Duration::from_millis(100);
 
 /// Answers callers.
-pub struct CallerApi {
+pub struct CallerSurface {
     shared: Arc<NodeShared>,
     dispatcher: Arc<RequestDispatcher>,
     forwarder: KeyForwarder,
@@ -55,7 +55,7 @@
     }
 }
 
-impl CallerApi {
+impl CallerSurface {
     /// Opens the surface.
     pub fn open(shared: Arc<NodeShared>, dispatcher: Arc<RequestDispatcher>) -> Arc<Self> {
         Arc::new(Self {
@@ -352,7 +352,7 @@
     }
 }
 
-impl Handler for CallerApi {
+impl Handler for CallerSurface {
     fn handle(&self, request: Request) -> BoxFuture<'_, Response> {
         Box::pin(self.answer(request))
     }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -18,7 +18,7 @@
 
 use crate::answer::PeerSurface;
 use crate::attempt::AttemptRunner;
-use crate::caller::CallerApi;
+use crate::caller::CallerSurface;
 use crate::claims::ClaimWriter;
 use crate::config::ConfigKeeper;
 use crate::controller::{ControllerMessage, ZoneController};
@@ -124,7 +124,7 @@
         let dispatcher =
             RequestDispatcher::open(Arc::clone(&shared), runner, claims, suspects, reports);
         let (stop, stopped) = watch::channel(false);
-        let surface = CallerApi::open(Arc::clone(&shared), Arc::clone(&dispatcher));
+        let surface = CallerSurface::open(Arc::clone(&shared), Arc::clone(&dispatcher));
         let peer_surface = PeerSurface::open(Arc::clone(&shared), Arc::clone(&surface));
         let servers = [
             callers.spawn(surface, stopped.clone()),
