--- a/crates/fleet/src/dispatch.rs
+++ b/crates/fleet/src/dispatch.rs
@@ -371,7 +371,7 @@
     ) -> Result<(http::response::Parts, Bytes), FailurePoint> {
         let ResponseStart {
             target,
-            slot: slot,
+            slot,
             head,
             body,
             mut run,
