--- a/crates/core/src/assembly.rs
+++ b/crates/core/src/assembly.rs
@@ -1,104 +1,105 @@
-//! Keeps the replica groups of one fabric domain whole, by conditional orders to targets.
+//! Maintains the replica groups of one fabric domain by sending conditional orders to its targets.
 //!
-//! Every order names the life of the target and the count of orders it has begun. The target is
-//! therefore the arbiter: of two controllers that saw the same state one is obeyed and the other is
-//! told to look again, and an order that arrives late is void once anything else has begun there.
-//! A target that restarts under its name counts anew, so that a late order may find the count it
-//! expects; orders to join are then barred by their epochs, which rise with the store's clock.
-//! No lease has to be waited out before a successor acts.
+//! Every order names the target's incarnation and the number of orders it has begun. The target
+//! therefore arbitrates: of two controllers that saw the same state, one is obeyed and the other
+//! has to read the state again, and a delayed order is void once anything else has begun there. A
+//! target that restarts under its name counts from zero, so that a delayed order may match its
+//! count; delayed joins are then rejected by their epochs, which increase with the store's clock. A
+//! successor can act without waiting for a lease to expire.
 
 use std::time::Duration;
 
 use indexmap::{IndexMap, IndexSet};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::engine::{EngineModel, ModelSpec};
+use crate::engine::{EngineSpec, ModelSpec};
 use crate::id::{Epoch, GroupId, Incarnation, ModelId, Moment, TargetId};
 use crate::layout::DomainLayout;
 use crate::order::{OrderResult, TargetAction, TargetOrder};
 use crate::target::{Membership, MembershipState};
 
-mod seen;
+mod observed;
 mod staging;
 
 pub use staging::HeldWeights;
 
-use seen::{lives_mark, seen_groups, SeenGroup};
+use observed::{incarnations_suffix, observe_groups, ObservedGroup};
 
-/// Time that members may be missing from a group that is being formed by somebody else.
+/// Time that members may be missing from a group that another controller is forming.
 ///
-/// A predecessor may have died between two orders to join; what it began is finished by nobody.
+/// A predecessor may have died between two join orders, in which case nobody completes its group.
 const FORMING_GRACE: Duration = Duration::from_millis(1_500);
-/// Time to join again for the model of the last group; engines keep its weights in place.
+/// Time to join again for the model of the previous group, whose weights the engine keeps loaded.
 const REJOIN_TIME: Duration = Duration::from_millis(200);
 
-/// Shortest time for which no group is formed after another controller came first.
+/// Minimum time without forming groups after another controller's order came first.
 ///
-/// Two controllers that begin again at the same moment refuse each other's orders for ever. The time
-/// doubles with each conflict in a row and is drawn differently by each.
-const CONFLICT_PAUSE: Duration = Duration::from_millis(100);
-/// Conflicts in a row after which the pause grows no more.
-const LONGEST_BACKOFF: u32 = 4;
+/// Two controllers that retry at the same moment would reject each other's orders indefinitely. The
+/// time doubles with each consecutive conflict and is randomised per controller.
+const MIN_CONFLICT_BACKOFF: Duration = Duration::from_millis(100);
+/// Consecutive conflicts after which the backoff stops growing.
+const MAX_COUNTED_CONFLICTS: u32 = 4;
 
-/// Whether a target can be counted on.
+/// Availability of a target.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum TargetStanding {
-    /// Answers, and asked for nothing else.
+pub enum TargetStatus {
+    /// Responds and is not draining.
     Live,
-    /// Answers, and wants to leave.
+    /// Responds but has asked to leave.
     Draining,
-    /// Answers, though the directory lists it no more; it stays in its group and joins no other.
+    /// Responds but is no longer listed in the directory; it stays in its group and joins no other.
     Unlisted,
-    /// Has not answered lately.
+    /// Has not responded lately.
     Silent,
 }
 
-/// One target as its controller sees it.
+/// State of one target as known to its controller.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TargetFacts {
-    /// Life that the other facts are of.
+    /// Incarnation that the other fields describe.
     pub incarnation: Incarnation,
-    /// Whether it can be counted on.
-    pub standing: TargetStanding,
-    /// Its group.
+    /// Availability.
+    pub status: TargetStatus,
+    /// Membership in a group, if any.
     pub membership: Option<Membership>,
     /// Model of its group.
     pub model: Option<ModelId>,
-    /// Models on its host.
+    /// Models staged on its host.
     pub staged: Vec<ModelId>,
-    /// Orders it has begun, as of the same report as the membership.
+    /// Number of orders it has begun, from the same report as the membership.
     pub sequence: u64,
-    /// Whether an order is under way there.
+    /// Whether it is carrying out an order.
     pub is_busy: bool,
     /// Highest epoch it is known to have seen.
     pub epoch_seen: Epoch,
-    /// Whether it has reported so lately that nothing can have come of a restart since.
+    /// Whether its last report is so recent that a restart since then cannot have had any effect
+    /// yet.
     pub is_fresh: bool,
 }
 
-/// What the planner is told of the domain and of the rest of the fleet.
+/// Input of a planning round: the domain, and limits given by the rest of the fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct DomainView<'a> {
     /// Targets of the domain.
     pub targets: &'a IndexMap<TargetId, TargetFacts>,
-    /// Speeds and models.
-    pub engine: &'a EngineModel,
-    /// What the domain should hold.
+    /// Performance figures and models.
+    pub engine: &'a EngineSpec,
+    /// Planned content of the domain.
     pub layout: &'a DomainLayout,
-    /// Weights that targets are loading, as far as this controller ordered it.
+    /// Weights that targets are loading on orders of this controller.
     pub loading: &'a IndexMap<TargetId, ModelId>,
-    /// Loads from the weight store that may begin now.
+    /// Number of loads from the weight store that may begin now.
     pub load_budget: usize,
-    /// Whether members may load while they join.
+    /// Whether members may load weights while joining.
     ///
-    /// Before the first caller that is the soonest way to serve. Later a target that loads for many
-    /// seconds would bind the others of its group, which could complete another one at once; it
-    /// loads first, and joins when it is needed.
-    pub joins_load: bool,
-    /// Least epoch of a new group.
+    /// Before the first request this is the fastest way to serve. Later, a target that loads for
+    /// many seconds would block the other members, which could complete another group immediately;
+    /// it loads first and joins when needed.
+    pub may_load_on_join: bool,
+    /// Minimum epoch of a new group.
     ///
-    /// It has to be higher than that of any order sent before, to whichever life and by whichever
-    /// controller, also where nobody is left who has seen that order's epoch.
+    /// Must exceed the epoch of any order sent before, to any incarnation and by any controller,
+    /// even if no target that has seen that epoch is left.
     pub epoch_floor: Epoch,
 }
 
@@ -107,31 +108,37 @@
     epoch: Epoch,
     model: ModelId,
     members: Vec<TargetId>,
-    /// Life of each member and the orders that it had begun when it was chosen.
+    /// Incarnation and order count of each member when it was chosen.
     expected: Vec<(Incarnation, u64)>,
 }
 
-/// The controller's memory of one domain.
+/// A controller's state for one domain.
 #[derive(Clone, Debug)]
-pub struct DomainKeeper {
-    prefix: String,
-    count: u64,
+pub struct DomainReconciler {
+    name_prefix: String,
+    formed_count: u64,
+    /// Orders without a result yet.
     in_flight: IndexMap<TargetId, TargetOrder>,
-    unsure: IndexSet<TargetId>,
+    /// Targets that must report before they get another order.
+    awaiting_report: IndexSet<TargetId>,
     forming: IndexMap<GroupId, FormingGroup>,
-    incomplete: IndexMap<GroupId, Moment>,
+    /// When each group was first found incomplete; zero if it can no longer be completed.
+    incomplete_since: IndexMap<GroupId, Moment>,
     conflicts: u32,
-    is_conflict_new: bool,
-    paused_until: Moment,
+    has_new_conflict: bool,
+    backoff_until: Moment,
+    /// Groups being dissolved, with their leaders.
     dissolving: IndexMap<GroupId, TargetId>,
-    /// Groups that are being closed because their targets hold another model's weights by now.
-    giving: IndexSet<GroupId>,
+    /// Groups being closed because their targets now hold another model's weights.
+    reassigning: IndexSet<GroupId>,
+    /// Groups whose leader has left, so that the other members can be reused.
     released: IndexSet<GroupId>,
     last_model: IndexMap<TargetId, LastModel>,
-    doubtful: IndexSet<TargetId>,
+    /// Targets that must report again before they can be chosen.
+    stale_candidates: IndexSet<TargetId>,
 }
 
-/// Model of the last group that a life of a target was in.
+/// Model of the last group of one incarnation of a target.
 #[derive(Clone, Debug)]
 struct LastModel {
     incarnation: Incarnation,
@@ -144,63 +151,63 @@
     loads: usize,
 }
 
-impl DomainKeeper {
-    /// Opens a keeper whose group names begin with `prefix`.
+impl DomainReconciler {
+    /// Creates a reconciler whose group names begin with `prefix`.
     ///
-    /// The prefix has to differ between controllers and between the lives of one: a name used twice
-    /// with other members would let a late order put a target into a group it was not chosen for.
-    pub fn open(prefix: impl Into<String>) -> Self {
+    /// The prefix must be unique per controller and incarnation. If a name were reused with other
+    /// members, a delayed order could put a target into a group it was not chosen for.
+    pub fn new(prefix: impl Into<String>) -> Self {
         Self {
-            prefix: prefix.into(),
-            count: 0,
+            name_prefix: prefix.into(),
+            formed_count: 0,
             in_flight: IndexMap::new(),
-            unsure: IndexSet::new(),
+            awaiting_report: IndexSet::new(),
             forming: IndexMap::new(),
-            incomplete: IndexMap::new(),
+            incomplete_since: IndexMap::new(),
             conflicts: 0,
-            is_conflict_new: false,
-            paused_until: Moment::ZERO,
+            has_new_conflict: false,
+            backoff_until: Moment::ZERO,
             dissolving: IndexMap::new(),
-            giving: IndexSet::new(),
+            reassigning: IndexSet::new(),
             released: IndexSet::new(),
             last_model: IndexMap::new(),
-            doubtful: IndexSet::new(),
+            stale_candidates: IndexSet::new(),
         }
     }
 
-    /// Returns the targets that have to report before they can be chosen, each once.
-    pub fn take_doubtful(&mut self) -> IndexSet<TargetId> {
-        std::mem::take(&mut self.doubtful)
+    /// Takes the targets that must report again before they can be chosen.
+    pub fn take_stale_candidates(&mut self) -> IndexSet<TargetId> {
+        std::mem::take(&mut self.stale_candidates)
     }
 
-    /// Takes in that a target was asked for its state after its last order.
+    /// Records that a target has reported its state after its last order.
     pub fn note_report(&mut self, target: &str) {
-        self.unsure.swap_remove(target);
+        self.awaiting_report.swap_remove(target);
     }
 
-    /// Takes in what became of an order.
+    /// Processes the result of an order.
     ///
-    /// After anything but a clear acceptance the target has to report before it is ordered again,
-    /// so that the next order's condition rests on what it says and not on a guess.
+    /// Unless it was clearly accepted, the target must report before it gets another order, so that
+    /// the condition of that order is based on its actual state.
     pub fn note_result(&mut self, target: &str, result: OrderResult) {
         let Some(order) = self.in_flight.swap_remove(target) else {
             return;
         };
         let is_accepted = matches!(result, OrderResult::Begun | OrderResult::Held);
         if !is_accepted {
-            self.unsure.insert(target.to_owned());
+            self.awaiting_report.insert(target.to_owned());
         }
         match order.action {
-            // Only when the first member has left can the others be taken as they are.
+            // The other members may only be reused once the leader has left.
             TargetAction::Leave { group, .. }
                 if is_accepted && self.dissolving.get(&group) == Some(&order.target) =>
             {
                 self.released.insert(group);
             }
-            // Without this member the group can not become whole; there is nothing to wait for.
+            // The group cannot be completed without this member, so there is nothing to wait for.
             TargetAction::Join { group, .. } if !is_accepted && result != OrderResult::Lost => {
-                self.incomplete.insert(group, Moment::ZERO);
-                self.is_conflict_new = result == OrderResult::Conflict;
+                self.incomplete_since.insert(group, Moment::ZERO);
+                self.has_new_conflict = result == OrderResult::Conflict;
             }
             TargetAction::Open { .. } if is_accepted => self.conflicts = 0,
             _ => {}
@@ -209,27 +216,28 @@
 
     /// Returns the orders to send at `now`.
     pub fn plan(&mut self, view: DomainView<'_>, now: Moment) -> Vec<TargetOrder> {
-        self.forget_gone(&view);
+        self.prune(&view);
         let groups = self.groups(&view);
         let mut orders = Vec::new();
-        for (group, seen) in &groups {
-            orders.extend(self.tend(group, seen, &view, now));
+        for (group, observed) in &groups {
+            orders.extend(self.reconcile_group(group, observed, &view, now));
         }
-        orders.extend(self.join_again(&view, &orders));
-        let mut free = self.free(&view, &orders);
+        orders.extend(self.retry_joins(&view, &orders));
+        let mut free = self.free_targets(&view, &orders);
         let mut budget = view.load_budget;
         self.back_off(now);
-        if now < self.paused_until {
+        if now < self.backoff_until {
             free.clear();
         }
-        let mut wanted = self.wanted(&groups, &view);
-        while let Some(candidate) = self.next_candidate(&wanted, &free, &view, budget) {
+        let mut missing = self.missing_groups(&groups, &view);
+        while let Some(candidate) = self.next_candidate(&missing, &free, &view, budget) {
             free.retain(|id| !candidate.members.contains(id));
-            if let Some(count) = wanted.get_mut(&candidate.model) {
+            if let Some(count) = missing.get_mut(&candidate.model) {
                 *count -= 1;
             }
-            // Chosen by what an ended life last said, a target that restarted under its name could be
-            // taken out of the group that another controller has since put it into.
+            // The last report may be of an earlier incarnation. If a target has restarted under its
+            // name since, an order based on that report could take it out of a group that another
+            // controller has put it into.
             let members = candidate.members.iter();
             let stale = members.filter(|id| !view.targets[*id].is_fresh);
             let stale: Vec<TargetId> = stale.cloned().collect();
@@ -237,9 +245,9 @@
                 budget -= candidate.loads;
                 orders.extend(self.form(candidate, &view));
             }
-            self.doubtful.extend(stale);
+            self.stale_candidates.extend(stale);
         }
-        self.give_up(&groups, &free, &wanted, &view);
+        self.reassign_surplus(&groups, &free, &missing, &view);
         let staged = self.stage(&free, &groups, &view, &orders, budget);
         orders.extend(staged);
         for order in &orders {
@@ -249,21 +257,21 @@
     }
 
     fn back_off(&mut self, now: Moment) {
-        if !std::mem::take(&mut self.is_conflict_new) {
+        if !std::mem::take(&mut self.has_new_conflict) {
             return;
         }
-        self.conflicts = (self.conflicts + 1).min(LONGEST_BACKOFF);
-        let draw = xxh3_64(format!("{}-{}", self.prefix, self.count).as_bytes());
-        let share = 0.5 + (draw % 1_000) as f64 / 1_000.0;
-        let pause = CONFLICT_PAUSE * 2_u32.pow(self.conflicts - 1);
-        self.paused_until = now + pause.mul_f64(share);
+        self.conflicts = (self.conflicts + 1).min(MAX_COUNTED_CONFLICTS);
+        let random = xxh3_64(format!("{}-{}", self.name_prefix, self.formed_count).as_bytes());
+        let factor = 0.5 + (random % 1_000) as f64 / 1_000.0;
+        let backoff = MIN_CONFLICT_BACKOFF * 2_u32.pow(self.conflicts - 1);
+        self.backoff_until = now + backoff.mul_f64(factor);
     }
 
-    fn forget_gone(&mut self, view: &DomainView<'_>) {
-        let is_there = |id: &TargetId| view.targets.contains_key(id);
-        self.in_flight.retain(|id, _| is_there(id));
-        self.unsure.retain(is_there);
-        self.last_model.retain(|id, _| is_there(id));
+    fn prune(&mut self, view: &DomainView<'_>) {
+        let is_known = |id: &TargetId| view.targets.contains_key(id);
+        self.in_flight.retain(|id, _| is_known(id));
+        self.awaiting_report.retain(is_known);
+        self.last_model.retain(|id, _| is_known(id));
         for (id, facts) in view.targets {
             if let (Some(_), Some(model)) = (&facts.membership, &facts.model) {
                 let last = LastModel {
@@ -273,58 +281,64 @@
                 self.last_model.insert(id.clone(), last);
             }
         }
-        let named: IndexSet<&GroupId> = view
+        let reported: IndexSet<&GroupId> = view
             .targets
             .values()
-            .filter_map(|facts| facts.membership.as_ref().map(|held| &held.group))
+            .filter_map(|facts| {
+                facts
+                    .membership
+                    .as_ref()
+                    .map(|membership| &membership.group)
+            })
             .collect();
-        self.incomplete.retain(|group, _| named.contains(group));
+        self.incomplete_since
+            .retain(|group, _| reported.contains(group));
         let ordered: IndexSet<GroupId> = self
             .in_flight
             .values()
             .filter_map(|order| order.action.group().cloned())
             .collect();
-        self.dissolving.retain(|group, _| named.contains(group));
-        self.giving.retain(|group| named.contains(group));
-        self.released.retain(|group| named.contains(group));
+        self.dissolving.retain(|group, _| reported.contains(group));
+        self.reassigning.retain(|group| reported.contains(group));
+        self.released.retain(|group| reported.contains(group));
         self.forming
-            .retain(|group, _| named.contains(group) || ordered.contains(group));
+            .retain(|group, _| reported.contains(group) || ordered.contains(group));
     }
 
-    fn groups(&self, view: &DomainView<'_>) -> IndexMap<GroupId, SeenGroup> {
-        let mut groups = seen_groups(view);
-        for (group, seen) in &mut groups {
+    fn groups(&self, view: &DomainView<'_>) -> IndexMap<GroupId, ObservedGroup> {
+        let mut groups = observe_groups(view);
+        for (group, observed) in &mut groups {
             if let Some(forming) = self.forming.get(group) {
-                seen.model = Some(forming.model.clone());
+                observed.model = Some(forming.model.clone());
             }
         }
         groups
     }
 
-    fn tend(
+    fn reconcile_group(
         &mut self,
         group: &GroupId,
-        seen: &SeenGroup,
+        observed: &ObservedGroup,
         view: &DomainView<'_>,
         now: Moment,
     ) -> Vec<TargetOrder> {
         if self.released.contains(group) {
             return Vec::new();
         }
-        let head = seen.members.get(&0);
-        let is_head_silent =
-            head.is_some_and(|id| view.targets[id].standing == TargetStanding::Silent);
-        let Some(head) = head.filter(|_| !is_head_silent) else {
-            // A first member that is not there may still be joining.
-            if !is_head_silent && self.is_awaited(group, now) {
+        let leader = observed.members.get(&0);
+        let is_leader_silent =
+            leader.is_some_and(|id| view.targets[id].status == TargetStatus::Silent);
+        let Some(leader) = leader.filter(|_| !is_leader_silent) else {
+            // A missing leader may still be joining.
+            if !is_leader_silent && self.may_complete(group, now) {
                 return Vec::new();
             }
-            return self.abandon(group, seen, view);
+            return self.disband(group, observed, view);
         };
-        let Some(held) = &view.targets[head].membership else {
+        let Some(membership) = &view.targets[leader].membership else {
             return Vec::new();
         };
-        let (epoch, state) = (held.epoch, held.state);
+        let (epoch, state) = (membership.epoch, membership.state);
         let is_served = matches!(state, MembershipState::Open | MembershipState::Closing);
         let leave = |reason| {
             let action = TargetAction::Leave {
@@ -335,50 +349,52 @@
         };
         let next = if state == MembershipState::Broken {
             Some(leave("head_broken"))
-        } else if view.targets[head].standing == TargetStanding::Unlisted {
-            // Were its members taken without its word, an order to open that is held up could still reach it.
+        } else if view.targets[leader].status == TargetStatus::Unlisted {
+            // If its members were reused before it has left, a delayed order to open could still
+            // reach it.
             Some(leave("head_unlisted"))
-        } else if !seen.is_whole(view, is_served) {
-            let is_lost = seen
+        } else if !observed.is_complete(view, is_served) {
+            let is_lost = observed
                 .members
                 .values()
-                .any(|id| view.targets[id].standing == TargetStanding::Silent);
-            if !is_lost && !is_served && self.is_awaited(group, now) {
+                .any(|id| view.targets[id].status == TargetStatus::Silent);
+            if !is_lost && !is_served && self.may_complete(group, now) {
                 None
             } else {
                 Some(leave("member_lost"))
             }
-        } else if !seen.are_lives_chosen(group, view) {
+        } else if !observed.has_chosen_incarnations(group, view) {
             Some(leave("member_restarted"))
         } else {
-            self.incomplete.swap_remove(group);
-            self.tend_whole(group, seen, view, state, epoch)
+            self.incomplete_since.swap_remove(group);
+            self.next_action(group, observed, view, state, epoch)
         };
         if let Some((TargetAction::Leave { .. }, _)) = &next {
-            self.dissolving.insert(group.clone(), head.clone());
+            self.dissolving.insert(group.clone(), leader.clone());
         }
-        next.and_then(|(action, reason)| self.order(head, action, reason, view))
+        next.and_then(|(action, reason)| self.order(leader, action, reason, view))
             .into_iter()
             .collect()
     }
 
-    fn tend_whole(
+    fn next_action(
         &self,
         group: &GroupId,
-        seen: &SeenGroup,
+        observed: &ObservedGroup,
         view: &DomainView<'_>,
         state: MembershipState,
         epoch: Epoch,
     ) -> Option<(TargetAction, &'static str)> {
-        let is_given = self.giving.contains(group);
+        let is_reassigned = self.reassigning.contains(group);
         let group = group.clone();
-        let is_draining = seen
+        let is_draining = observed
             .members
             .values()
-            .any(|id| view.targets[id].standing == TargetStanding::Draining);
-        let are_ready = seen.members.iter().all(|(rank, id)| {
-            let held = view.targets[id].membership.as_ref();
-            *rank == 0 || held.is_some_and(|held| held.state == MembershipState::Ready)
+            .any(|id| view.targets[id].status == TargetStatus::Draining);
+        let are_ready = observed.members.iter().all(|(rank, id)| {
+            let membership = view.targets[id].membership.as_ref();
+            *rank == 0
+                || membership.is_some_and(|membership| membership.state == MembershipState::Ready)
         });
         match (state, is_draining) {
             (MembershipState::Open, true) => {
@@ -387,10 +403,10 @@
             (MembershipState::Ready | MembershipState::Joining, true) => {
                 Some((TargetAction::Leave { group, epoch }, "member_draining"))
             }
-            (MembershipState::Open, false) if is_given => {
+            (MembershipState::Open, false) if is_reassigned => {
                 Some((TargetAction::Close { group, epoch }, "exchanged"))
             }
-            (MembershipState::Ready, false) if is_given => {
+            (MembershipState::Ready, false) if is_reassigned => {
                 Some((TargetAction::Leave { group, epoch }, "exchanged"))
             }
             (MembershipState::Ready, false) if are_ready => {
@@ -400,70 +416,71 @@
         }
     }
 
-    /// Repeats orders to join that were not answered and, by the target's report, not carried out.
+    /// Repeats join orders that were not answered and, according to the target's report, not
+    /// executed.
     ///
-    /// The same order on the same condition takes effect at most once, and only if nothing else has
-    /// begun at the target since. On a newer condition it could bring a target back into a group that
-    /// it was ordered out of, whose other members are already taken.
-    fn join_again(&self, view: &DomainView<'_>, orders: &[TargetOrder]) -> Vec<TargetOrder> {
-        let mut again = Vec::new();
+    /// The same order with the same condition is executed at most once, and only if nothing else
+    /// has begun at the target since. With a newer condition it could return a target to a group it
+    /// was ordered to leave and whose other members have already been reused.
+    fn retry_joins(&self, view: &DomainView<'_>, orders: &[TargetOrder]) -> Vec<TargetOrder> {
+        let mut retries = Vec::new();
         for (group, forming) in &self.forming {
-            let is_given_up = self.incomplete.get(group) == Some(&Moment::ZERO);
+            let cannot_complete = self.incomplete_since.get(group) == Some(&Moment::ZERO);
             let is_ending = self.released.contains(group) || self.dissolving.contains_key(group);
-            if is_given_up || is_ending {
+            if cannot_complete || is_ending {
                 continue;
             }
             let due = forming.orders(group, "join_again").filter(|order| {
                 let facts = view.targets.get(&order.target);
-                let is_unmoved = facts.is_some_and(|facts| {
-                    let held = facts.membership.as_ref();
-                    facts.standing == TargetStanding::Live
+                let is_unchanged = facts.is_some_and(|facts| {
+                    let membership = facts.membership.as_ref();
+                    facts.status == TargetStatus::Live
                         && facts.incarnation == order.incarnation
                         && facts.sequence == order.expected
-                        && held.is_none_or(|held| held.group != *group)
+                        && membership.is_none_or(|membership| membership.group != *group)
                 });
-                is_unmoved
+                is_unchanged
                     && !self.in_flight.contains_key(&order.target)
-                    && !self.unsure.contains(&order.target)
+                    && !self.awaiting_report.contains(&order.target)
                     && !orders.iter().any(|other| other.target == order.target)
             });
-            again.extend(due);
+            retries.extend(due);
         }
-        again
+        retries
     }
 
-    /// Returns whether a group that is not whole may still become so.
-    fn is_awaited(&mut self, group: &GroupId, now: Moment) -> bool {
+    /// Returns whether an incomplete group may still be completed.
+    fn may_complete(&mut self, group: &GroupId, now: Moment) -> bool {
         let is_ordered = self
             .in_flight
             .values()
             .any(|order| order.action.group() == Some(group));
-        let since = *self.incomplete.entry(group.clone()).or_insert(now);
+        let since = *self.incomplete_since.entry(group.clone()).or_insert(now);
         is_ordered || now < since + FORMING_GRACE
     }
 
-    /// Orders every member out of a group whose first member can not be asked.
+    /// Orders all members to leave a group whose leader is unreachable.
     ///
-    /// Were they told to join elsewhere at once, a first member that is only out of reach would
-    /// still count them as its own. Once one of them has left, that first member can do no work.
-    fn abandon(
+    /// If they were told to join another group right away, a leader that is merely cut off would
+    /// still count them as members. Once one of them has left, that leader cannot do any work.
+    fn disband(
         &mut self,
         group: &GroupId,
-        seen: &SeenGroup,
+        observed: &ObservedGroup,
         view: &DomainView<'_>,
     ) -> Vec<TargetOrder> {
         let mut orders = Vec::new();
-        for id in seen.members.values() {
+        for id in observed.members.values() {
             let facts = &view.targets[id];
-            let Some(held) = facts.membership.as_ref() else {
+            let Some(membership) = facts.membership.as_ref() else {
                 continue;
             };
-            if facts.standing == TargetStanding::Silent {
+            if facts.status == TargetStatus::Silent {
                 continue;
             }
             let action = TargetAction::Leave {
                 group: group.clone(),
-                epoch: held.epoch,
+                epoch: membership.epoch,
             };
             orders.extend(self.order(id, action, "head_lost", view));
         }
@@ -477,7 +494,7 @@
         reason: &'static str,
         view: &DomainView<'_>,
     ) -> Option<TargetOrder> {
-        if self.in_flight.contains_key(target) || self.unsure.contains(target) {
+        if self.in_flight.contains_key(target) || self.awaiting_report.contains(target) {
             return None;
         }
         Some(TargetOrder {
@@ -489,16 +506,18 @@
         })
     }
 
-    fn free(&self, view: &DomainView<'_>, orders: &[TargetOrder]) -> Vec<TargetId> {
+    fn free_targets(&self, view: &DomainView<'_>, orders: &[TargetOrder]) -> Vec<TargetId> {
         let is_free = |id: &TargetId, facts: &TargetFacts| {
-            let is_out = match &facts.membership {
+            let is_available = match &facts.membership {
                 None => true,
-                Some(held) => self.released.contains(&held.group) && held.rank != 0,
+                Some(membership) => {
+                    self.released.contains(&membership.group) && membership.rank != 0
+                }
             };
-            is_out
-                && facts.standing == TargetStanding::Live
+            is_available
+                && facts.status == TargetStatus::Live
                 && !self.in_flight.contains_key(id)
-                && !self.unsure.contains(id)
+                && !self.awaiting_report.contains(id)
                 && !orders.iter().any(|order| order.target == *id)
         };
         let free = view.targets.iter().filter(|(id, facts)| is_free(id, facts));
@@ -506,40 +525,44 @@
     }
 
     /// Returns how many groups of each model the domain lacks.
-    fn wanted(
+    fn missing_groups(
         &self,
-        groups: &IndexMap<GroupId, SeenGroup>,
+        groups: &IndexMap<GroupId, ObservedGroup>,
         view: &DomainView<'_>,
     ) -> IndexMap<ModelId, usize> {
         let is_staying = |group: &GroupId| {
             !self.released.contains(group)
                 && !self.dissolving.contains_key(group)
-                && !self.giving.contains(group)
+                && !self.reassigning.contains(group)
         };
         let lacking = view.layout.holders.iter().map(|(model, holders)| {
-            let size = view.engine.models.get(model).map_or(1, |model| model.size);
-            let held = groups
-                .iter()
-                .filter(|(group, seen)| seen.model.as_ref() == Some(model) && is_staying(group));
+            let size = view
+                .engine
+                .models
+                .get(model)
+                .map_or(1, |model| model.group_size);
+            let existing = groups.iter().filter(|(group, observed)| {
+                observed.model.as_ref() == Some(model) && is_staying(group)
+            });
             let count = holders / size.max(1);
-            (model.clone(), count.saturating_sub(held.count()))
+            (model.clone(), count.saturating_sub(existing.count()))
         });
         lacking.collect()
     }
 
     fn next_candidate(
         &self,
-        wanted: &IndexMap<ModelId, usize>,
+        missing: &IndexMap<ModelId, usize>,
         free: &[TargetId],
         view: &DomainView<'_>,
         budget: usize,
     ) -> Option<Candidate> {
-        let lacking = wanted.iter().filter(|(_, count)| **count > 0);
+        let lacking = missing.iter().filter(|(_, count)| **count > 0);
         let mut models = lacking.filter_map(|(id, _)| view.engine.models.get(id));
         models.find_map(|model| self.candidate(model, free, view, budget))
     }
 
-    /// Returns the members of the next group of a model, those first that can serve soonest.
+    /// Chooses the members of the next group of a model, preferring those that can serve soonest.
     fn candidate(
         &self,
         model: &ModelSpec,
@@ -547,20 +570,21 @@
         view: &DomainView<'_>,
         budget: usize,
     ) -> Option<Candidate> {
-        // One that is loading would keep the others of its group waiting.
+        // A target that is loading would make the rest of its group wait.
         let idle = free.iter().filter(|id| !view.targets[*id].is_busy);
         let mut ranked: Vec<(Duration, &TargetId)> = idle
             .map(|id| (self.join_time(id, model, view), id))
             .collect();
-        if ranked.len() < model.size || model.size == 0 {
+        if ranked.len() < model.group_size || model.group_size == 0 {
             return None;
         }
-        // One that has another model's weights would be missing there, though it could join soonest.
+        // Targets with another model's weights come last: that model needs them, even if they could
+        // join sooner.
         ranked.sort_by_key(|(time, id)| (view.next_model(id) != Some(&model.id), *time));
-        ranked.truncate(model.size);
+        ranked.truncate(model.group_size);
         let loading = ranked.iter().filter(|(time, _)| *time >= model.load_time);
         let loads = loading.count();
-        let is_allowed = loads == 0 || (view.joins_load && loads <= budget);
+        let is_allowed = loads == 0 || (view.may_load_on_join && loads <= budget);
         is_allowed.then(|| Candidate {
             model: model.id.clone(),
             members: ranked.into_iter().map(|(_, id)| id.clone()).collect(),
@@ -583,12 +607,17 @@
     }
 
     fn form(&mut self, candidate: Candidate, view: &DomainView<'_>) -> Vec<TargetOrder> {
-        self.count += 1;
-        let lives = candidate.members.iter();
-        let lives = lives.map(|id| (id, view.targets[id].incarnation));
-        let group = format!("{}-{}-{}", self.prefix, self.count, lives_mark(lives));
-        let seen = view.targets.values().map(|facts| facts.epoch_seen);
-        let epoch = (seen.max().unwrap_or(0) + 1).max(view.epoch_floor);
+        self.formed_count += 1;
+        let incarnations = candidate.members.iter();
+        let incarnations = incarnations.map(|id| (id, view.targets[id].incarnation));
+        let group = format!(
+            "{}-{}-{}",
+            self.name_prefix,
+            self.formed_count,
+            incarnations_suffix(incarnations)
+        );
+        let epochs = view.targets.values().map(|facts| facts.epoch_seen);
+        let epoch = (epochs.max().unwrap_or(0) + 1).max(view.epoch_floor);
         let expected = candidate.members.iter().map(|id| {
             let facts = &view.targets[id];
             (facts.incarnation, facts.sequence)
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,4 +1,4 @@
-//! The accepted configuration: entities, the log that builds them, and its version.
+//! The accepted configuration: its entities, its version and the log of edits that builds it.
 
 use indexmap::IndexMap;
 
@@ -19,7 +19,7 @@
     Rules,
 }
 
-/// Names one entity.
+/// Identifies one entity.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct EntityKey {
     /// Kind of the entity.
@@ -28,59 +28,59 @@
     pub id: String,
 }
 
-/// What one edit leaves behind.
+/// State of an entity after an edit.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigValue {
-    /// An organisation's new text.
+    /// The new definition of an organisation.
     Organisation(Organisation),
-    /// A deployment's new text.
+    /// The new definition of a deployment.
     Deployment(Deployment),
-    /// The whole rule list.
+    /// The complete rule list.
     Rules(Vec<Rule>),
-    /// The entity is gone.
+    /// The entity was deleted.
     Deleted,
 }
 
 /// One accepted edit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigEntry {
-    /// Version that the edit made.
+    /// Version created by the edit.
     pub version: ConfigVersion,
     /// Entity edited.
     pub key: EntityKey,
-    /// Its text after the edit.
+    /// State of the entity after the edit.
     pub value: ConfigValue,
 }
 
 /// The configuration at one version.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ConfigBook {
+pub struct VersionedConfig {
     version: ConfigVersion,
     organisations: IndexMap<OrganisationId, Organisation>,
     deployments: IndexMap<DeploymentId, Deployment>,
     rules: Vec<Rule>,
-    edited: IndexMap<EntityKey, ConfigVersion>,
+    edit_versions: IndexMap<EntityKey, ConfigVersion>,
 }
 
-impl ConfigBook {
-    /// Rebuilds a book from the current entities of a snapshot.
+impl VersionedConfig {
+    /// Restores a configuration from the current entities of a snapshot.
     pub fn restore(version: ConfigVersion, entries: Vec<ConfigEntry>) -> Self {
-        let mut book = Self::default();
+        let mut config = Self::default();
         for entry in entries {
-            book.place(entry);
+            config.insert(entry);
         }
-        book.version = version;
-        book
+        config.version = version;
+        config
     }
 
-    /// Returns the version in force.
+    /// Returns the current version.
     pub fn version(&self) -> ConfigVersion {
         self.version
     }
 
-    /// Returns the version at which an entity was last edited; zero when it never was.
+    /// Returns the version at which an entity was last edited, or zero if it is not present.
     pub fn edited_at(&self, key: &EntityKey) -> ConfigVersion {
-        self.edited.get(key).copied().unwrap_or(0)
+        self.edit_versions.get(key).copied().unwrap_or(0)
     }
 
     /// Returns the organisations by name.
@@ -98,9 +98,9 @@
         &self.rules
     }
 
-    /// Returns the current entities as entries, as a snapshot holds them.
+    /// Returns the current entities as entries, the form that a snapshot stores.
     pub fn entries(&self) -> Vec<ConfigEntry> {
-        self.edited
+        self.edit_versions
             .iter()
             .map(|(key, version)| ConfigEntry {
                 version: *version,
@@ -110,7 +110,7 @@
             .collect()
     }
 
-    /// Returns an entity's current text.
+    /// Returns the current state of an entity.
     pub fn value(&self, key: &EntityKey) -> Option<ConfigValue> {
         match key.kind {
             EntityKind::Organisation => self
@@ -129,28 +129,29 @@
         }
     }
 
-    /// Applies the entry that follows the version in force; any other is ignored.
+    /// Applies the entry that directly follows the current version and ignores any other.
     ///
-    /// Refusing both lower and skipping entries keeps a node from going back to an older
-    /// configuration and from holding one with a hole in it, whatever order entries arrive in.
+    /// Rejecting both older entries and entries that skip a version prevents a node from returning
+    /// to an older configuration and from using one with a missing edit, whatever order entries
+    /// arrive in.
     ///
     /// ```
     /// use briarswitch_core::prelude::*;
     ///
     /// let key = EntityKey { kind: EntityKind::Deployment, id: "old".into() };
     /// let entry = ConfigEntry { version: 2, key, value: ConfigValue::Deleted };
-    /// assert!(!ConfigBook::default().apply(entry));
+    /// assert!(!VersionedConfig::default().apply(entry));
     /// ```
     pub fn apply(&mut self, entry: ConfigEntry) -> bool {
         if entry.version != self.version + 1 {
             return false;
         }
         self.version = entry.version;
-        self.place(entry);
+        self.insert(entry);
         true
     }
 
-    /// Takes over a whole book if it is newer than this one.
+    /// Replaces this configuration with `other` if that is newer.
     pub fn adopt(&mut self, other: Self) -> bool {
         if other.version <= self.version {
             return false;
@@ -159,10 +160,10 @@
         true
     }
 
-    /// Checks what the configuration would be after an edit and reports every fault.
+    /// Validates the configuration that would result from an edit and returns all errors.
     pub fn check_edit(&self, key: &EntityKey, value: &ConfigValue) -> Vec<Finding> {
         let mut next = self.clone();
-        next.place(ConfigEntry {
+        next.insert(ConfigEntry {
             version: self.version + 1,
             key: key.clone(),
             value: value.clone(),
@@ -170,12 +171,12 @@
         next.check()
     }
 
-    /// Checks the configuration as a whole.
+    /// Validates the whole configuration.
     pub fn check(&self) -> Vec<Finding> {
         let mut findings = Vec::new();
         for (index, (id, organisation)) in self.organisations.iter().enumerate() {
             findings.extend(organisation.check(&format!("organisations.{id}")));
-            findings.extend(self.check_key(index, organisation));
+            findings.extend(self.check_duplicate_key(index, organisation));
         }
         for (id, deployment) in &self.deployments {
             findings.extend(deployment.check(&format!("deployments.{id}")));
@@ -186,8 +187,8 @@
         findings
     }
 
-    /// Finds an earlier organisation with the same key, whose calls would be charged to this one.
-    fn check_key(&self, index: usize, organisation: &Organisation) -> Option<Finding> {
+    /// Finds an earlier organisation with the same key, to which this one's calls would be charged.
+    fn check_duplicate_key(&self, index: usize, organisation: &Organisation) -> Option<Finding> {
         let mut earlier = self.organisations.values().take(index);
         let other = earlier.find(|other| other.key_hash == organisation.key_hash)?;
         Some(Finding::new(
@@ -197,12 +198,12 @@
     }
 
     fn check_rule(&self, index: usize, rule: &Rule) -> Vec<Finding> {
-        let place = format!("rules[{index}]");
-        let mut findings = rule.check(&place);
+        let path = format!("rules[{index}]");
+        let mut findings = rule.check(&path);
         if let RuleAction::Route { deployment, .. } = &rule.then {
             if !self.deployments.contains_key(deployment) {
                 findings.push(Finding::new(
-                    format!("{place}.then.deployment"),
+                    format!("{path}.then.deployment"),
                     format!("no deployment is named {deployment}"),
                 ));
             }
@@ -212,14 +213,14 @@
             .any(|other| other.name == rule.name);
         if is_repeated {
             findings.push(Finding::new(
-                format!("{place}.name"),
+                format!("{path}.name"),
                 format!("an earlier rule is also named {}", rule.name),
             ));
         }
         findings
     }
 
-    fn place(&mut self, entry: ConfigEntry) {
+    fn insert(&mut self, entry: ConfigEntry) {
         let ConfigEntry {
             version,
             key,
@@ -240,11 +241,11 @@
             ConfigValue::Rules(rules) => self.rules = rules,
             ConfigValue::Deleted => {}
         }
-        self.edited.insert(key, version);
+        self.edit_versions.insert(key, version);
     }
 
     fn remove(&mut self, key: &EntityKey) {
-        self.edited.shift_remove(key);
+        self.edit_versions.shift_remove(key);
         match key.kind {
             EntityKind::Organisation => {
                 self.organisations.shift_remove(&key.id);
--- a/crates/core/src/layout.rs
+++ b/crates/core/src/layout.rs
@@ -1,107 +1,110 @@
-//! How many targets of each fabric domain should hold which model's weights.
+//! Plans how many targets of each fabric domain should hold the weights of which model.
 //!
-//! Targets that hold a model's weights form as many whole groups of it as their number allows, at once,
-//! and the rest stand by as spares. What counts is therefore not how many groups a domain holds now, but
-//! how many it still holds after it has lost some of its targets: eight targets that make two groups of
-//! four make one after the first loss, and no other model can use the three that are over until they
-//! have loaded its weights. Loads are what is short once callers come: at sixteen seconds each and six at
-//! a time the store ends about as many as targets are lost. Before the first caller they are cheap.
+//! The targets that hold a model's weights form as many complete groups as their number allows, and
+//! the rest are spares. What matters is not how many groups a domain has now but how many it still
+//! has after losing some of its targets. Eight targets in two groups of four form only one group
+//! after the first loss, and no other model can use the three left over until they have loaded its
+//! weights. Loads are the bottleneck once requests arrive: at sixteen seconds each and six at a
+//! time, the store completes about as many loads as targets are lost. Before the first request they
+//! are cheap.
 //!
-//! So weights are shared out by the groups that are expected to be left, each group being worth more the
-//! less of its model's demand is covered. Every controller computes the same from the same list.
+//! Weights are therefore allocated by the expected number of surviving groups, each of which counts
+//! more the less of its model's demand is covered. All controllers compute the same layout from the
+//! same list.
 
 use std::cmp::Reverse;
 
 use indexmap::IndexMap;
 
-use crate::cover::{cover_worth, demand_of, model_weight};
-use crate::engine::{EngineModel, ModelSpec};
+use crate::coverage::{coverage_utility, demand_by_model, model_weight};
+use crate::engine::{EngineSpec, ModelSpec};
 use crate::id::{DomainId, ModelId, ZoneId};
-use crate::losses::{GroupTable, LossCase};
+use crate::losses::{LossParams, SurvivalTable};
 
-/// Part of the worth of weights that counts within each zone for itself.
+/// Share of the utility that is evaluated for each zone separately.
 ///
-/// A zone that is cut off has to serve its callers alone.
-const ZONE_SHARE: f64 = 0.1;
-/// Sweeps over all domains before the first caller; the second and third change little.
-const SWEEPS: usize = 4;
+/// A zone that is cut off from the others has to serve its callers alone.
+const ZONE_UTILITY_SHARE: f64 = 0.1;
+/// Passes over all domains before the first request; the second and third change little.
+const IMPROVEMENT_SWEEPS: usize = 4;
 
-/// What is known of one domain.
+/// Targets and weights of one domain.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct DomainStock {
+pub struct DomainInventory {
     /// Domain.
     pub domain: DomainId,
     /// Zone of most of its targets.
     pub zone: ZoneId,
-    /// Targets that live and hold each model's weights, or are loading them.
+    /// Live targets by the model whose weights they hold or are loading.
     pub holders: IndexMap<ModelId, usize>,
-    /// Targets that live and hold none.
+    /// Live targets without weights.
     pub empty: usize,
-    /// Whether targets that are loading weights count among the holders; else they count as empty.
-    pub shows_loads: bool,
+    /// Whether targets that are loading count among the holders; otherwise they count as empty.
+    pub reports_loads: bool,
 }
 
-impl DomainStock {
-    /// Returns the targets that live.
+impl DomainInventory {
+    /// Returns the number of live targets.
     ///
     /// ```
-    /// use briarswitch_core::layout::DomainStock;
+    /// use briarswitch_core::layout::DomainInventory;
     /// use indexmap::IndexMap;
     ///
     /// let holders = IndexMap::from([("large".to_owned(), 5)]);
-    /// let stock = DomainStock { holders, empty: 1, ..DomainStock::default() };
-    /// assert_eq!(stock.targets(), 6);
+    /// let inventory = DomainInventory { holders, empty: 1, ..DomainInventory::default() };
+    /// assert_eq!(inventory.targets(), 6);
     /// ```
     pub fn targets(&self) -> usize {
         self.empty + self.holders.values().sum::<usize>()
     }
 }
 
-/// What one domain should hold.
+/// Planned content of one domain.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct DomainLayout {
-    /// Targets that should hold each model's weights, the model that is covered least first.
+    /// Number of targets that should hold each model's weights, the model with the least coverage
+    /// first.
     pub holders: IndexMap<ModelId, usize>,
 }
 
-/// When weights are shared out.
+/// Operating phase for which weights are allocated.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LayoutPhase {
-    /// Before the first caller: every target may load what it is best to hold.
+    /// Before the first request: every target may load the weights that suit it best.
     Start,
-    /// While callers come: only targets that hold nothing load.
+    /// While requests arrive: only targets without weights load any.
     Serving,
 }
 
-/// Shares weights out over all domains.
+/// Allocates weights over all domains.
 ///
 /// ```
-/// use briarswitch_core::engine::{EngineModel, ModelSpec};
-/// use briarswitch_core::layout::{plan_layout, DomainStock, LayoutPhase};
+/// use briarswitch_core::engine::{EngineSpec, ModelSpec};
+/// use briarswitch_core::layout::{plan_layout, DomainInventory, LayoutPhase};
 /// use indexmap::IndexMap;
 ///
 /// let model = |id: &str, size, share| {
 ///     let id = id.to_owned();
-///     (id.clone(), ModelSpec { id, size, share, ..ModelSpec::default() })
+///     (id.clone(), ModelSpec { id, group_size: size, expected_share: share, ..ModelSpec::default() })
 /// };
 /// let models = IndexMap::from([model("large", 4, 0.67), model("small", 2, 0.33)]);
-/// let engine = EngineModel { models, ..EngineModel::default() };
-/// let domain = DomainStock { empty: 8, ..DomainStock::default() };
+/// let engine = EngineSpec { models, ..EngineSpec::default() };
+/// let domain = DomainInventory { empty: 8, ..DomainInventory::default() };
 /// let layouts = plan_layout(&engine, &IndexMap::new(), &[domain], LayoutPhase::Start);
 /// assert_eq!(layouts[""].holders.values().sum::<usize>(), 8);
 /// assert!(layouts[""].holders["large"] >= 4);
 /// ```
 pub fn plan_layout(
-    engine: &EngineModel,
+    engine: &EngineSpec,
     demand: &IndexMap<ModelId, f64>,
-    domains: &[DomainStock],
+    domains: &[DomainInventory],
     phase: LayoutPhase,
 ) -> IndexMap<DomainId, DomainLayout> {
-    let mut draft = LayoutDraft::open(engine, demand, domains, phase);
-    draft.fill_empty();
+    let mut draft = LayoutDraft::new(engine, demand, domains, phase);
+    draft.assign_empty();
     if phase == LayoutPhase::Start {
         draft.improve();
-        draft.order_alike();
+        draft.sort_equal_domains();
     }
     draft.finish()
 }
@@ -109,272 +112,288 @@
 /// Targets of one domain by the model whose weights they hold, in the order of the engine's models.
 pub(crate) type HolderCounts = Vec<usize>;
 
-/// What all domains should hold, while it is worked out.
+/// Layout of all domains under construction.
 pub(crate) struct LayoutDraft<'a> {
-    /// Models; all lists by model are in their order.
+    /// Models; all vectors by model use this order.
     pub(crate) models: Vec<&'a ModelSpec>,
-    /// Groups that each model's callers fill.
+    /// Number of groups that each model's callers fill.
     pub(crate) demand: Vec<f64>,
-    /// What each model's cover weighs.
+    /// Weight of each model's coverage.
     pub(crate) weights: Vec<f64>,
     /// Domains.
     pub(crate) domains: Vec<DomainDraft<'a>>,
-    /// Groups of each model whose targets load their weights unseen.
-    pub(crate) coming: Vec<f64>,
-    /// Groups expected to be left of each model, by zone.
-    left: Vec<Vec<f64>>,
-    table: GroupTable,
+    /// Groups of each model, as fractions, whose targets are loading their weights without that
+    /// showing in the domains' holders.
+    pub(crate) unreported_loads: Vec<f64>,
+    /// Expected surviving groups by zone and model.
+    surviving: Vec<Vec<f64>>,
+    survival: SurvivalTable,
     phase: LayoutPhase,
 }
 
-/// What one domain should hold, while it is worked out.
+/// Layout of one domain under construction.
 pub(crate) struct DomainDraft<'a> {
-    stock: &'a DomainStock,
+    inventory: &'a DomainInventory,
     zone: usize,
     targets: usize,
-    /// Targets by the model whose weights they should hold.
+    /// Number of targets that should hold each model's weights.
     pub(crate) holders: HolderCounts,
     empty: usize,
 }
 
 impl<'a> LayoutDraft<'a> {
-    /// Opens a draft of what domains hold now, or of nothing before the first caller.
-    pub(crate) fn open(
-        engine: &'a EngineModel,
+    /// Creates a draft from the weights currently held, or an empty one before the first request.
+    pub(crate) fn new(
+        engine: &'a EngineSpec,
         demand: &IndexMap<ModelId, f64>,
-        domains: &'a [DomainStock],
+        domains: &'a [DomainInventory],
         phase: LayoutPhase,
     ) -> Self {
-        let sized = engine.models.values().filter(|model| model.size > 0);
+        let sized = engine.models.values().filter(|model| model.group_size > 0);
         let models: Vec<&ModelSpec> = sized.collect();
-        let mut zones: Vec<&ZoneId> = domains.iter().map(|stock| &stock.zone).collect();
+        let mut zones: Vec<&ZoneId> = domains.iter().map(|inventory| &inventory.zone).collect();
         zones.sort_unstable();
         zones.dedup();
-        let drafts = domains.iter().map(|stock| {
-            let zone = zones.iter().position(|zone| **zone == stock.zone);
-            DomainDraft::open(stock, zone.unwrap_or_default(), &models, phase)
+        let drafts = domains.iter().map(|inventory| {
+            let zone = zones.iter().position(|zone| **zone == inventory.zone);
+            DomainDraft::new(inventory, zone.unwrap_or_default(), &models, phase)
         });
-        let demand = demand_of(&models, demand);
+        let demand = demand_by_model(&models, demand);
         let weights = demand.iter().zip(&models);
         let mut draft = Self {
             weights: weights
-                .map(|(demand, model)| model_weight(*demand, model.size))
+                .map(|(demand, model)| model_weight(*demand, model.group_size))
                 .collect(),
             demand,
             domains: drafts.collect(),
-            left: vec![vec![0.0; models.len()]; zones.len()],
-            coming: vec![0.0; models.len()],
+            surviving: vec![vec![0.0; models.len()]; zones.len()],
+            unreported_loads: vec![0.0; models.len()],
             models,
-            table: GroupTable::default(),
+            survival: SurvivalTable::default(),
             phase,
         };
         for index in 0..draft.domains.len() {
-            draft.count(index, 1.0);
+            draft.add_expected_groups(index, 1.0);
         }
         draft
     }
 
-    /// Adds or takes away the groups that a domain is expected to have left.
-    fn count(&mut self, index: usize, sign: f64) {
+    /// Adds or subtracts the expected surviving groups of a domain.
+    fn add_expected_groups(&mut self, index: usize, sign: f64) {
         let domain = &self.domains[index];
         for (model, spec) in self.models.iter().enumerate() {
-            let left = self.table.left(LossCase {
+            let expected = self.survival.expected_groups(LossParams {
                 targets: domain.targets,
                 holders: domain.holders[model],
-                size: spec.size,
+                size: spec.group_size,
             });
-            self.left[domain.zone][model] += sign * left;
+            self.surviving[domain.zone][model] += sign * expected;
         }
     }
 
-    /// Gives each target that holds nothing the weights that are worth most there.
+    /// Assigns to each target without weights those with the highest utility.
     ///
-    /// Returns how many got each model's in domains whose loads under way can not be seen.
-    pub(crate) fn fill_empty(&mut self) -> HolderCounts {
-        let mut unseen = vec![0; self.models.len()];
+    /// Returns, by model, how many were assigned in domains that do not report their loads under
+    /// way.
+    pub(crate) fn assign_empty(&mut self) -> HolderCounts {
+        let mut unreported = vec![0; self.models.len()];
         loop {
             let mut is_done = true;
             for index in 0..self.domains.len() {
                 if self.domains[index].empty > 0 && !self.models.is_empty() {
-                    let model = self.fill_one(index);
-                    let is_unseen = !self.domains[index].stock.shows_loads;
-                    unseen[model] += usize::from(is_unseen);
+                    let model = self.assign_one(index);
+                    let is_unreported = !self.domains[index].inventory.reports_loads;
+                    unreported[model] += usize::from(is_unreported);
                     is_done = false;
                 }
             }
             if is_done {
-                return unseen;
+                return unreported;
             }
         }
     }
 
-    /// Gives one empty target of a domain a model's weights, and returns the model.
-    fn fill_one(&mut self, index: usize) -> usize {
+    /// Assigns a model's weights to one empty target of a domain and returns the model.
+    fn assign_one(&mut self, index: usize) -> usize {
         let holders = &self.domains[index].holders;
-        // Of what is worth the same, what the domain holds most of brings its next group nearer.
+        // With equal gains, the model with the most holders in the domain is closest to completing
+        // its next group.
         let mut models: Vec<usize> = (0..self.models.len()).collect();
         models.sort_by_key(|model| Reverse(holders[*model]));
-        let before = self.worth();
+        let before = self.utility();
         let mut best: Option<(f64, usize)> = None;
         for model in models {
             let gain = self.best_gain(index, model, before);
-            if best.is_none_or(|(most, _)| gain > most) {
+            if best.is_none_or(|(highest, _)| gain > highest) {
                 best = Some((gain, model));
             }
         }
         let model = best.map_or(0, |(_, model)| model);
-        self.change(index, |domain| domain.holders[model] += 1);
+        self.update_domain(index, |domain| domain.holders[model] += 1);
         self.domains[index].empty -= 1;
         model
     }
 
-    /// Returns the most that one more target brings a model in a domain, on the way to the end of a begun group.
+    /// Returns the largest gain per target on the way to completing a model's current incomplete
+    /// group.
     ///
-    /// Targets come one at a time while callers come. Judged by what it completes itself, none would go to a
-    /// group that lacks two: domains held 13 to 15 targets of a model whose groups take sixteen for 20 s,
-    /// and what came loaded the other model.
+    /// During service empty targets arrive one at a time. Judged only by what it completes itself,
+    /// none would be assigned to a group that lacks two: domains kept 13 to 15 targets of a model
+    /// with groups of sixteen for 20 s, while new targets loaded the other model.
     fn best_gain(&mut self, index: usize, model: usize, before: f64) -> f64 {
-        let size = self.models[model].size;
-        let begun = self.domains[index].holders[model] % size;
-        let most = match self.phase {
-            LayoutPhase::Serving if begun > 0 => size - begun,
+        let size = self.models[model].group_size;
+        let filled = self.domains[index].holders[model] % size;
+        let max = match self.phase {
+            LayoutPhase::Serving if filled > 0 => size - filled,
             _ => 1,
         };
-        let gains = (1..=most).map(|count| {
-            let worth = self.worth_with(index, model, count);
-            (worth - before) / count as f64
+        let gains = (1..=max).map(|count| {
+            let utility = self.utility_with(index, model, count);
+            (utility - before) / count as f64
         });
         gains.fold(f64::NEG_INFINITY, f64::max)
     }
 
-    /// Returns the worth if the one empty target and others that may follow it held a model's weights.
-    fn worth_with(&mut self, index: usize, model: usize, count: usize) -> f64 {
-        self.change(index, |domain| {
+    /// Returns the utility if the empty target and `count - 1` that may follow it held a model's
+    /// weights.
+    fn utility_with(&mut self, index: usize, model: usize, count: usize) -> f64 {
+        self.update_domain(index, |domain| {
             domain.holders[model] += count;
             domain.targets += count - 1;
         });
-        let worth = self.worth();
-        self.change(index, |domain| {
+        let utility = self.utility();
+        self.update_domain(index, |domain| {
             domain.holders[model] -= count;
             domain.targets -= count - 1;
         });
-        worth
+        utility
     }
 
-    /// Changes what a domain holds, and counts its groups anew.
-    pub(crate) fn change(&mut self, index: usize, change: impl FnOnce(&mut DomainDraft<'_>)) {
-        self.count(index, -1.0);
+    /// Modifies a domain and updates its expected surviving groups.
+    pub(crate) fn update_domain(
+        &mut self,
+        index: usize,
+        change: impl FnOnce(&mut DomainDraft<'_>),
+    ) {
+        self.add_expected_groups(index, -1.0);
         change(&mut self.domains[index]);
-        self.count(index, 1.0);
+        self.add_expected_groups(index, 1.0);
     }
 
-    /// Moves targets of one domain at a time from one model to another, as long as that gains.
+    /// Moves targets between models, one domain at a time, as long as that increases the utility.
     fn improve(&mut self) {
-        for _ in 0..SWEEPS {
+        for _ in 0..IMPROVEMENT_SWEEPS {
             for index in 0..self.domains.len() {
                 let options = self.domains[index].neighbours();
-                self.take_best(index, options);
+                self.choose_best(index, options);
             }
         }
     }
 
-    /// Orders what equal domains of a zone hold, the first models in the first domains.
+    /// Sorts the layouts of domains with equal size in the same zone, the most holders of the first
+    /// models first.
     ///
-    /// Which of them holds what is worth the same. Were it left to the way the search went, a domain
-    /// that registers a little later would change what the others were told to load.
-    fn order_alike(&mut self) {
-        let mut alike: IndexMap<(usize, usize), Vec<usize>> = IndexMap::new();
+    /// Any permutation of them has the same utility. If the order depended on the search, a domain
+    /// that registers slightly later would change what the others have been told to load.
+    fn sort_equal_domains(&mut self) {
+        let mut equal: IndexMap<(usize, usize), Vec<usize>> = IndexMap::new();
         for (index, domain) in self.domains.iter().enumerate() {
             let key = (domain.zone, domain.targets);
-            alike.entry(key).or_default().push(index);
+            equal.entry(key).or_default().push(index);
         }
-        for indices in alike.into_values() {
-            let held = indices
+        for indices in equal.into_values() {
+            let counts = indices
                 .iter()
                 .map(|index| self.domains[*index].holders.clone());
-            let mut held: Vec<HolderCounts> = held.collect();
-            held.sort_unstable_by(|left, right| right.cmp(left));
-            for (index, holders) in indices.into_iter().zip(held) {
+            let mut counts: Vec<HolderCounts> = counts.collect();
+            counts.sort_unstable_by(|left, right| right.cmp(left));
+            for (index, holders) in indices.into_iter().zip(counts) {
                 self.domains[index].holders = holders;
             }
         }
     }
 
-    fn take_best(&mut self, index: usize, options: Vec<HolderCounts>) {
-        self.count(index, -1.0);
+    fn choose_best(&mut self, index: usize, options: Vec<HolderCounts>) {
+        self.add_expected_groups(index, -1.0);
         let mut best: Option<(f64, HolderCounts)> = None;
         for holders in options {
             self.domains[index].holders = holders;
-            self.count(index, 1.0);
-            let worth = self.worth();
-            self.count(index, -1.0);
+            self.add_expected_groups(index, 1.0);
+            let utility = self.utility();
+            self.add_expected_groups(index, -1.0);
             let holders = std::mem::take(&mut self.domains[index].holders);
-            if best.as_ref().is_none_or(|(most, _)| worth > *most) {
-                best = Some((worth, holders));
+            if best.as_ref().is_none_or(|(highest, _)| utility > *highest) {
+                best = Some((utility, holders));
             }
         }
         if let Some((_, holders)) = best {
             self.domains[index].holders = holders;
         }
-        self.count(index, 1.0);
+        self.add_expected_groups(index, 1.0);
     }
 
-    /// Returns the groups that a model is expected to have left in all domains.
-    pub(crate) fn groups_left(&self, model: usize) -> f64 {
-        self.left.iter().map(|left| left[model]).sum::<f64>() + self.coming[model]
+    /// Returns the expected number of surviving groups of a model over all domains.
+    pub(crate) fn surviving_groups(&self, model: usize) -> f64 {
+        self.surviving
+            .iter()
+            .map(|groups| groups[model])
+            .sum::<f64>()
+            + self.unreported_loads[model]
     }
 
-    /// Returns what the groups left are worth: each more, the less of its model's demand is covered.
-    pub(crate) fn worth(&self) -> f64 {
-        let zones = self.left.len() as f64;
+    /// Returns the utility of the expected surviving groups over all models.
+    pub(crate) fn utility(&self) -> f64 {
+        let zones = self.surviving.len() as f64;
         let of_model = self.demand.iter().enumerate().map(|(model, demand)| {
-            let all = self.groups_left(model);
-            let of_zones = self.left.iter();
-            let of_zones = of_zones.map(|left| cover_worth(left[model] * zones, *demand));
+            let all = self.surviving_groups(model);
+            let of_zones = self.surviving.iter();
+            let of_zones = of_zones.map(|groups| coverage_utility(groups[model] * zones, *demand));
             let mean = of_zones.sum::<f64>() / zones.max(1.0);
-            let worth = (1.0 - ZONE_SHARE) * cover_worth(all, *demand) + ZONE_SHARE * mean;
-            worth * self.weights[model]
+            let utility = (1.0 - ZONE_UTILITY_SHARE) * coverage_utility(all, *demand)
+                + ZONE_UTILITY_SHARE * mean;
+            utility * self.weights[model]
         });
         of_model.sum()
     }
 
-    /// Returns what each domain should hold.
+    /// Returns the planned content of each domain.
     pub(crate) fn finish(self) -> IndexMap<DomainId, DomainLayout> {
         let mut order: Vec<usize> = (0..self.models.len()).collect();
-        let cover = |model: &usize| {
+        let coverage = |model: &usize| {
             let groups = self.domains.iter();
-            let groups = groups.map(|domain| domain.holders[*model] / self.models[*model].size);
+            let groups =
+                groups.map(|domain| domain.holders[*model] / self.models[*model].group_size);
             groups.sum::<usize>() as f64 / self.demand[*model].max(f64::MIN_POSITIVE)
         };
-        order.sort_by(|left, right| cover(left).total_cmp(&cover(right)));
+        order.sort_by(|left, right| coverage(left).total_cmp(&coverage(right)));
         let layouts = self.domains.iter().map(|domain| {
             let holders = order.iter().map(|model| {
                 let id = self.models[*model].id.clone();
                 (id, domain.holders[*model])
             });
             let holders = holders.filter(|(_, count)| *count > 0).collect();
-            (domain.stock.domain.clone(), DomainLayout { holders })
+            (domain.inventory.domain.clone(), DomainLayout { holders })
         });
         layouts.collect()
     }
 }
 
 impl<'a> DomainDraft<'a> {
-    fn open(
-        stock: &'a DomainStock,
+    fn new(
+        inventory: &'a DomainInventory,
         zone: usize,
         models: &[&ModelSpec],
         phase: LayoutPhase,
     ) -> Self {
-        let held = models.iter().map(|model| stock.holders.get(&model.id));
+        let held = models.iter().map(|model| inventory.holders.get(&model.id));
         let held: HolderCounts = held.map(|count| count.copied().unwrap_or(0)).collect();
         let holders = match phase {
             LayoutPhase::Start => vec![0; models.len()],
             LayoutPhase::Serving => held,
         };
-        let targets = stock.targets();
+        let targets = inventory.targets();
         Self {
-            stock,
+            inventory,
             zone,
             targets,
             empty: targets - holders.iter().sum::<usize>(),
@@ -382,7 +401,7 @@
         }
     }
 
-    /// Returns the counts after any number of targets went from one model to another.
+    /// Returns the holder counts reachable by moving any number of targets between two models.
     fn neighbours(&self) -> Vec<HolderCounts> {
         let mut options = vec![self.holders.clone()];
         for from in 0..self.holders.len() {
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -1,63 +1,64 @@
-//! The zone controller's lease: one row in the table service, kept by conditional writes.
+//! Lease of a zone's controller: one row in the table service, maintained by conditional writes.
 //!
-//! No two clocks are compared. The holder counts its lease from before it sent the renewing write;
-//! a challenger counts from when it saw the row last change. Both use the boot-time clock, which
-//! goes on counting while a machine is suspended (Gray and Cheriton, "Leases", 1989).
+//! Clocks of different machines are never compared. The holder measures its lease from before it
+//! sent the renewing write; a challenger measures from when it saw the row change last. Both use
+//! the boot-time clock, which keeps counting while a machine is suspended (Gray and Cheriton,
+//! "Leases", 1989).
 
 use std::time::Duration;
 
 use crate::id::{Epoch, Incarnation, Moment, NodeId, RowVersion, WriteId};
 
-/// Durations of the lease.
+/// Durations that govern the lease.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct LeaseTiming {
-    /// Time a renewal is good for.
+    /// Validity of a renewal.
     pub duration: Duration,
-    /// Time the holder gives up early and a challenger waits longer.
+    /// Safety margin: the holder stops this much earlier, a challenger waits this much longer.
     pub margin: Duration,
-    /// Time after which the holder renews.
+    /// Interval after which the holder renews.
     pub renew: Duration,
 }
 
-/// What the lease row says.
+/// Content of the lease row.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct LeaseRecord {
     /// Node that holds the lease.
     pub holder: NodeId,
-    /// Life of that node that holds it.
+    /// Incarnation of that node.
     pub incarnation: Incarnation,
-    /// Rises by one with each change of holder.
+    /// Incremented with each change of holder.
     pub epoch: Epoch,
-    /// Write that put the row there.
+    /// Write that stored this row.
     pub write: WriteId,
 }
 
 impl LeaseRecord {
-    /// Returns whether the last holder gave the lease up, so that nobody has to be waited out.
+    /// Returns whether the last holder has released the lease, so that a challenger need not wait.
     pub fn is_released(&self) -> bool {
         self.holder.is_empty()
     }
 }
 
-/// A write the keeper asks for.
+/// Conditional write that the client wants to send.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct LeaseWrite {
     /// Row to write.
     pub record: LeaseRecord,
     /// Version that the row must still have.
     pub expected: RowVersion,
-    /// Whether the holder changes, so that the epoch row has to change too.
+    /// Whether the holder changes, in which case the epoch row must change too.
     pub takes_over: bool,
 }
 
-/// What the table service said to a write.
+/// Result of a write to the table service.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub enum LeaseAnswer {
-    /// The write is in force at this version.
+pub enum LeaseWriteResult {
+    /// The write was applied with this version.
     Written(RowVersion),
     /// Another write came first.
     Conflict,
-    /// No answer came, so the write may or may not be in force.
+    /// No response arrived; the write may or may not have been applied.
     Lost,
 }
 
@@ -65,36 +66,36 @@
 struct PendingWrite {
     record: LeaseRecord,
     sent: Moment,
-    is_lost: bool,
+    is_uncertain: bool,
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-struct SeenRow {
+struct ObservedRow {
     record: Option<LeaseRecord>,
     version: RowVersion,
     since: Moment,
 }
 
-/// One node's part in the contest for its zone's lease.
+/// One node's state in the contest for its zone's lease.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct LeaseKeeper {
+pub struct LeaseClient {
     node: NodeId,
     incarnation: Incarnation,
     timing: LeaseTiming,
-    seen: Option<SeenRow>,
+    last_read: Option<ObservedRow>,
     pending: Option<PendingWrite>,
     held: Option<(Epoch, Moment)>,
     renewed: Moment,
 }
 
-impl LeaseKeeper {
-    /// Opens a keeper that holds nothing.
-    pub fn open(node: NodeId, incarnation: Incarnation, timing: LeaseTiming) -> Self {
+impl LeaseClient {
+    /// Creates a client that does not hold the lease.
+    pub fn new(node: NodeId, incarnation: Incarnation, timing: LeaseTiming) -> Self {
         Self {
             node,
             incarnation,
             timing,
-            seen: None,
+            last_read: None,
             pending: None,
             held: None,
             renewed: Moment::ZERO,
@@ -103,15 +104,15 @@
 
     /// Returns the epoch held at `now`, or `None`.
     ///
-    /// Every order calls this right before it is sent: a process that was paused finds its lease
-    /// over here, whatever it believed before the pause.
+    /// Must be checked immediately before each order is sent, so that a process that was paused
+    /// notices that its lease has expired meanwhile.
     pub fn epoch(&self, now: Moment) -> Option<Epoch> {
         self.held
             .filter(|(_, until)| now < *until)
             .map(|(epoch, _)| epoch)
     }
 
-    /// Returns how long the lease is still held at `now`.
+    /// Returns the remaining validity of the lease at `now`.
     pub fn remaining(&self, now: Moment) -> Duration {
         self.held
             .map(|(_, until)| until.saturating_sub(now))
@@ -120,27 +121,31 @@
 
     /// Returns the row as last read.
     pub fn record(&self) -> Option<&LeaseRecord> {
-        self.seen.as_ref().and_then(|seen| seen.record.as_ref())
+        self.last_read
+            .as_ref()
+            .and_then(|last_read| last_read.record.as_ref())
     }
 
-    /// Returns whether a write's fate is open and the row has to be read.
-    pub fn is_unsettled(&self) -> bool {
-        self.pending.as_ref().is_some_and(|write| write.is_lost)
+    /// Returns whether the result of a write is unknown, so that the row must be read.
+    pub fn needs_read(&self) -> bool {
+        self.pending
+            .as_ref()
+            .is_some_and(|write| write.is_uncertain)
     }
 
-    /// Takes in what was read of the row.
+    /// Processes a read of the row.
     ///
-    /// A read settles a write whose answer was lost: if the row carries its write id it took
-    /// effect, and the lease counts from when that write was sent.
+    /// A read resolves a write whose response was lost: if the row carries its write id, the write
+    /// was applied, and the lease counts from when it was sent.
     pub fn observe(&mut self, record: Option<LeaseRecord>, version: RowVersion, now: Moment) {
-        self.settle(record.as_ref());
+        self.resolve_pending(record.as_ref());
         let is_changed = self
-            .seen
+            .last_read
             .as_ref()
-            .is_none_or(|seen| seen.version != version);
+            .is_none_or(|last_read| last_read.version != version);
         if is_changed {
-            self.drop_if_foreign(record.as_ref());
-            self.seen = Some(SeenRow {
+            self.drop_if_not_holder(record.as_ref());
+            self.last_read = Some(ObservedRow {
                 record,
                 version,
                 since: now,
@@ -153,18 +158,24 @@
         if self.pending.is_some() {
             return None;
         }
-        let seen = self.seen.as_ref()?;
-        let is_mine = seen.record.as_ref().is_some_and(|record| self.owns(record));
+        let last_read = self.last_read.as_ref()?;
+        let is_mine = last_read
+            .record
+            .as_ref()
+            .is_some_and(|record| self.owns(record));
         let is_due = if is_mine {
             now >= self.renewed + self.timing.renew || self.epoch(now).is_none()
         } else {
-            seen.record.as_ref().is_none_or(LeaseRecord::is_released)
-                || now >= seen.since + self.timing.duration + self.timing.margin
+            last_read
+                .record
+                .as_ref()
+                .is_none_or(LeaseRecord::is_released)
+                || now >= last_read.since + self.timing.duration + self.timing.margin
         };
         if !is_due {
             return None;
         }
-        let current = seen.record.as_ref().map_or(0, |record| record.epoch);
+        let current = last_read.record.as_ref().map_or(0, |record| record.epoch);
         let record = LeaseRecord {
             holder: self.node.clone(),
             incarnation: self.incarnation,
@@ -173,51 +184,52 @@
         };
         let proposal = LeaseWrite {
             record: record.clone(),
-            expected: seen.version,
+            expected: last_read.version,
             takes_over: !is_mine,
         };
         self.pending = Some(PendingWrite {
             record,
             sent: now,
-            is_lost: false,
+            is_uncertain: false,
         });
         Some(proposal)
     }
 
-    /// Takes in what became of the write that was sent last.
-    pub fn answer(&mut self, answer: LeaseAnswer, now: Moment) {
+    /// Processes the result of the last write.
+    pub fn record_result(&mut self, answer: LeaseWriteResult, now: Moment) {
         match answer {
-            LeaseAnswer::Written(version) => {
+            LeaseWriteResult::Written(version) => {
                 let Some(write) = self.pending.take() else {
                     return;
                 };
                 self.hold(&write);
-                self.seen = Some(SeenRow {
+                self.last_read = Some(ObservedRow {
                     record: Some(write.record),
                     version,
                     since: now,
                 });
             }
-            LeaseAnswer::Conflict => {
-                // A conflict may be this node's own earlier write, applied without an answer, so
-                // the row is read again before anything is concluded from it.
+            LeaseWriteResult::Conflict => {
+                // The conflict may be with this node's own earlier write, which was applied
+                // although its response was lost. The row is therefore read again before drawing
+                // conclusions.
                 if let Some(write) = self.pending.as_mut() {
-                    write.is_lost = true;
+                    write.is_uncertain = true;
                 }
             }
-            LeaseAnswer::Lost => {
+            LeaseWriteResult::Lost => {
                 if let Some(write) = self.pending.as_mut() {
-                    write.is_lost = true;
+                    write.is_uncertain = true;
                 }
             }
         }
     }
 
-    /// Gives the lease up and returns the write that tells the others, if it was held.
+    /// Stops holding the lease and, if it was held, returns the write that releases it for others.
     pub fn release(&mut self, write: WriteId, now: Moment) -> Option<LeaseWrite> {
         let epoch = self.epoch(now)?;
         self.held = None;
-        let seen = self.seen.as_ref()?;
+        let last_read = self.last_read.as_ref()?;
         Some(LeaseWrite {
             record: LeaseRecord {
                 holder: NodeId::new(),
@@ -225,7 +237,7 @@
                 epoch,
                 write,
             },
-            expected: seen.version,
+            expected: last_read.version,
             takes_over: false,
         })
     }
@@ -234,8 +246,9 @@
         record.holder == self.node && record.incarnation == self.incarnation
     }
 
-    fn settle(&mut self, record: Option<&LeaseRecord>) {
-        let Some(write) = self.pending.take_if(|write| write.is_lost) else {
+    /// Resolves a write of unknown result by the row as read.
+    fn resolve_pending(&mut self, record: Option<&LeaseRecord>) {
+        let Some(write) = self.pending.take_if(|write| write.is_uncertain) else {
             return;
         };
         if record.is_some_and(|found| found.write == write.record.write) {
@@ -243,13 +256,14 @@
         }
     }
 
+    /// Holds the lease, counted from when the confirmed write was sent.
     fn hold(&mut self, write: &PendingWrite) {
         let until = write.sent + self.timing.duration - self.timing.margin;
         self.held = Some((write.record.epoch, until));
         self.renewed = write.sent;
     }
 
-    fn drop_if_foreign(&mut self, record: Option<&LeaseRecord>) {
+    fn drop_if_not_holder(&mut self, record: Option<&LeaseRecord>) {
         let is_mine = record.is_some_and(|found| self.owns(found));
         if !is_mine {
             self.held = None;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,48 +1,48 @@
-//! Decisions of briarswitch as pure functions of state, event and time.
+//! Decision logic of briarswitch as pure functions of state, event and time.
 //!
-//! Nothing here touches a socket, a clock or a thread: time and randomness come in as arguments, so
-//! that tests, replays and the model checker drive the same code as the node does.
+//! Nothing here uses a socket, a clock or a thread: time and randomness are passed in as arguments,
+//! so that tests, replays and the model checker run the same code as the node.
 //!
 //! ```
 //! use briarswitch_core::prelude::*;
 //!
-//! let book = ConfigBook::default();
-//! assert_eq!(book.version(), 0);
+//! let config = VersionedConfig::default();
+//! assert_eq!(config.version(), 0);
 //! ```
 
 pub mod assembly;
 pub mod choice;
 pub mod claim;
 pub mod config;
-mod cover;
+mod coverage;
 pub mod crash;
 pub mod deployment;
 mod draft;
 pub mod engine;
 pub mod events;
 pub mod evidence;
-pub mod exchange;
 pub mod fair;
 pub mod finding;
+pub mod fingerprint;
 pub mod fleet;
-mod free;
+mod free_pool;
 pub mod group;
 pub mod id;
 pub mod layout;
 pub mod lease;
 pub mod limit;
 mod losses;
-pub mod mint;
+pub mod minted_key;
 pub mod order;
 pub mod organisation;
+pub mod outage_history;
 pub mod outcome;
 pub mod placement;
 pub mod planner;
 pub mod prefix;
 pub mod prelude;
-pub mod print;
+pub mod rebalance;
 pub mod retry;
-pub mod returns;
 pub mod rule;
 pub mod silence;
 pub mod stream;
--- a/crates/core/src/losses.rs
+++ b/crates/core/src/losses.rs
@@ -1,66 +1,69 @@
-//! How many groups a domain is expected to have left after losses.
+//! Expected number of groups that remain in a domain after losing some of its targets.
 
 use indexmap::IndexMap;
 
-/// Targets of a domain that may be lost before loads have replaced them, for each root of its targets.
+/// Maximum number of targets of a domain assumed to be missing at a time, per square root of its
+/// size.
 ///
-/// What is missing at a time is the rate of losses in the fleet times the seconds until another target has come
-/// and loaded, shared by the domains. Two of 54 lost each 3 s leave a domain of nine three short in the mean,
-/// and of 222 a domain of 37 as many. A part of the domain is too little for the small one, where a model
-/// then gets a place beside another without a spare, and too much for the large one.
-const LOSS_ROOT: f64 = 1.25;
+/// The number missing at a time is the fleet's loss rate times the seconds until a replacement has
+/// arrived and loaded, divided among the domains. If two of 54 targets are lost every 3 s, a domain
+/// of nine is three short on average; in a fleet of 222 targets, so is a domain of 37. A fixed
+/// fraction would be too little for the small domain, where a second model would be added without
+/// a spare, and too much for the large one.
+const MAX_LOSSES_PER_SQRT_TARGETS: f64 = 1.25;
 
-/// What the groups that are left depend on.
+/// Parameters of the expected number of surviving groups.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub(crate) struct LossCase {
-    /// Targets of the domain.
+pub(crate) struct LossParams {
+    /// Targets in the domain.
     pub(crate) targets: usize,
-    /// Those of them that hold the model's weights.
+    /// Targets that hold the model's weights.
     pub(crate) holders: usize,
-    /// Targets in one group.
+    /// Targets per group.
     pub(crate) size: usize,
 }
 
-/// Groups that are expected to be left after losses, computed once for each case.
+/// Memoised expected numbers of surviving groups.
 #[derive(Default)]
-pub(crate) struct GroupTable {
-    left: IndexMap<LossCase, f64>,
+pub(crate) struct SurvivalTable {
+    expected: IndexMap<LossParams, f64>,
 }
 
-impl GroupTable {
-    /// Returns the groups that are expected to be left.
-    pub(crate) fn left(&mut self, case: LossCase) -> f64 {
-        let left = self.left.entry(case);
-        *left.or_insert_with(|| expected_left(case))
+impl SurvivalTable {
+    /// Returns the expected number of surviving groups.
+    pub(crate) fn expected_groups(&mut self, params: LossParams) -> f64 {
+        let expected = self.expected.entry(params);
+        *expected.or_insert_with(|| mean_surviving_groups(params))
     }
 }
 
-/// Returns the mean of the groups that are left while up to some of the targets are lost at random.
-fn expected_left(case: LossCase) -> f64 {
-    let most = ((case.targets as f64).sqrt() * LOSS_ROOT).round() as usize;
-    let cases = (0..=most).map(|losses| left_after(losses, case));
-    cases.sum::<f64>() / (most + 1) as f64
+/// Returns the mean number of surviving groups over all loss counts up to the assumed maximum.
+fn mean_surviving_groups(params: LossParams) -> f64 {
+    let max = ((params.targets as f64).sqrt() * MAX_LOSSES_PER_SQRT_TARGETS).round() as usize;
+    let means = (0..=max).map(|losses| surviving_groups_after(losses, params));
+    means.sum::<f64>() / (max + 1) as f64
 }
 
-/// Returns the mean of the groups that are left after a number of losses.
+/// Returns the mean number of surviving groups after a given number of losses.
 ///
-/// Losses are drawn without replacement, so the lost holders follow a hypergeometric distribution.
-fn left_after(losses: usize, case: LossCase) -> f64 {
-    let LossCase {
+/// Losses are drawn without replacement, so the number of lost holders follows a hypergeometric
+/// distribution.
+fn surviving_groups_after(losses: usize, params: LossParams) -> f64 {
+    let LossParams {
         targets,
         holders,
         size,
-    } = case;
-    let most = losses.min(holders);
-    let cases = (0..=most).map(|lost| {
-        let ways = choose(holders, lost) * choose(targets - holders, losses - lost);
+    } = params;
+    let max = losses.min(holders);
+    let weighted = (0..=max).map(|lost| {
+        let ways = binomial(holders, lost) * binomial(targets - holders, losses - lost);
         ways * ((holders - lost) / size) as f64
     });
-    cases.sum::<f64>() / choose(targets, losses).max(f64::MIN_POSITIVE)
+    weighted.sum::<f64>() / binomial(targets, losses).max(f64::MIN_POSITIVE)
 }
 
-/// Returns the ways to draw `count` of `from`.
-fn choose(from: usize, count: usize) -> f64 {
+/// Returns the number of ways to choose `count` out of `from` items.
+fn binomial(from: usize, count: usize) -> f64 {
     if count > from {
         return 0.0;
     }
--- a/crates/core/src/target.rs
+++ b/crates/core/src/target.rs
@@ -1,4 +1,4 @@
-//! Targets as the platform's directory lists them, and the groups they say they are in.
+//! Targets as listed in the platform's directory, and their own reports of group membership.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,40 +9,40 @@
     DomainId, Epoch, GroupId, Incarnation, ModelId, Moment, ServiceId, TargetId, ZoneId,
 };
 
-/// How far a member of a group has come.
+/// Progress of a group member.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum MembershipState {
-    /// Weights or peers are not there yet.
+    /// Weights are still loading or peers are still missing.
     Joining,
-    /// Whole as far as this member knows, and not serving.
+    /// Complete as far as this member knows, but not serving yet.
     Ready,
-    /// The first member serves requests.
+    /// The leader serves requests.
     Open,
-    /// The first member finishes what it has and takes nothing new.
+    /// The leader finishes the requests it has and accepts no new ones.
     Closing,
-    /// A member was lost and the group serves no more.
+    /// A member was lost and the group no longer serves.
     Broken,
 }
 
-/// What a target says of its own place in a group.
+/// Group membership as reported by the target itself.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Membership {
     /// Group.
     pub group: GroupId,
-    /// Attempt at forming it.
+    /// Epoch of the attempt to form the group.
     pub epoch: Epoch,
-    /// Place in the list of members; zero takes the requests.
+    /// Position in the member list; rank 0 is the leader, which takes the requests.
     pub rank: usize,
-    /// How far the member has come.
+    /// Progress of this member.
     pub state: MembershipState,
 }
 
-/// One target as the directory lists it.
+/// Directory entry of one target.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TargetRecord {
     /// Name.
     pub id: TargetId,
-    /// Life under that name; zero where the target does not say.
+    /// Incarnation under that name; zero if the target does not report one.
     pub incarnation: Incarnation,
     /// Service it belongs to.
     pub service: ServiceId,
@@ -50,17 +50,17 @@
     pub address: String,
     /// Zone.
     pub zone: ZoneId,
-    /// Whether it asked for no new work.
+    /// Whether the target has asked for no new work.
     pub is_draining: bool,
-    /// Requests it works on at once.
+    /// Number of requests it processes concurrently.
     pub slots: u32,
-    /// Fabric domain; empty where it has none.
+    /// Fabric domain; empty if it has none.
     pub domain: DomainId,
-    /// Models whose weights are on its host.
+    /// Models whose weights are staged on its host.
     pub staged: Vec<ModelId>,
     /// Models it serves.
     pub models: Vec<ModelId>,
-    /// Its group.
+    /// Membership in a group, if any.
     pub membership: Option<Membership>,
 }
 
@@ -69,59 +69,61 @@
 pub enum TargetChange {
     /// The entry is new or has changed.
     Put(Box<TargetRecord>),
-    /// The entry is gone.
+    /// The entry was deleted.
     Removed(TargetId),
-    /// The entry can not be understood, so it names no target to use.
-    Withdrawn(TargetId),
+    /// The entry cannot be parsed, so its target must not be used.
+    Unreadable(TargetId),
 }
 
 impl TargetChange {
-    /// Returns the target that the change is about.
+    /// Returns the id of the changed target.
     pub fn target(&self) -> &TargetId {
         match self {
             Self::Put(record) => &record.id,
-            Self::Removed(id) | Self::Withdrawn(id) => id,
+            Self::Removed(id) | Self::Unreadable(id) => id,
         }
     }
 }
 
-/// Time after the directory's return within which entries that lapsed meanwhile are put back.
+/// Time after the directory recovers during which expired entries may be written again.
 ///
-/// Targets write their entries again within about two seconds.
-const RETURN_TIME: Duration = Duration::from_millis(2_300);
+/// Targets rewrite their entries within about two seconds.
+const REREGISTRATION_GRACE: Duration = Duration::from_millis(2_300);
 
-/// Tells lapses during an absence of the directory from departures.
+/// Distinguishes entries that expired during a directory outage from targets that left.
 ///
-/// What is missing when the directory returns may only have lapsed. What is removed later has left: kept
-/// as a lapse, it would get requests for seconds after everybody else has stopped.
+/// Entries missing when the directory recovers may merely have expired. An entry that is removed
+/// later belongs to a target that has left; if it were kept, the target would get requests for
+/// seconds after all other nodes have stopped sending them.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LapseWindow {
-    is_away: bool,
+pub struct RecoveryWindow {
+    is_unreachable: bool,
     until: Moment,
 }
 
-impl LapseWindow {
-    /// Notes that the directory did not answer.
+impl RecoveryWindow {
+    /// Records that the directory did not answer.
     pub fn note_failure(&mut self) {
-        self.is_away = true;
+        self.is_unreachable = true;
     }
 
-    /// Notes that the directory answered.
+    /// Records that the directory answered.
     pub fn note_answer(&mut self, now: Moment) {
-        if std::mem::take(&mut self.is_away) {
-            self.until = now + RETURN_TIME;
+        if std::mem::take(&mut self.is_unreachable) {
+            self.until = now + REREGISTRATION_GRACE;
         }
     }
 
-    /// Returns until when an entry is kept that is found removed at `now`; `None` if it has left.
+    /// Returns the time until which an entry found missing at `now` is kept; `None` if its target
+    /// has left.
     ///
     /// ```
     /// use std::time::Duration;
     ///
-    /// use briarswitch_core::target::LapseWindow;
+    /// use briarswitch_core::target::RecoveryWindow;
     ///
     /// let at = Duration::from_secs;
-    /// let mut window = LapseWindow::default();
+    /// let mut window = RecoveryWindow::default();
     /// window.note_failure();
     /// window.note_answer(at(10));
     /// assert!(window.keep_until(at(11)).is_some());
@@ -132,150 +134,162 @@
     }
 }
 
-/// Targets by id; records are shared, since every change makes a new list that others read.
+/// Targets by id. Records are shared because each change produces a new list for concurrent
+/// readers.
 pub type TargetList = IndexMap<TargetId, Arc<TargetRecord>>;
 
-/// Time for which an entry stays unused after the one that took its address is gone.
+/// Time for which a replaced entry stays unused after the entry that took its address is gone.
 ///
-/// The entry of a target that has ended is gone by then.
-const VACANT_TIME: Duration = Duration::from_secs(6);
-/// Most targets that are remembered of one address.
-const MOST_AT_ADDRESS: usize = 4;
-/// Most addresses without a listed target that are remembered.
-const MOST_VACANT: usize = 1_024;
+/// By then the directory has dropped the entry of a target that has terminated.
+const RESTORE_DELAY: Duration = Duration::from_secs(6);
+/// Number of target ids remembered per address.
+const MAX_TARGETS_PER_ADDRESS: usize = 4;
+/// Number of addresses remembered beyond the number of listed targets.
+const MAX_UNLISTED_ADDRESSES: usize = 1_024;
 
-/// What the directory lists, with departures held back while the directory itself was away.
+/// Local copy of the directory that tolerates directory outages and reused addresses.
 ///
-/// An address is used again only after its target has ended, whose entry may stay for seconds, or be written
-/// once more by a call that was held up. What answers at the address would pass for both, and members that are
-/// gone would count as live. So of the entries with one address only that of the target seen last is used.
+/// An address is reused only after its target has terminated, but the old entry may stay for
+/// seconds or be rewritten by a delayed call. The new target would then answer for both, and
+/// terminated members would count as live. Of several entries with the same address, only that of
+/// the target seen last is therefore used.
 #[derive(Clone, Debug, Default)]
-pub struct TargetBook {
+pub struct TargetCache {
     targets: TargetList,
-    /// Targets seen at each address, the first one first; shared, since it changes only as targets come.
-    seen: Arc<IndexMap<String, Vec<TargetId>>>,
-    lapsed: IndexMap<TargetId, Moment>,
+    /// Target ids seen at each address, oldest first. Shared between clones, since it changes only
+    /// when a target appears.
+    ids_by_address: Arc<IndexMap<String, Vec<TargetId>>>,
+    /// Targets missing after an outage, and when to remove them unless they are listed again.
+    removal_due: IndexMap<TargetId, Moment>,
+    /// Group members without a directory entry.
     unlisted: TargetList,
-    /// Listed targets whose address another one has since.
+    /// Listed targets whose address has since been taken by another target.
     replaced: TargetList,
-    /// Those of them whose address nobody has any more, and since when.
-    vacant: IndexMap<TargetId, Moment>,
-    ended: u64,
+    /// For each entry of `replaced` whose address is no longer in use: when that was first noticed.
+    address_free_since: IndexMap<TargetId, Moment>,
+    unexpected_exits: u64,
 }
 
-impl TargetBook {
+impl TargetCache {
     /// Returns the targets by id.
     pub fn targets(&self) -> &TargetList {
         &self.targets
     }
 
-    /// Returns the members of groups whose entries are gone.
+    /// Returns group members whose directory entries are gone.
     ///
-    /// A target that is cut off from the directory loses its entry and works on. Where another member heads
-    /// its group it takes no requests, and the group serves as before. Ended for each lapsed entry, 25 of 222
-    /// targets that were cut off for 5 s cost all groups of sixteen and a third of those of four.
+    /// A target that is cut off from the directory loses its entry but keeps working. If it is not
+    /// the leader of its group, it takes no requests and the group can go on serving. When groups
+    /// were dissolved for every expired entry, 25 of 222 targets cut off for 5 s cost all groups of
+    /// sixteen and a third of the groups of four.
     ///
     /// ```
-    /// use briarswitch_core::target::TargetBook;
+    /// use briarswitch_core::target::TargetCache;
     ///
-    /// assert!(TargetBook::default().unlisted().is_empty());
+    /// assert!(TargetCache::default().unlisted().is_empty());
     /// ```
     pub fn unlisted(&self) -> &TargetList {
         &self.unlisted
     }
 
-    /// Returns how many targets have ended so far without asking for no new work before, lapses among them.
+    /// Returns how many targets have restarted, or disappeared without draining first, so far.
+    ///
+    /// Entries that merely expired are included.
     ///
     /// ```
-    /// use briarswitch_core::target::TargetBook;
+    /// use briarswitch_core::target::TargetCache;
     ///
-    /// assert_eq!(TargetBook::default().ended(), 0);
+    /// assert_eq!(TargetCache::default().unexpected_exits(), 0);
     /// ```
-    pub fn ended(&self) -> u64 {
-        self.ended
+    pub fn unexpected_exits(&self) -> u64 {
+        self.unexpected_exits
     }
 
-    /// Forgets the unlisted members of groups that no listed target is in any more.
+    /// Removes unlisted members whose group has no listed member any more.
     ///
-    /// To be called once the changes of an answer are taken in.
+    /// Must be called after all changes of one directory response have been applied.
     ///
     /// ```
-    /// use briarswitch_core::target::TargetBook;
+    /// use briarswitch_core::target::TargetCache;
     ///
-    /// let mut book = TargetBook::default();
-    /// book.forget_ended();
-    /// assert!(book.unlisted().is_empty());
+    /// let mut cache = TargetCache::default();
+    /// cache.prune_unlisted();
+    /// assert!(cache.unlisted().is_empty());
     /// ```
-    pub fn forget_ended(&mut self) {
+    pub fn prune_unlisted(&mut self) {
         if self.unlisted.is_empty() {
             return;
         }
-        let held = self.targets.values();
-        let held = held.filter_map(|record| record.membership.as_ref());
-        let known: IndexSet<(&GroupId, Epoch)> =
-            held.map(|held| (&held.group, held.epoch)).collect();
+        let memberships = self.targets.values();
+        let memberships = memberships.filter_map(|record| record.membership.as_ref());
+        let listed: IndexSet<(&GroupId, Epoch)> = memberships
+            .map(|membership| (&membership.group, membership.epoch))
+            .collect();
         self.unlisted.retain(|_, record| {
-            let held = record.membership.as_ref();
-            held.is_some_and(|held| known.contains(&(&held.group, held.epoch)))
+            let membership = record.membership.as_ref();
+            membership
+                .is_some_and(|membership| listed.contains(&(&membership.group, membership.epoch)))
         });
     }
 
-    /// Takes in one change.
+    /// Applies one change.
     ///
-    /// Entries lapse while the directory is away though their targets live. Dropping them at once
-    /// would empty the routing table just when the directory returns. With `keep_until` set, a
-    /// removed entry is kept until then, and stays if it is put back.
+    /// Entries expire during a directory outage although their targets are alive. Dropping them at
+    /// once would empty the routing table just when the directory recovers. With `keep_until` set,
+    /// a removed entry is kept until then, and for good if it is written again.
     pub fn apply(&mut self, change: TargetChange, keep_until: Option<Moment>) {
         match change {
             TargetChange::Put(record) => self.put(Arc::from(record)),
             TargetChange::Removed(id) => match keep_until {
                 Some(until) if self.targets.contains_key(&id) => {
-                    self.lapsed.insert(id, until);
+                    self.removal_due.insert(id, until);
                 }
-                _ => self.depart(&id),
+                _ => self.remove_departed(&id),
             },
-            // Somebody wrote it, so it has not lapsed; kept as it was before, it would get requests
-            // for as long as nobody writes it again.
-            TargetChange::Withdrawn(id) => self.drop_entry(&id),
+            // The entry was rewritten, so it did not expire. The previous version must not be kept:
+            // it would get requests until the entry is written again.
+            TargetChange::Unreadable(id) => self.drop_entry(&id),
         }
     }
 
     fn put(&mut self, record: Arc<TargetRecord>) {
-        let held = self.targets.get(&record.id);
-        let is_known = held.is_some_and(|held| held.address == record.address);
-        if !is_known && !self.takes_address(&record) {
+        let current = self.targets.get(&record.id);
+        let is_known = current.is_some_and(|current| current.address == record.address);
+        if !is_known && !self.claim_address(&record) {
             self.drop_entry(&record.id);
             self.replaced.insert(record.id.clone(), record);
             return;
         }
-        self.lapsed.swap_remove(&record.id);
+        self.removal_due.swap_remove(&record.id);
         self.unlisted.swap_remove(&record.id);
         self.replaced.swap_remove(&record.id);
-        let born = record.incarnation;
-        let before = self.targets.insert(record.id.clone(), record);
-        self.ended += u64::from(before.is_some_and(|before| before.incarnation != born));
+        let incarnation = record.incarnation;
+        let previous = self.targets.insert(record.id.clone(), record);
+        let has_restarted = previous.is_some_and(|previous| previous.incarnation != incarnation);
+        self.unexpected_exits += u64::from(has_restarted);
     }
 
-    /// Returns whether a target that is not in use has its address now; the one that had it gives way.
-    fn takes_address(&mut self, record: &TargetRecord) -> bool {
+    /// Returns whether `record` is the newest target at its address; if so, the previous one is
+    /// replaced.
+    fn claim_address(&mut self, record: &TargetRecord) -> bool {
         let address = &record.address;
         self.unlisted
             .retain(|id, other| *id == record.id || other.address != *address);
         self.note_seen(record);
-        let seen = &self.seen[address];
-        if seen.last() != Some(&record.id) {
+        let ids = &self.ids_by_address[address];
+        if ids.last() != Some(&record.id) {
             return false;
         }
-        let mut holders = seen.iter().filter(|id| **id != record.id);
-        if let Some(holder) = holders.find_map(|id| self.at_address(id, address)).cloned() {
-            self.ended += u64::from(!holder.is_draining);
-            self.drop_entry(&holder.id);
-            self.replaced.insert(holder.id.clone(), holder);
+        let mut others = ids.iter().filter(|id| **id != record.id);
+        if let Some(previous) = others.find_map(|id| self.at_address(id, address)).cloned() {
+            self.unexpected_exits += u64::from(!previous.is_draining);
+            self.drop_entry(&previous.id);
+            self.replaced.insert(previous.id.clone(), previous);
         }
         true
     }
 
-    /// Returns the entry that is used of a target, if the target is at an address.
+    /// Returns the entry in use for `id` if it has this address.
     fn at_address(&self, id: &TargetId, address: &str) -> Option<&Arc<TargetRecord>> {
         self.targets
             .get(id)
@@ -283,28 +297,28 @@
     }
 
     fn note_seen(&mut self, record: &TargetRecord) {
-        let seen = self.seen.get(&record.address);
-        if seen.is_some_and(|ids| ids.contains(&record.id)) {
+        let ids = self.ids_by_address.get(&record.address);
+        if ids.is_some_and(|ids| ids.contains(&record.id)) {
             return;
         }
-        let seen = Arc::make_mut(&mut self.seen);
-        let ids = seen.entry(record.address.clone()).or_default();
+        let ids_by_address = Arc::make_mut(&mut self.ids_by_address);
+        let ids = ids_by_address.entry(record.address.clone()).or_default();
         ids.push(record.id.clone());
-        if ids.len() > MOST_AT_ADDRESS {
+        if ids.len() > MAX_TARGETS_PER_ADDRESS {
             ids.remove(0);
         }
-        if seen.len() > self.targets.len() + MOST_VACANT {
+        if ids_by_address.len() > self.targets.len() + MAX_UNLISTED_ADDRESSES {
             let targets = &self.targets;
             let is_listed = |ids: &[TargetId]| ids.iter().any(|id| targets.contains_key(id));
-            seen.retain(|address, ids| *address == record.address || is_listed(ids));
+            ids_by_address.retain(|address, ids| *address == record.address || is_listed(ids));
         }
     }
 
-    /// Drops an entry that nobody renewed; the target may live on as a member of its group.
-    fn depart(&mut self, id: &TargetId) {
+    /// Drops an entry that was not renewed; the target may keep working as a member of its group.
+    fn remove_departed(&mut self, id: &TargetId) {
         let record = self.targets.get(id).cloned();
-        let is_sudden = record.as_ref().is_some_and(|record| !record.is_draining);
-        self.ended += u64::from(is_sudden);
+        let is_unexpected = record.as_ref().is_some_and(|record| !record.is_draining);
+        self.unexpected_exits += u64::from(is_unexpected);
         self.drop_entry(id);
         let member = record.filter(|record| !record.is_draining && record.membership.is_some());
         if let Some(member) = member {
@@ -312,25 +326,27 @@
         }
     }
 
-    /// Uses entries again that gave way to ones which are gone, and returns whether there were any.
+    /// Restores entries whose replacement is gone, and returns whether there were any.
     ///
-    /// A node that has just started may take a target's successor for its predecessor.
-    fn give_back(&mut self, now: Moment) -> bool {
+    /// A node that has just started sees entries in no reliable order and may mistake a target's
+    /// successor for its predecessor.
+    fn restore_replaced(&mut self, now: Moment) -> bool {
         let is_listed = |address: &str| {
-            let mut seen = self.seen.get(address).into_iter().flatten();
-            seen.any(|id| self.at_address(id, address).is_some())
+            let mut ids = self.ids_by_address.get(address).into_iter().flatten();
+            ids.any(|id| self.at_address(id, address).is_some())
         };
-        let vacant = self.replaced.values();
-        let vacant: IndexSet<TargetId> = vacant
+        let replaced = self.replaced.values();
+        let restorable: IndexSet<TargetId> = replaced
             .filter(|record| !is_listed(&record.address))
             .map(|record| record.id.clone())
             .collect();
-        self.vacant.retain(|id, _| vacant.contains(id));
-        for id in vacant {
-            self.vacant.entry(id).or_insert(now);
+        self.address_free_since
+            .retain(|id, _| restorable.contains(id));
+        for id in restorable {
+            self.address_free_since.entry(id).or_insert(now);
         }
-        let due = self.vacant.iter();
-        let due = due.filter(|(_, since)| now >= **since + VACANT_TIME);
+        let due = self.address_free_since.iter();
+        let due = due.filter(|(_, since)| now >= **since + RESTORE_DELAY);
         let due: Vec<TargetId> = due.map(|(id, _)| id.clone()).collect();
         for id in &due {
             if let Some(record) = self.replaced.swap_remove(id) {
@@ -342,12 +358,13 @@
 
     fn drop_entry(&mut self, id: &TargetId) {
         self.targets.swap_remove(id);
-        self.lapsed.swap_remove(id);
+        self.removal_due.swap_remove(id);
         self.unlisted.swap_remove(id);
         self.replaced.swap_remove(id);
     }
 
-    /// Takes in a whole list, in the order in which its entries were written; what it does not hold is removed.
+    /// Applies a complete list in the order in which its entries were written, and removes entries
+    /// that are not in it.
     pub fn replace(&mut self, listed: Vec<TargetChange>, keep_until: Option<Moment>) {
         let names: IndexSet<&TargetId> = listed.iter().map(TargetChange::target).collect();
         let known = self.targets.keys().chain(self.replaced.keys());
@@ -360,21 +377,22 @@
         }
     }
 
-    /// Returns whether anything changes by time alone.
+    /// Returns whether the passage of time alone will change anything.
     ///
     /// ```
-    /// use briarswitch_core::target::TargetBook;
+    /// use briarswitch_core::target::TargetCache;
     ///
-    /// assert!(!TargetBook::default().is_pending());
+    /// assert!(!TargetCache::default().is_pending());
     /// ```
     pub fn is_pending(&self) -> bool {
-        !self.lapsed.is_empty() || !self.replaced.is_empty()
+        !self.removal_due.is_empty() || !self.replaced.is_empty()
     }
 
-    /// Drops entries that were not put back in time, and returns whether anything has changed.
+    /// Drops entries whose time is up, restores replaced ones that are due, and returns whether
+    /// anything has changed.
     pub fn expire(&mut self, now: Moment) -> bool {
         let due: Vec<TargetId> = self
-            .lapsed
+            .removal_due
             .iter()
             .filter(|(_, until)| now >= **until)
             .map(|(id, _)| id.clone())
@@ -382,7 +400,7 @@
         for id in &due {
             self.apply(TargetChange::Removed(id.clone()), None);
         }
-        let is_given_back = self.give_back(now);
-        !due.is_empty() || is_given_back
+        let has_restored = self.restore_replaced(now);
+        !due.is_empty() || has_restored
     }
 }
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -1,15 +1,15 @@
-//! The pure parts that serve a fleet: placement, events, the directory.
+//! Placement of requests, splitting of event streams, and the local copy of the directory.
 
 use std::time::Duration;
 
-use briarswitch_core::engine::{EngineModel, ModelSpec};
+use briarswitch_core::engine::{EngineSpec, ModelSpec};
 use briarswitch_core::events::EventSplitter;
 use briarswitch_core::id::*;
 use briarswitch_core::placement::{
-    has_room, pick_group, place_share, GroupLoad, NodeWeight, PlaceTerms,
+    has_free_slot, pick_group, slot_share, GroupLoad, NodeWeight, PlacementParams,
 };
 use briarswitch_core::target::{
-    LapseWindow, Membership, MembershipState, TargetBook, TargetChange, TargetRecord,
+    Membership, MembershipState, RecoveryWindow, TargetCache, TargetChange, TargetRecord,
 };
 use googletest::prelude::*;
 use rand::rngs::StdRng;
@@ -18,35 +18,35 @@
 fn model(id: &str, size: usize, share: f64, pace: f64) -> ModelSpec {
     ModelSpec {
         id: id.to_owned(),
-        size,
-        share,
-        pace,
+        group_size: size,
+        expected_share: share,
+        time_factor: pace,
         load_time: Duration::from_secs(16),
         warmup: Duration::from_millis(1_600),
     }
 }
 
-fn engine() -> EngineModel {
+fn engine() -> EngineSpec {
     let models = [model("large", 4, 0.57, 1.0), model("small", 3, 0.43, 0.6)];
-    EngineModel {
+    EngineSpec {
         slots: 26,
-        stride: 7,
-        step: Duration::from_micros(5_950),
-        step_per_request: Duration::from_nanos(44_500),
-        read_per_second: 50_700.0,
+        steps_per_pass: 7,
+        step_time: Duration::from_micros(5_950),
+        step_time_per_request: Duration::from_nanos(44_500),
+        prefill_tokens_per_second: 50_700.0,
         models: models
             .map(|spec| (spec.id.clone(), spec))
             .into_iter()
             .collect(),
-        ..EngineModel::default()
+        ..EngineSpec::default()
     }
 }
 
-/// Symptom: a group that has just opened is sent several times what it can take.
-/// Events: six nodes see it empty at the same moment, and each has callers waiting.
-/// Cause guarded against: counting on every place that looks free.
+/// Six nodes see a newly opened group as empty at the same moment, and each has requests waiting.
+/// If each counted on every slot that looks free, the group would get several times what it can
+/// take.
 #[gtest]
-fn six_nodes_that_can_not_see_each_other_do_not_overfill_a_group() {
+fn six_nodes_that_cannot_see_each_other_do_not_overfill_a_group() {
     expect_that!(fill_unseen(6, 0), all!(ge(20), le(30)));
 }
 
@@ -58,11 +58,10 @@
     }
 }
 
-/// Symptom: one of 71 nodes refuses while places of others stay empty.
-/// Events: the balancer gives it 10 requests a second and others 1.5.
-/// Cause: shares counted nodes and not what their callers ask.
+/// A load balancer may send one of 71 nodes 10 requests a second and others 1.5. With equal shares
+/// per node, that node refuses requests while slots of the others stay unused.
 #[gtest]
-fn shares_follow_what_callers_ask_and_add_up() {
+fn shares_follow_demand_and_add_up() {
     let weights: Vec<f64> = (0..71).map(|node| f64::from(node % 10) + 1.3).collect();
     let total: f64 = weights.iter().sum();
     let mut before = 0.0;
@@ -73,7 +72,7 @@
             own: *own,
             total,
         };
-        shares.push(place_share(30, weight));
+        shares.push(slot_share(30, weight));
         before += own;
     }
     expect_that!(shares.iter().sum::<u32>(), eq(30));
@@ -81,51 +80,50 @@
     expect_that!(of(9), gt(of(0)));
 }
 
-/// Returns what `nodes` nodes that see nothing of each other send to a group with `writers` at work.
+/// Returns the number of requests sent to a group with `writers` active requests by `nodes` nodes
+/// that cannot see each other's requests.
 fn fill_unseen(nodes: u32, writers: u32) -> u32 {
     let engine = engine();
     let mut sent = 0;
     for rank in 0..nodes {
         let mut load = GroupLoad {
             nodes,
-            share: place_share(engine.slots, equal_weight(nodes, rank)),
-            writers,
+            slot_share: slot_share(engine.slots, equal_weight(nodes, rank)),
+            active_requests: writers,
             ..GroupLoad::default()
         };
-        while has_room(&engine, &load) {
-            load.own += 1;
-            load.fresh += 1;
-            load.writers += 1;
+        while has_free_slot(&engine, &load) {
+            load.local_requests += 1;
+            load.unreported_requests += 1;
+            load.active_requests += 1;
             sent += 1;
         }
     }
     sent
 }
 
-/// Symptom: while fewer groups are left than are needed, requests wait longer inside the groups than
-/// before them, and all are late.
-/// Events: 71 nodes have callers waiting and hear of a few free places.
-/// Cause: each node's share of 26 places was one, 71 in all.
+/// With 71 nodes and 26 slots, a minimum share of one slot per node would allow 71 requests. They
+/// would wait inside the groups longer than in front of them, and all of them would be late.
 #[gtest]
-fn more_nodes_than_places_do_not_overfill_a_group() {
+fn more_nodes_than_slots_do_not_overfill_a_group() {
     expect_that!(fill_unseen(71, 20), le(26));
 }
 
 #[gtest]
 fn late_requests_leave_half_of_a_full_group_to_the_others() {
     let load = GroupLoad {
-        own: 2,
-        writers: 14,
+        local_requests: 2,
+        active_requests: 14,
         nodes: 6,
-        share: 4,
+        slot_share: 4,
         ..GroupLoad::default()
     };
     let late = GroupLoad {
-        is_for_late: true,
+        is_request_late: true,
         ..load
     };
-    expect_true!(has_room(&engine(), &load));
-    expect_false!(has_room(&engine(), &late));
+    expect_true!(has_free_slot(&engine(), &load));
+    expect_false!(has_free_slot(&engine(), &late));
 }
 
 #[gtest]
@@ -133,9 +131,9 @@
     let engine = engine();
     let spec = &engine.models["large"];
     let load = |writers| GroupLoad {
-        writers,
+        active_requests: writers,
         nodes: 1,
-        share: 26,
+        slot_share: 26,
         ..GroupLoad::default()
     };
     let loads = [load(26), load(20), load(2)];
@@ -147,27 +145,26 @@
     expect_that!(pick_group(&engine, spec, &[load(26)], &terms), none());
 }
 
-fn place_terms(unseen: f64, draw: f64) -> PlaceTerms {
-    PlaceTerms {
-        prompt: 1_460,
-        unseen,
+fn place_terms(unseen: f64, draw: f64) -> PlacementParams {
+    PlacementParams {
+        prompt_tokens: 1_460,
+        unseen_requests: unseen,
         draw,
         turn: 0.0,
     }
 }
 
-/// Symptom: of six equal groups, none of them full, one gets 24 requests in one second and 1 in the next.
-/// Events: 71 nodes hear at the same time that one group has the least work; until they hear of each
-/// other's choices 20 requests come.
-/// Cause: all of them took the group that looked best.
+/// 71 nodes learn at the same time which group has the least load, and choose for 20 requests
+/// before they learn of each other's choices. If all took the best-looking group, one of six equal
+/// groups would get 24 requests in one second and 1 in the next.
 #[gtest]
-fn requests_that_nodes_can_not_see_are_spread() {
+fn requests_that_nodes_cannot_see_are_spread() {
     let engine = engine();
     let spec = &engine.models["large"];
     let loads = [4, 9, 12, 14, 17, 19].map(|writers| GroupLoad {
-        writers,
+        active_requests: writers,
         nodes: 71,
-        share: 1,
+        slot_share: 1,
         ..GroupLoad::default()
     });
     let mut sent = [0; 6];
@@ -179,10 +176,10 @@
     expect_that!(sent.iter().min(), some(ge(&2)));
 }
 
-/// Symptom: a piece of a stream is lost or comes twice after it went on elsewhere.
-/// Cause guarded against: an event's border that falls between two pieces.
+/// An event boundary may fall between two chunks. If it is missed, part of the stream is lost or
+/// repeated when the stream is resumed elsewhere.
 #[gtest]
-fn events_are_whole_however_the_bytes_are_cut() {
+fn events_are_complete_however_the_bytes_are_cut() {
     let stream: String = (1..=40)
         .map(|id| format!("id: {id}\ndata: text {id}\n\n"))
         .collect();
@@ -199,7 +196,7 @@
             rest = &rest[cut..];
         }
         assert_eq!(passed, stream.as_bytes());
-        assert_eq!(splitter.last(), Some("40"));
+        assert_eq!(splitter.last_id(), Some("40"));
         assert_eq!(splitter.events(), 40);
     }
 }
@@ -221,43 +218,41 @@
 }
 
 #[gtest]
-fn a_lapsed_entry_is_kept_for_its_time_and_stays_if_it_is_put_back() {
+fn an_expired_entry_is_kept_for_a_time_and_stays_if_it_is_rewritten() {
     let at = Duration::from_millis;
-    let mut book = TargetBook::default();
+    let mut cache = TargetCache::default();
     for id in ["a", "b", "c"] {
-        book.apply(TargetChange::Put(Box::new(record(id))), None);
+        cache.apply(TargetChange::Put(Box::new(record(id))), None);
     }
-    book.apply(TargetChange::Removed("a".to_owned()), None);
-    book.apply(TargetChange::Removed("b".to_owned()), Some(at(2_000)));
-    book.replace(
+    cache.apply(TargetChange::Removed("a".to_owned()), None);
+    cache.apply(TargetChange::Removed("b".to_owned()), Some(at(2_000)));
+    cache.replace(
         vec![TargetChange::Put(Box::new(record("d")))],
         Some(at(2_000)),
     );
-    expect_that!(book.targets().len(), eq(3));
-    book.apply(TargetChange::Put(Box::new(record("c"))), None);
-    expect_false!(book.expire(at(1_999)));
-    expect_true!(book.expire(at(2_000)));
-    let left: Vec<&TargetId> = book.targets().keys().collect();
+    expect_that!(cache.targets().len(), eq(3));
+    cache.apply(TargetChange::Put(Box::new(record("c"))), None);
+    expect_false!(cache.expire(at(1_999)));
+    expect_true!(cache.expire(at(2_000)));
+    let left: Vec<&TargetId> = cache.targets().keys().collect();
     expect_that!(left, unordered_elements_are![eq(&"c"), eq(&"d")]);
 }
 
-/// Symptom: a target gets requests 2.1 s after its entry was removed, where 2 s are allowed (a day of the
-/// second site, trouble-1 with seed 25187004735).
-/// Events: the directory turns a node away until 23.6 s; at 25.7 s a target's entry is removed; the node
-/// sends to it until 28 s.
-/// Cause: every removal within three seconds of a failure was taken for a lapse and kept for 2.3 s more.
+/// A removal after the directory has recovered must not be treated as an expired entry. Otherwise a
+/// target whose entry is removed 2.1 s after the recovery gets requests for another 2.3 s, longer
+/// than the allowed 2 s.
 #[gtest]
-fn a_removal_after_the_return_is_a_departure() {
+fn a_removal_after_recovery_is_a_departure() {
     let at = Duration::from_millis;
-    let mut window = LapseWindow::default();
+    let mut window = RecoveryWindow::default();
     expect_that!(window.keep_until(at(1_000)), none());
     window.note_failure();
     window.note_answer(at(23_600));
-    // What is missing at the return may have lapsed, and is awaited for one time only.
+    // An entry missing at the recovery may have expired; the wait for it is not extended.
     expect_that!(window.keep_until(at(23_600)), some(eq(at(25_900))));
     expect_that!(window.keep_until(at(25_700)), some(eq(at(25_900))));
     expect_that!(window.keep_until(at(25_900)), none());
-    // Answers that follow each other prolong nothing.
+    // Consecutive responses do not extend the window.
     window.note_answer(at(25_800));
     expect_that!(window.keep_until(at(26_000)), none());
 }
@@ -274,11 +269,11 @@
     }
 }
 
-/// Symptom: a group that works is ended because the entry of one of its members lapsed.
-/// Cause: what the directory listed no more was forgotten, whether it answered or not.
+/// A group must not be dissolved only because the entry of a member has expired: the member must
+/// stay known while its group exists.
 #[gtest]
 fn a_member_whose_entry_is_gone_is_known_as_long_as_its_group() {
-    let mut book = TargetBook::default();
+    let mut cache = TargetCache::default();
     let removed = |id: &str| TargetChange::Removed(id.to_owned());
     for (rank, id) in ["head", "cut", "foreign", "leaving"]
         .into_iter()
@@ -288,18 +283,18 @@
             is_draining: id == "leaving",
             ..member(id, rank)
         };
-        book.apply(TargetChange::Put(Box::new(listed)), None);
+        cache.apply(TargetChange::Put(Box::new(listed)), None);
     }
-    book.apply(TargetChange::Put(Box::new(record("single"))), None);
-    book.apply(TargetChange::Withdrawn("foreign".to_owned()), None);
+    cache.apply(TargetChange::Put(Box::new(record("single"))), None);
+    cache.apply(TargetChange::Unreadable("foreign".to_owned()), None);
     for id in ["cut", "leaving", "single"] {
-        book.apply(removed(id), None);
+        cache.apply(removed(id), None);
     }
-    book.forget_ended();
-    let unlisted: Vec<&TargetId> = book.unlisted().keys().collect();
+    cache.prune_unlisted();
+    let unlisted: Vec<&TargetId> = cache.unlisted().keys().collect();
     expect_that!(unlisted, elements_are![eq(&"cut")]);
-    expect_that!(book.targets().len(), eq(1));
-    book.apply(removed("head"), None);
-    book.forget_ended();
-    expect_that!(book.unlisted().len(), eq(0));
+    expect_that!(cache.targets().len(), eq(1));
+    cache.apply(removed("head"), None);
+    cache.prune_unlisted();
+    expect_that!(cache.unlisted().len(), eq(0));
 }
--- a/crates/fleet/src/controller.rs
+++ b/crates/fleet/src/controller.rs
@@ -1,188 +1,200 @@
-//! Forms and mends the groups of the domains that this node is responsible for.
+//! Forms and repairs the groups in the domains that this node controls.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::Duration;
 
 use briarswitch_core::assembly::{
-    DomainKeeper, DomainView, HeldWeights, TargetFacts, TargetStanding,
+    DomainReconciler, DomainView, HeldWeights, TargetFacts, TargetStatus,
 };
-use briarswitch_core::engine::EngineModel;
+use briarswitch_core::engine::EngineSpec;
 use briarswitch_core::id::*;
 use briarswitch_core::layout::DomainLayout;
 use briarswitch_core::order::{OrderResult, TargetAction, TargetOrder};
 use briarswitch_core::target::{MembershipState, TargetRecord};
-use briarswitch_core::traffic::{ServiceSpec, TrafficBook};
+use briarswitch_core::traffic::{ServiceSpec, TrafficConfig};
 use briarswitch_kernel::{BootClock, Service, ServiceLink};
 use indexmap::{IndexMap, IndexSet};
 use serde_json::{json, Value};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::census::DomainCensus;
 use crate::costs::CostKind;
 use crate::demand::DemandTrend;
-use crate::domains::{domains_of, stock_of, StockItem};
-use crate::layouts::{LayoutBasis, ServiceLayouts};
+use crate::domain_counts::DomainCounts;
+use crate::domains::{domains_of, inventory_of, InventoryItem};
+use crate::layouts::{LayoutInputs, ServiceLayouts};
 use crate::order_sender::deliver;
 use crate::ports::{ReportError, TargetReport};
-use crate::scope::{ControlScope, DomainKey, ScopeBasis};
+use crate::scope::{ControlScope, DomainKey, ScopeInputs};
 use crate::shared::{DirectoryView, FleetShared};
-use crate::supply::supplies;
+use crate::supply::model_supplies;
 use crate::tracker::{TargetTracker, TrackedTarget};
 
-/// Time between rounds.
-const ROUND: Duration = Duration::from_millis(50);
-/// Time after the start in which nodes find each other before any of them gives an order.
-const SETTLE_TIME: Duration = Duration::from_millis(900);
-/// Time between two lines on what the models have; only nodes that give orders write them.
-const SUPPLY_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between control rounds.
+const ROUND_INTERVAL: Duration = Duration::from_millis(50);
+/// Time after start-up before a node sends any orders, so that the nodes can discover each other.
+const DISCOVERY_TIME: Duration = Duration::from_millis(900);
+/// Interval between log lines on the supply of each model; only nodes that control a domain write them.
+const SUPPLY_LOG_INTERVAL: Duration = Duration::from_secs(1);
 /// Time without a new target after which the directory counts as complete at the first start.
 ///
-/// Targets register one after the other; groups formed from the first few would be of whichever
-/// model needs the fewest.
-const LISTING_TIME: Duration = Duration::from_millis(700);
-/// Time to wait for a report; a healthy target answers in a few milliseconds.
-const REPORT_TIME: Duration = Duration::from_millis(160);
-/// Lateness of the node's own timer beyond which a missing report proves nothing.
-const OWN_LATENESS: Duration = Duration::from_millis(60);
-/// Age of the configuration from which no weights are exchanged.
-const EXCHANGE_AGE: Duration = Duration::from_secs(2);
-/// Loads under way beyond what the weight store does at once.
+/// Targets register one after the other. Groups formed from the first few would all serve the model with the
+/// smallest groups.
+const LISTING_QUIET_TIME: Duration = Duration::from_millis(700);
+/// Timeout of a poll; a healthy target responds within a few milliseconds.
+const POLL_TIMEOUT: Duration = Duration::from_millis(160);
+/// Delay of a local timer beyond which a failed poll proves nothing about the target.
+const MAX_TIMER_DELAY: Duration = Duration::from_millis(60);
+/// Age of the configuration from which a node does not rebalance targets between models.
+const MAX_REBALANCE_CONFIG_AGE: Duration = Duration::from_secs(2);
+/// Number of loads in progress beyond the weight store's limit.
 ///
-/// Each of them slows all the others, but none waits for the news of one that has ended.
+/// An extra load slows down the others, but the weight store is not idle until the end of a load has been
+/// reported.
 const EXTRA_LOADS: usize = 1;
 
-/// Name of the controller.
+/// Name of the controller's service.
 pub const CONTROLLER_SERVICE: &str = "controller";
 
-/// Keeps groups whole.
+/// Service that forms groups, opens them, and repairs them after losses.
 pub struct GroupController {
     shared: Arc<FleetShared>,
     tracker: TargetTracker,
-    keepers: IndexMap<DomainKey, DomainKeeper>,
-    census: IndexMap<DomainKey, DomainCensus>,
-    loads: IndexMap<TargetId, ModelId>,
+    reconcilers: IndexMap<DomainKey, DomainReconciler>,
+    counts: IndexMap<DomainKey, DomainCounts>,
+    /// Model whose weights a target was last ordered to load.
+    loading_models: IndexMap<TargetId, ModelId>,
     layouts: IndexMap<ServiceId, ServiceLayouts>,
     trend: DemandTrend,
-    suspected: IndexSet<TargetId>,
+    /// Suspected targets as of the previous round.
+    known_suspects: IndexSet<TargetId>,
     scope: Option<Arc<ControlScope>>,
-    started: Moment,
-    listed: (usize, Moment),
-    supply_logged: Moment,
+    started_at: Moment,
+    /// Number of listed targets, and when it last changed.
+    target_count: (usize, Moment),
+    supply_logged_at: Moment,
 }
 
 /// Message to [`GroupController`].
 pub enum ControllerMessage {
-    /// Look at everything again.
+    /// Start of a control round.
     Round,
-    /// A target reported or did not.
-    Reported {
-        /// Target.
+    /// Result of a poll.
+    ReportReceived {
+        /// Polled target.
         target: TargetId,
-        /// What it said.
+        /// Report, or why there is none.
         report: Result<TargetReport, ReportError>,
-        /// Whether the node's own timer ran late.
+        /// Whether the local timer fired late.
         is_late: bool,
     },
-    /// A target answered an order or did not.
-    Ordered {
+    /// Result of an order.
+    OrderAnswered {
         /// The order.
         order: TargetOrder,
-        /// What became of it.
+        /// Its result.
         result: OrderResult,
-        /// When it was sent.
+        /// When it was first sent.
         sent: Moment,
     },
 }
 
 impl GroupController {
-    /// Opens a controller that is responsible for nothing yet.
-    pub fn open(shared: Arc<FleetShared>) -> Self {
+    /// Creates a controller that is not responsible for any domain yet.
+    pub fn new(shared: Arc<FleetShared>) -> Self {
         Self {
             shared,
             tracker: TargetTracker::default(),
-            keepers: IndexMap::new(),
-            census: IndexMap::new(),
-            loads: IndexMap::new(),
+            reconcilers: IndexMap::new(),
+            counts: IndexMap::new(),
+            loading_models: IndexMap::new(),
             layouts: IndexMap::new(),
             trend: DemandTrend::default(),
-            suspected: IndexSet::new(),
+            known_suspects: IndexSet::new(),
             scope: None,
-            started: BootClock::now(),
-            listed: (0, BootClock::now()),
-            supply_logged: Moment::ZERO,
+            started_at: BootClock::now(),
+            target_count: (0, BootClock::now()),
+            supply_logged_at: Moment::ZERO,
         }
     }
 
     fn round(&mut self, link: &ServiceLink<ControllerMessage>) {
         let now = link.now();
-        let book = self.shared.book.load();
+        let config = self.shared.config.load();
         let directory = self.shared.directory.load();
-        let is_settled = now >= self.started + SETTLE_TIME;
-        let Some(book) = book
+        let is_discovery_over = now >= self.started_at + DISCOVERY_TIME;
+        let Some(config) = config
             .as_ref()
             .as_ref()
-            .filter(|_| directory.is_listed && is_settled)
+            .filter(|_| directory.is_loaded && is_discovery_over)
         else {
             return;
         };
-        let scope = self.scope(book, &directory);
-        self.update_keepers(&scope.own);
-        let listed = scope.mine.iter().map(Arc::as_ref);
-        let unlisted = scope.unlisted.iter().map(Arc::as_ref);
+        let scope = self.scope(config, &directory);
+        self.update_reconcilers(&scope.own_domains);
+        let listed = scope.own_targets.iter().map(Arc::as_ref);
+        let unlisted = scope.unlisted_members.iter().map(Arc::as_ref);
         self.tracker.sync(listed, unlisted, now);
-        if !scope.own.is_empty() {
-            self.look_at_suspects(now);
+        if !scope.own_domains.is_empty() {
+            self.poll_suspected_groups(now);
         }
-        for (target, address) in self.tracker.due(now) {
-            self.ask(target, address, link);
+        for (target, address) in self.tracker.take_due(now) {
+            self.poll(target, address, link);
         }
-        let is_listed = self.is_listing_done(scope.engines.len(), now);
+        let is_listing_complete = self.is_listing_complete(scope.engine_targets.len(), now);
         let tracker = &self.tracker;
-        self.loads
+        self.loading_models
             .retain(|id, _| tracker.targets().contains_key(id));
-        self.count_loads();
-        if !is_listed || scope.own.is_empty() {
+        self.publish_loading();
+        if !is_listing_complete || scope.own_domains.is_empty() {
             return;
         }
-        let services = book.services.values();
+        let services = config.services.values();
         let services = services.filter(|service| service.engine.is_some());
-        let records: Vec<&TargetRecord> = scope.engines.iter().map(Arc::as_ref).collect();
-        let is_log_due = now >= self.supply_logged + SUPPLY_INTERVAL;
+        let records: Vec<&TargetRecord> = scope.engine_targets.iter().map(Arc::as_ref).collect();
+        let is_log_due = now >= self.supply_logged_at + SUPPLY_LOG_INTERVAL;
         if is_log_due {
-            self.supply_logged = now;
+            self.supply_logged_at = now;
         }
         for service in services {
             if is_log_due {
                 self.log_supply(service, now);
             }
-            self.tend(service, &records, &scope.own, now, link);
+            self.plan_service(service, &records, &scope.own_domains, now, link);
         }
     }
 
-    /// Returns what this node is responsible for, worked out again only when something has changed.
+    /// Returns this node's scope, which is only recalculated if its inputs have changed.
     ///
-    /// Few of the nodes give orders at all, and all look at every target twenty times a second.
-    fn scope(&mut self, book: &TrafficBook, directory: &Arc<DirectoryView>) -> Arc<ControlScope> {
-        let basis = ScopeBasis {
-            version: book.version,
+    /// Rounds run twenty times a second on every node, but only a few nodes control a domain.
+    fn scope(
+        &mut self,
+        config: &TrafficConfig,
+        directory: &Arc<DirectoryView>,
+    ) -> Arc<ControlScope> {
+        let inputs = ScopeInputs {
+            version: config.version,
             directory: Arc::clone(directory),
-            live: self.shared.live.load(),
+            live: self.shared.live_view.load(),
         };
-        if let Some(scope) = self.scope.as_ref().filter(|scope| scope.is_of(&basis)) {
+        if let Some(scope) = self
+            .scope
+            .as_ref()
+            .filter(|scope| scope.is_current_for(&inputs))
+        {
             return Arc::clone(scope);
         }
-        let scope = Arc::new(ControlScope::open(book, basis));
+        let scope = Arc::new(ControlScope::new(config, inputs));
         self.scope = Some(Arc::clone(&scope));
         scope
     }
 
-    /// Plans the groups of one service in the domains that are this node's.
-    fn tend(
+    /// Plans the groups of one service in the domains that this node controls.
+    fn plan_service(
         &mut self,
         service: &ServiceSpec,
         records: &[&TargetRecord],
-        own: &IndexSet<DomainKey>,
+        own_domains: &IndexSet<DomainKey>,
         now: Moment,
         link: &ServiceLink<ControllerMessage>,
     ) {
@@ -190,103 +202,116 @@
             return;
         };
         let layouts = match self.layouts.swap_remove(&service.id) {
-            Some(held) if !held.is_due(now) => held,
-            held => {
+            Some(current) if !current.is_due(now) => current,
+            outdated => {
                 let records = of_service(records, &service.id);
-                self.lay_out(engine, &records, own, held.unwrap_or_default(), now)
+                self.plan_layouts(
+                    engine,
+                    &records,
+                    own_domains,
+                    outdated.unwrap_or_default(),
+                    now,
+                )
             }
         };
-        for key in own.iter().filter(|key| key.service == service.id) {
+        for key in own_domains.iter().filter(|key| key.service == service.id) {
             if let Some(layout) = layouts.of_domain(&key.domain) {
                 let budget = layouts.load_budget(engine, self.load_budget(engine));
-                self.plan(key, engine, layout, budget, now, link);
+                self.plan_domain(key, engine, layout, budget, now, link);
             }
         }
         self.layouts.insert(service.id.clone(), layouts);
     }
 
-    /// Decides anew what all domains of a service should hold.
-    fn lay_out(
+    /// Plans the layouts of all domains of a service.
+    fn plan_layouts(
         &mut self,
-        engine: &EngineModel,
+        engine: &EngineSpec,
         records: &[&TargetRecord],
-        own: &IndexSet<DomainKey>,
-        held: ServiceLayouts,
+        own_domains: &IndexSet<DomainKey>,
+        previous: ServiceLayouts,
         now: Moment,
     ) -> ServiceLayouts {
-        let items = self.stock_items(records, own);
-        let is_own = |domain: &DomainId| own.iter().any(|key| key.domain == *domain);
-        let stock = stock_of(engine, &domains_of(records), &items, is_own);
+        let items = self.inventory_items(records, own_domains);
+        let is_own = |domain: &DomainId| own_domains.iter().any(|key| key.domain == *domain);
+        let inventory = inventory_of(engine, &domains_of(records), &items, is_own);
         let demand = self.demand(now);
-        let is_start = self.is_start();
-        if !is_start {
-            self.trend.note(&demand, now);
+        let is_first_start = self.is_first_start();
+        if !is_first_start {
+            self.trend.add_sample(&demand, now);
         }
-        // Who is cut off sees only a part of what callers ask for and of what others hold.
-        let is_in_touch = self.shared.book_age() < EXCHANGE_AGE;
-        let trend = self.trend.mean().filter(|_| is_in_touch);
-        let elsewhere = self.shared.elsewhere.load();
-        let coming = elsewhere.loading.iter();
-        let coming = coming.map(|(model, count)| (model.clone(), *count as usize));
-        held.renew(LayoutBasis {
+        // A node that is cut off sees only part of the demand and of the other nodes' loads.
+        let is_connected = self.shared.config_age() < MAX_REBALANCE_CONFIG_AGE;
+        let trend = self.trend.mean().filter(|_| is_connected);
+        let elsewhere = self.shared.peer_work.load();
+        let loading = elsewhere.loading.iter();
+        let loading = loading.map(|(model, count)| (model.clone(), *count as usize));
+        previous.replan(LayoutInputs {
             engine,
-            stock: &stock,
+            inventory: &inventory,
             demand: &demand,
             trend: trend.as_ref(),
-            coming: &coming.collect(),
-            is_start,
+            loading: &loading.collect(),
+            is_first_start,
             now,
         })
     }
 
-    /// Returns what targets hold: by their own reports in this node's domains, else by the directory.
-    fn stock_items<'a>(
+    /// Returns the targets' weights, by their own reports in this node's domains and by the directory
+    /// elsewhere.
+    fn inventory_items<'a>(
         &'a self,
         records: &[&'a TargetRecord],
-        own: &IndexSet<DomainKey>,
-    ) -> Vec<StockItem<'a>> {
-        let staying = records.iter().filter(|record| !record.is_draining);
-        let items = staying.filter_map(|record| {
-            let listed = StockItem::from(*record);
-            if !own.iter().any(|key| key.holds(record)) {
+        own_domains: &IndexSet<DomainKey>,
+    ) -> Vec<InventoryItem<'a>> {
+        let remaining = records.iter().filter(|record| !record.is_draining);
+        let items = remaining.filter_map(|record| {
+            let listed = InventoryItem::from(*record);
+            if !own_domains.iter().any(|key| key.contains(record)) {
                 return Some(listed);
             }
             let facts = &self.tracker.targets().get(&record.id)?.facts;
-            let loading = self.loads.get(&record.id).filter(|_| facts.is_busy);
+            let loading = self
+                .loading_models
+                .get(&record.id)
+                .filter(|_| facts.is_busy);
             let weights = HeldWeights {
                 membership: facts.membership.as_ref(),
                 model: facts.model.as_ref(),
                 staged: &facts.staged,
                 loading,
             };
-            (facts.standing == TargetStanding::Live).then_some(StockItem { weights, ..listed })
+            (facts.status == TargetStatus::Live).then_some(InventoryItem { weights, ..listed })
         });
         items.collect()
     }
 
-    /// Returns whether the whole system starts and no caller has come yet.
-    fn is_start(&self) -> bool {
+    /// Returns whether this is the first start of the whole system and no request has arrived yet.
+    fn is_first_start(&self) -> bool {
         let has_traffic = self.shared.has_traffic.load(Ordering::Relaxed);
         !has_traffic && self.shared.settings.is_first_start
     }
 
-    fn is_listing_done(&mut self, count: usize, now: Moment) -> bool {
-        if count != self.listed.0 {
-            self.listed = (count, now);
+    fn is_listing_complete(&mut self, count: usize, now: Moment) -> bool {
+        if count != self.target_count.0 {
+            self.target_count = (count, now);
         }
         let has_traffic = self.shared.has_traffic.load(Ordering::Relaxed);
-        has_traffic || now >= self.listed.1 + LISTING_TIME
+        has_traffic || now >= self.target_count.1 + LISTING_QUIET_TIME
     }
 
-    fn update_keepers(&mut self, own: &IndexSet<DomainKey>) {
-        let lost = self.keepers.keys().filter(|key| !own.contains(*key));
+    fn update_reconcilers(&mut self, own_domains: &IndexSet<DomainKey>) {
+        let lost = self
+            .reconcilers
+            .keys()
+            .filter(|key| !own_domains.contains(*key));
         for key in lost {
             log::info!(domain = key.domain.as_str(); "domain_left");
         }
-        self.keepers.retain(|key, _| own.contains(key));
-        self.census.retain(|key, _| own.contains(key));
-        for key in own {
-            if !self.keepers.contains_key(key) {
+        self.reconcilers.retain(|key, _| own_domains.contains(key));
+        self.counts.retain(|key, _| own_domains.contains(key));
+        for key in own_domains {
+            if !self.reconcilers.contains_key(key) {
                 log::info!(domain = key.domain.as_str(); "domain_taken");
                 let hash = xxh3_64(format!("{}\u{0}{}", key.service, key.domain).as_bytes()) as u16;
                 let since = BootClock::now().as_millis();
@@ -295,70 +320,71 @@
                     "{}-{incarnation:x}-{hash:x}-{since:x}",
                     self.shared.settings.node
                 );
-                self.keepers.insert(key.clone(), DomainKeeper::open(prefix));
+                self.reconcilers
+                    .insert(key.clone(), DomainReconciler::new(prefix));
             }
         }
     }
 
-    /// Has every member of a group asked whose first member fell silent towards a request.
+    /// Polls all members of each group whose leader was newly suspected of being silent.
     ///
-    /// Other nodes' word counts as well: the more nodes there are, the fewer streams of a group pass
-    /// through the one that gives its orders. On its own streams alone one of 71 nodes noticed lost
-    /// members after 2.5 to 3.8 s.
-    fn look_at_suspects(&mut self, now: Moment) {
-        let suspects = self.shared.gauges.suspected_anywhere(now);
-        let table = self.shared.table.load();
+    /// Suspicions of other nodes count as well. With more nodes, fewer of a group's streams pass through the
+    /// one that controls it: in a fleet of 71 nodes, it took 2.5 to 3.8 s to notice lost members by its own
+    /// streams alone.
+    fn poll_suspected_groups(&mut self, now: Moment) {
+        let suspects = self.shared.gauges.all_suspects(now);
+        let table = self.shared.routing_table.load();
         for group in table.all_groups() {
-            if !suspects.contains(&group.id) || self.suspected.contains(&group.id) {
+            if !suspects.contains(&group.id) || self.known_suspects.contains(&group.id) {
                 continue;
             }
             for member in group.group.iter().flat_map(|group| &group.members) {
-                self.tracker.hasten(member, now);
+                self.tracker.poll_now(member, now);
             }
         }
-        self.suspected = suspects;
+        self.known_suspects = suspects;
     }
 
-    fn ask(&self, target: TargetId, address: String, link: &ServiceLink<ControllerMessage>) {
+    fn poll(&self, target: TargetId, address: String, link: &ServiceLink<ControllerMessage>) {
         self.shared.costs.count(CostKind::ReportAsked);
         let shared = Arc::clone(&self.shared);
         link.spawn(async move {
-            let asked = BootClock::now();
+            let started = BootClock::now();
             let targets = &shared.platform.targets;
-            let report = targets.report(&target, &address, REPORT_TIME).await;
-            let took = BootClock::now().saturating_sub(asked);
-            ControllerMessage::Reported {
+            let report = targets.report(&target, &address, POLL_TIMEOUT).await;
+            let took = BootClock::now().saturating_sub(started);
+            ControllerMessage::ReportReceived {
                 target,
                 report,
-                is_late: took > REPORT_TIME + OWN_LATENESS,
+                is_late: took > POLL_TIMEOUT + MAX_TIMER_DELAY,
             }
         });
     }
 
     fn demand(&self, now: Moment) -> IndexMap<ModelId, f64> {
-        let mut demand = self.shared.demand.rates(now);
-        for (model, rate) in &self.shared.elsewhere.read().demand {
+        let mut demand = self.shared.demand.group_demand(now);
+        for (model, rate) in &self.shared.peer_work.read().demand {
             *demand.entry(model.clone()).or_insert(0.0) += rate;
         }
         demand
     }
 
-    /// Writes to the log what the models of a service have and are asked for.
+    /// Logs supply and demand of each model of a service.
     fn log_supply(&self, service: &ServiceSpec, now: Moment) {
         let Some(engine) = &service.engine else {
             return;
         };
-        let table = self.shared.table.load();
-        let supplies = supplies(service, engine, &table, &self.demand(now), now);
+        let table = self.shared.routing_table.load();
+        let supplies = model_supplies(service, engine, &table, &self.demand(now), now);
         for (model, supply) in &supplies {
             supply.log(&service.id, model);
         }
     }
 
-    fn plan(
+    fn plan_domain(
         &mut self,
         key: &DomainKey,
-        engine: &EngineModel,
+        engine: &EngineSpec,
         layout: &DomainLayout,
         load_budget: usize,
         now: Moment,
@@ -366,7 +392,7 @@
     ) {
         let of_domain = self.tracker.targets().iter();
         let tracked: Vec<(&TargetId, &TrackedTarget)> = of_domain
-            .filter(|(_, tracked)| key.holds(&tracked.record))
+            .filter(|(_, tracked)| key.contains(&tracked.record))
             .collect();
         if tracked.iter().any(|(_, tracked)| !tracked.is_resolved) {
             return;
@@ -375,68 +401,69 @@
             .into_iter()
             .map(|(id, tracked)| (id.clone(), tracked.facts_at(now)))
             .collect();
-        let census = DomainCensus::of(&facts, layout);
-        if self.census.get(key) != Some(&census) {
-            census.log(&key.domain, layout);
-            self.census.insert(key.clone(), census);
+        let counts = DomainCounts::count(&facts, layout);
+        if self.counts.get(key) != Some(&counts) {
+            counts.log(&key.domain, layout);
+            self.counts.insert(key.clone(), counts);
         }
-        let joins_load = self.is_start();
-        let Some(keeper) = self.keepers.get_mut(key) else {
+        let joins_load = self.is_first_start();
+        let Some(reconciler) = self.reconcilers.get_mut(key) else {
             return;
         };
         let view = DomainView {
             targets: &facts,
             engine,
             layout,
-            loading: &self.loads,
+            loading: &self.loading_models,
             load_budget,
-            joins_load,
+            may_load_on_join: joins_load,
             epoch_floor: self.shared.platform.clock.millis(),
         };
-        let orders = keeper.plan(view, now);
-        for target in keeper.take_doubtful() {
-            self.tracker.hasten(&target, now);
+        let orders = reconciler.plan(view, now);
+        for target in reconciler.take_stale_candidates() {
+            self.tracker.poll_now(&target, now);
         }
         for order in orders {
-            self.send(order, link);
+            self.send_order(order, link);
         }
-        self.count_loads();
+        self.publish_loading();
     }
 
-    /// Returns how many loads from the weight store may begin in a round.
+    /// Returns how many loads from the weight store may begin in this round.
     ///
-    /// The limit holds for all domains together; what other nodes have under way is known from the
-    /// exchange. A load under way shows in the target itself, so a successor sees it too.
-    fn load_budget(&self, engine: &EngineModel) -> usize {
-        if self.is_start() {
-            // Before the first caller the weight store has nothing else to do.
+    /// The limit applies to all domains together. Loads of other nodes are known from the peer exchange; a load
+    /// in progress also shows in its target's report, so that a successor of this controller sees it too.
+    fn load_budget(&self, engine: &EngineSpec) -> usize {
+        if self.is_first_start() {
+            // Before the first request, nothing else needs the weight store.
             return usize::MAX;
         }
-        let elsewhere = self.shared.elsewhere.read().all_loading();
-        let own: u32 = self.shared.loading.read().values().sum();
-        let limit = engine.loads_at_once + EXTRA_LOADS;
-        limit.saturating_sub((own + elsewhere) as usize)
+        let remote = self.shared.peer_work.read().all_loading();
+        let local: u32 = self.shared.active_loads.read().values().sum();
+        let limit = engine.parallel_loads + EXTRA_LOADS;
+        limit.saturating_sub((local + remote) as usize)
     }
 
-    /// Counts the loads under way in this node's domains.
-    fn count_loads(&self) {
+    /// Publishes the number of loads in progress in this node's domains, by model.
+    fn publish_loading(&self) {
         let mut loading: IndexMap<ModelId, u32> = IndexMap::new();
         let tracked = self.tracker.targets().values();
-        let live = tracked.filter(|tracked| tracked.facts.standing != TargetStanding::Silent);
+        let live = tracked.filter(|tracked| tracked.facts.status != TargetStatus::Silent);
         for tracked in live {
             let facts = &tracked.facts;
-            let held = facts.membership.as_ref();
-            let is_joining = held.is_some_and(|held| held.state == MembershipState::Joining);
+            let membership = facts.membership.as_ref();
+            let is_joining =
+                membership.is_some_and(|membership| membership.state == MembershipState::Joining);
             let joined = facts.model.as_ref().filter(|_| is_joining);
-            let model = joined.or(self.loads.get(&tracked.record.id));
+            let model = joined.or(self.loading_models.get(&tracked.record.id));
             if let Some(model) = model.filter(|model| !facts.staged.contains(*model)) {
                 *loading.entry(model.clone()).or_insert(0) += 1;
             }
         }
-        self.shared.loading.publish(loading);
+        self.shared.active_loads.publish(loading);
     }
 
-    fn send(&mut self, order: TargetOrder, link: &ServiceLink<ControllerMessage>) {
+    fn send_order(&mut self, order: TargetOrder, link: &ServiceLink<ControllerMessage>) {
         let Some(tracked) = self.tracker.targets().get(&order.target) else {
             return;
         };
@@ -448,7 +475,7 @@
             _ => None,
         };
         if let Some(model) = loaded {
-            self.loads.insert(order.target.clone(), model);
+            self.loading_models.insert(order.target.clone(), model);
         }
         log::info!(
             target_id = order.target.as_str(),
@@ -464,7 +491,7 @@
             let sent = BootClock::now();
             let targets = shared.platform.targets.as_ref();
             let result = deliver(targets, &order, &address).await;
-            ControllerMessage::Ordered {
+            ControllerMessage::OrderAnswered {
                 order,
                 result,
                 sent,
@@ -472,15 +499,15 @@
         });
     }
 
-    fn take_report(
+    fn handle_report(
         &mut self,
         target: &str,
         report: Result<TargetReport, ReportError>,
         is_late: bool,
         now: Moment,
     ) {
-        let book = self.shared.book.load();
-        let Some(book) = book.as_ref() else {
+        let config = self.shared.config.load();
+        let Some(config) = config.as_ref() else {
             return;
         };
         let service = self
@@ -489,26 +516,26 @@
             .get(target)
             .map(|tracked| tracked.record.service.clone());
         let engine = service
-            .and_then(|service| book.services.get(&service))
+            .and_then(|service| config.services.get(&service))
             .and_then(|service| service.engine.as_ref());
         let Some(engine) = engine else {
             return;
         };
         let is_answer = report.is_ok();
-        let fell = self
+        let became_silent = self
             .tracker
-            .note_report(target, report, is_late, engine, now);
-        if fell {
+            .record_report(target, report, is_late, engine, now);
+        if became_silent {
             log::warn!(target_id = target; "target_silent");
         }
         if is_answer {
-            for keeper in self.keepers.values_mut() {
-                keeper.note_report(target);
+            for reconciler in self.reconcilers.values_mut() {
+                reconciler.note_report(target);
             }
         }
     }
 
-    fn take_ordered(
+    fn handle_order_result(
         &mut self,
         order: &TargetOrder,
         result: OrderResult,
@@ -526,11 +553,11 @@
             "order_answered"
         );
         if result != OrderResult::Begun {
-            self.loads.swap_remove(&order.target);
+            self.loading_models.swap_remove(&order.target);
         }
-        self.tracker.note_order(order, result, now);
-        for keeper in self.keepers.values_mut() {
-            keeper.note_result(&order.target, result);
+        self.tracker.record_order_result(order, result, now);
+        for reconciler in self.reconcilers.values_mut() {
+            reconciler.note_result(&order.target, result);
         }
     }
 }
@@ -545,7 +572,7 @@
         OrderResult::Begun => "begun",
         OrderResult::Held => "held",
         OrderResult::Conflict => "conflict",
-        OrderResult::Gone => "gone",
+        OrderResult::OtherIncarnation => "gone",
         OrderResult::Refused => "refused",
         OrderResult::Lost => "lost",
     }
@@ -559,7 +586,7 @@
     }
 
     fn start(&mut self, link: &ServiceLink<ControllerMessage>) {
-        link.later(ROUND, ControllerMessage::Round);
+        link.later(ROUND_INTERVAL, ControllerMessage::Round);
     }
 
     fn handle(&mut self, message: ControllerMessage, link: &ServiceLink<ControllerMessage>) {
@@ -569,37 +596,37 @@
                 self.round(link);
                 let took = link.now().saturating_sub(begun);
                 self.shared.costs.count_time(CostKind::ControlRound, took);
-                link.later(ROUND, ControllerMessage::Round);
+                link.later(ROUND_INTERVAL, ControllerMessage::Round);
             }
-            ControllerMessage::Reported {
+            ControllerMessage::ReportReceived {
                 target,
                 report,
                 is_late,
-            } => self.take_report(&target, report, is_late, link.now()),
-            ControllerMessage::Ordered {
+            } => self.handle_report(&target, report, is_late, link.now()),
+            ControllerMessage::OrderAnswered {
                 order,
                 result,
                 sent,
-            } => self.take_ordered(&order, result, sent, link.now()),
+            } => self.handle_order_result(&order, result, sent, link.now()),
         }
     }
 
     fn dump(&self) -> Value {
         let targets = self.tracker.targets().iter().map(|(id, tracked)| {
-            let held = tracked.facts.membership.as_ref();
+            let membership = tracked.facts.membership.as_ref();
             json!({
                 "target": id,
                 "domain": tracked.record.domain,
-                "group": held.map(|held| &held.group),
-                "rank": held.map(|held| held.rank),
-                "state": held.map(|held| format!("{:?}", held.state)),
-                "standing": format!("{:?}", tracked.facts.standing),
+                "group": membership.map(|membership| &membership.group),
+                "rank": membership.map(|membership| membership.rank),
+                "state": membership.map(|membership| format!("{:?}", membership.state)),
+                "standing": format!("{:?}", tracked.facts.status),
                 "staged": tracked.facts.staged,
                 "sequence": tracked.facts.sequence,
             })
         });
         json!({
-            "domains": self.keepers.keys().map(|key| &key.domain).collect::<Vec<_>>(),
+            "domains": self.reconcilers.keys().map(|key| &key.domain).collect::<Vec<_>>(),
             "targets": targets.collect::<Vec<_>>(),
         })
     }
--- a/crates/fleet/src/census.rs
+++ b/crates/fleet/src/domain_counts.rs
@@ -1,6 +1,6 @@
-//! How many targets of a domain are in which state.
+//! Number of targets in each state in a domain.
 
-use briarswitch_core::assembly::{TargetFacts, TargetStanding};
+use briarswitch_core::assembly::{TargetFacts, TargetStatus};
 use briarswitch_core::id::{ModelId, TargetId};
 use briarswitch_core::layout::DomainLayout;
 use briarswitch_core::target::MembershipState;
@@ -8,47 +8,48 @@
 
 /// Counts of one domain.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct DomainCensus {
+pub struct DomainCounts {
     live: usize,
     silent: usize,
     draining: usize,
     unlisted: usize,
     open: IndexMap<ModelId, usize>,
     grouped: usize,
-    /// Free targets by the model whose weights they hold.
+    /// Free targets by the model whose weights they have.
     spares: IndexMap<ModelId, usize>,
     unstaged: usize,
 }
 
-impl DomainCensus {
-    /// Counts the targets of a domain that should hold the groups of a layout.
-    pub fn of(targets: &IndexMap<TargetId, TargetFacts>, layout: &DomainLayout) -> Self {
-        let mut census = Self::default();
+impl DomainCounts {
+    /// Counts the targets of a domain with the given layout.
+    pub fn count(targets: &IndexMap<TargetId, TargetFacts>, layout: &DomainLayout) -> Self {
+        let mut counts = Self::default();
         for facts in targets.values() {
-            match facts.standing {
-                TargetStanding::Live => census.live += 1,
-                TargetStanding::Silent => census.silent += 1,
-                TargetStanding::Draining => census.draining += 1,
-                TargetStanding::Unlisted => census.unlisted += 1,
+            match facts.status {
+                TargetStatus::Live => counts.live += 1,
+                TargetStatus::Silent => counts.silent += 1,
+                TargetStatus::Draining => counts.draining += 1,
+                TargetStatus::Unlisted => counts.unlisted += 1,
             }
-            let held = facts.membership.as_ref();
-            let is_open = held.is_some_and(|held| held.state == MembershipState::Open);
+            let membership = facts.membership.as_ref();
+            let is_open =
+                membership.is_some_and(|membership| membership.state == MembershipState::Open);
             if let Some(model) = facts.model.as_ref().filter(|_| is_open) {
-                *census.open.entry(model.clone()).or_insert(0) += 1;
+                *counts.open.entry(model.clone()).or_insert(0) += 1;
             }
-            census.grouped += usize::from(held.is_some());
-            let is_free = held.is_none() && facts.standing == TargetStanding::Live;
+            counts.grouped += usize::from(membership.is_some());
+            let is_free = membership.is_none() && facts.status == TargetStatus::Live;
             let mut staged = facts.staged.iter();
             match staged.rfind(|model| layout.holders.contains_key(*model)) {
                 _ if !is_free => {}
-                Some(model) => *census.spares.entry(model.clone()).or_insert(0) += 1,
-                None => census.unstaged += 1,
+                Some(model) => *counts.spares.entry(model.clone()).or_insert(0) += 1,
+                None => counts.unstaged += 1,
             }
         }
-        census
+        counts
     }
 
-    /// Writes the counts to the log.
+    /// Logs the counts.
     pub fn log(&self, domain: &str, layout: &DomainLayout) {
         log::info!(
             domain = domain,
--- a/crates/fleet/src/feed_doc.rs
+++ b/crates/fleet/src/feed_doc.rs
@@ -1,11 +1,11 @@
-//! Questions for changes and their answers on the wire between nodes.
+//! Wire format of requests for the store's tables, and of their responses, between nodes.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 
-use crate::ports::{FeedAnswer, FeedMark, FeedQuestion, FeedRow};
+use crate::ports::{FeedMark, FeedRequest, FeedResponse, FeedRow};
 
 /// [`FeedMark`] on the wire: era, version.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
@@ -23,36 +23,36 @@
     }
 }
 
-/// [`FeedQuestion`] on the wire.
+/// [`FeedRequest`] on the wire.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct FeedQuestionDoc {
+pub struct FeedRequestDoc {
     table: String,
     mark: Option<MarkDoc>,
     wait_ms: u64,
 }
 
-/// [`FeedAnswer`] on the wire.
+/// [`FeedResponse`] on the wire.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct FeedAnswerDoc {
+pub struct FeedResponseDoc {
     mark: MarkDoc,
-    /// Key, and content unless the row was dropped.
+    /// Key and value of each row; a deleted row has no value.
     rows: Vec<(String, Option<ByteBuf>)>,
     age_ms: u64,
     whole: bool,
 }
 
-impl From<FeedQuestion> for FeedQuestionDoc {
-    fn from(question: FeedQuestion) -> Self {
+impl From<FeedRequest> for FeedRequestDoc {
+    fn from(request: FeedRequest) -> Self {
         Self {
-            table: question.table,
-            mark: question.mark.map(MarkDoc::from),
-            wait_ms: question.wait.as_millis() as u64,
+            table: request.table,
+            mark: request.mark.map(MarkDoc::from),
+            wait_ms: request.wait.as_millis() as u64,
         }
     }
 }
 
-impl From<FeedQuestionDoc> for FeedQuestion {
-    fn from(doc: FeedQuestionDoc) -> Self {
+impl From<FeedRequestDoc> for FeedRequest {
+    fn from(doc: FeedRequestDoc) -> Self {
         Self {
             table: doc.table,
             mark: doc.mark.map(FeedMark::from),
@@ -61,24 +61,24 @@
     }
 }
 
-impl From<FeedAnswer> for FeedAnswerDoc {
-    fn from(answer: FeedAnswer) -> Self {
-        let rows = answer
+impl From<FeedResponse> for FeedResponseDoc {
+    fn from(response: FeedResponse) -> Self {
+        let rows = response
             .rows
             .into_iter()
             .map(|row| (row.key, row.value.map(ByteBuf::from)));
         Self {
-            mark: answer.mark.into(),
+            mark: response.mark.into(),
             rows: rows.collect(),
-            // Rounded up, so that an age is never told as less than it is.
-            age_ms: answer.age.as_millis() as u64 + 1,
-            whole: answer.is_whole,
+            // Rounded up, so that the reported age is never too low.
+            age_ms: response.age.as_millis() as u64 + 1,
+            whole: response.is_snapshot,
         }
     }
 }
 
-impl From<FeedAnswerDoc> for FeedAnswer {
-    fn from(doc: FeedAnswerDoc) -> Self {
+impl From<FeedResponseDoc> for FeedResponse {
+    fn from(doc: FeedResponseDoc) -> Self {
         let rows = doc.rows.into_iter();
         Self {
             mark: doc.mark.into(),
@@ -89,7 +89,7 @@
                 })
                 .collect(),
             age: Duration::from_millis(doc.age_ms),
-            is_whole: doc.whole,
+            is_snapshot: doc.whole,
         }
     }
 }
--- /dev/null
+++ b/crates/fleet/src/fleet_suspect_host.rs
@@ -0,0 +1,90 @@
+//! Connects the tracking of requests that crash targets to a node that finds its targets through the platform.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use briarswitch_core::fingerprint::RequestFingerprint;
+use briarswitch_core::id::*;
+use briarswitch_membership::ThingHolders;
+use futures::future::BoxFuture;
+
+use crate::costs::CostKind;
+use crate::ports::{FeedMark, FeedResponse, ReportError, SourceFuture, SuspectRegistry};
+use crate::run_info::{RunInfo, TargetIncarnation};
+use crate::shared::FleetShared;
+use crate::suspect_host::{CrashCount, Liveness, SuspectEvent, SuspectHost};
+use crate::suspect_ledger::SuspectLedger;
+
+impl SuspectHost for FleetShared {
+    fn suspects(&self) -> &SuspectLedger {
+        &self.suspects
+    }
+
+    fn registry(&self) -> &dyn SuspectRegistry {
+        self.platform.suspects.as_ref()
+    }
+
+    fn changes(
+        self: Arc<Self>,
+        mark: Option<FeedMark>,
+        wait: Duration,
+    ) -> SourceFuture<'static, FeedResponse> {
+        Box::pin(async move {
+            let table = self.platform.suspects.table();
+            Self::changes(&self, table, mark, wait).await
+        })
+    }
+
+    fn holders_of(&self, print: &RequestFingerprint, count: usize) -> ThingHolders {
+        self.live_view.read().holders_of(&print.to_string(), count)
+    }
+
+    fn probe<'a>(
+        &'a self,
+        facts: &'a RunInfo,
+        limit: Duration,
+    ) -> BoxFuture<'a, Result<Liveness, ReportError>> {
+        Box::pin(async move {
+            let targets = &self.platform.targets;
+            let (target, address) = (&facts.target.id, &facts.address);
+            // A target without a group does not report its incarnation; only its port can be probed.
+            if facts.group.is_empty() {
+                let reached = targets.probe(address, limit).await;
+                return reached.map(|()| Liveness::Listening);
+            }
+            let report = targets.report(target, address, limit).await?;
+            let is_same = report.incarnation == facts.target.incarnation;
+            is_same
+                .then_some(Liveness::Alive)
+                .ok_or(ReportError::OtherIncarnation)
+        })
+    }
+
+    fn is_listed(&self, target: &TargetIncarnation) -> bool {
+        let directory = self.directory.load();
+        let record = directory.cache.targets().get(&target.id);
+        record.is_some_and(|record| record.incarnation == target.incarnation)
+    }
+
+    fn crash_count(&self) -> CrashCount {
+        let directory = self.directory.load();
+        CrashCount {
+            crashes: directory.cache.unexpected_exits(),
+            targets: directory.cache.targets().len(),
+        }
+    }
+
+    fn exclude_target(&self, target: &TargetId, until: Moment) {
+        self.gauges.get(target).suspect(until);
+    }
+
+    fn count(&self, event: SuspectEvent) {
+        match event {
+            SuspectEvent::TargetProbed => self.costs.count(CostKind::EndChecked),
+            SuspectEvent::CrashReported => self.costs.count(CostKind::EndTold),
+            SuspectEvent::RowsWritten => self.costs.count(CostKind::SuspectWrite),
+            SuspectEvent::TargetCrashed(proof) => self.metrics.count_target_end(proof.name()),
+            SuspectEvent::QuarantineStarted => self.metrics.count_quarantine(),
+        }
+    }
+}
--- a/crates/fleet/src/job.rs
+++ b/crates/fleet/src/job.rs
@@ -1,28 +1,28 @@
-//! A request on its way to a target, and what became of one attempt.
+//! A caller's request to be run on a target, and the start of a target's response.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use briarswitch_core::engine::EngineModel;
+use briarswitch_core::engine::EngineSpec;
+use briarswitch_core::fingerprint::RequestFingerprint;
 use briarswitch_core::id::*;
-use briarswitch_core::print::RequestPrint;
-use briarswitch_core::traffic::{AnswerKind, TrafficBook, TrafficRule};
+use briarswitch_core::traffic::{AnswerKind, TrafficConfig, TrafficRule};
 use briarswitch_http::TargetBody;
 use bytes::Bytes;
 use http::{HeaderMap, Method};
 
-use crate::gauge::GaugePlace;
-use crate::ports::CallerAsk;
-use crate::queue::PlaceAsk;
+use crate::gauge::SlotGuard;
+use crate::ports::CallerRequest;
+use crate::routing_table::RouteTarget;
 use crate::run::TargetRun;
-use crate::run_facts::{RunFacts, TargetLife};
-use crate::table::RouteTarget;
+use crate::run_info::{RunInfo, TargetIncarnation};
+use crate::slot_queue::SlotRequest;
 
-/// A request that was identified and matched by a rule.
+/// A request that has been authenticated and matched by a routing rule.
 pub struct RequestJob {
-    /// What the caller asks.
-    pub ask: CallerAsk,
-    /// Method.
+    /// The parsed request.
+    pub request: CallerRequest,
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
@@ -30,53 +30,53 @@
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
-    /// Fingerprint, the same for each repeat of the request.
-    pub print: RequestPrint,
-    /// Rule that matched.
+    /// Fingerprint, which is equal for all repetitions of the request.
+    pub fingerprint: RequestFingerprint,
+    /// The matching rule.
     pub rule: TrafficRule,
-    /// Configuration that the rule is from.
-    pub book: Arc<Option<TrafficBook>>,
-    /// Service chosen.
+    /// Configuration that contains the rule.
+    pub config: Arc<Option<TrafficConfig>>,
+    /// The service chosen by the rule.
     pub service: ServiceId,
-    /// Organisation, if a key was asked for.
+    /// Organisation, if the request was authenticated by a key.
     pub organisation: Option<OrganisationId>,
-    /// Rank; zero goes first.
+    /// Priority; zero is the highest.
     pub priority: u8,
-    /// When its head was read.
+    /// When the head of the request was read.
     pub arrived: Moment,
-    /// Time its caller had waited before it came here.
+    /// Time that the caller spent waiting in earlier attempts.
     pub waited_before: Duration,
-    /// When the answer has to be there.
+    /// When the response has to be available.
     pub deadline: Moment,
 }
 
 impl RequestJob {
-    /// Returns the engine behind the service.
-    pub fn engine(&self) -> Option<&EngineModel> {
-        let book = self.book.as_ref().as_ref()?;
-        book.services.get(&self.service)?.engine.as_ref()
+    /// Returns the engine that the service runs on, if any.
+    pub fn engine(&self) -> Option<&EngineSpec> {
+        let config = self.config.as_ref().as_ref()?;
+        config.services.get(&self.service)?.engine.as_ref()
     }
 
-    /// Returns what the request needs of a target.
-    pub fn place_ask(&self, tried: &[TargetId]) -> PlaceAsk {
-        let model = self.engine().and(self.ask.model.clone());
-        PlaceAsk {
+    /// Returns the request for a slot at one of the service's targets, excluding those already tried.
+    pub fn slot_request(&self, tried: &[TargetId]) -> SlotRequest {
+        let model = self.engine().and(self.request.model.clone());
+        SlotRequest {
             key: (self.service.clone(), model),
-            prompt_tokens: self.ask.prompt_tokens,
+            prompt_tokens: self.request.prompt_tokens,
             tried: tried.to_vec(),
             is_late: false,
         }
     }
 
-    /// Returns what a run at a target is about that begins at `sent`.
-    pub fn run_at(&self, target: &RouteTarget, sent: Moment) -> RunFacts {
+    /// Returns the description of a run of this request at a target that begins at `sent`.
+    pub fn run_facts(&self, target: &RouteTarget, sent: Moment) -> RunInfo {
         let group = target.group.as_ref().map(|group| group.id.clone());
-        RunFacts {
-            request: self.ask.attempt.clone(),
-            print: self.print,
+        RunInfo {
+            request: self.request.attempt.clone(),
+            fingerprint: self.fingerprint,
             organisation: self.organisation.clone().unwrap_or_default(),
-            life: TargetLife {
-                target: target.id.clone(),
+            target: TargetIncarnation {
+                id: target.id.clone(),
                 incarnation: target.incarnation,
             },
             address: target.address.clone(),
@@ -86,22 +86,22 @@
         }
     }
 
-    /// Returns whether the answer is a stream of events.
+    /// Returns whether the response is a stream of events.
     pub fn is_stream(&self) -> bool {
         matches!(self.rule.answer, AnswerKind::Events { .. })
     }
 }
 
-/// An answer that has begun.
-pub struct BegunAnswer {
-    /// Target.
+/// A response whose head has been received.
+pub struct ResponseStart {
+    /// Target that responds.
     pub target: Arc<RouteTarget>,
-    /// Place there, until the answer is over.
-    pub place: Option<GaugePlace>,
+    /// Slot at the target, held until the response ends.
+    pub slot: Option<SlotGuard>,
     /// Status and headers.
     pub head: http::response::Parts,
     /// Body.
     pub body: TargetBody,
-    /// The run that makes it.
+    /// The run that produces the response.
     pub run: TargetRun,
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,51 +1,51 @@
-//! Serves a fleet of targets: takes callers' requests to them, and forms and mends their groups.
+//! Routes callers' requests to a fleet of targets, and forms and repairs the groups that targets serve in.
 //!
-//! The platform below is seen through the traits in [`ports`] only.
+//! The platform that the fleet runs on is reached only through the traits in [`ports`].
 
 pub mod budget;
-pub mod census;
+pub mod caller_api;
 pub mod controller;
 pub mod costs;
+pub mod crash_watcher;
 pub mod demand;
 pub mod dispatch;
+pub mod domain_counts;
 pub mod domains;
-pub mod end_watch;
 pub mod failure;
 pub mod feed;
 pub mod feed_doc;
-mod feed_pace;
-mod fleet_host;
+mod feed_pacer;
+mod fleet_suspect_host;
 pub mod gauge;
 pub mod job;
-pub mod keeper;
 pub mod layouts;
+pub mod local_reply;
 pub mod metrics;
 pub mod node;
 pub mod order_sender;
-pub mod patience;
-pub mod peer_surface;
+pub mod peer_api;
 pub mod peers;
-pub mod placer;
 pub mod ports;
-pub mod queue;
-pub mod refusal;
+pub mod prior_wait;
 pub mod relay;
+pub mod routing_table;
 pub mod run;
-pub mod run_facts;
+pub mod run_info;
 pub mod scope;
 pub mod settings;
 pub mod shared;
+pub mod slot_queue;
+pub mod store_sync;
 pub mod supply;
-pub mod surface;
 pub mod suspect_doc;
 pub mod suspect_host;
-pub mod suspect_keeper;
+pub mod suspect_ledger;
 pub mod suspect_record;
 pub mod suspect_row;
+pub mod suspect_sync;
 pub mod suspect_table;
-pub mod suspects;
 pub mod suspicion;
-pub mod table;
+pub mod target_selector;
 pub mod trace;
 pub mod tracker;
 pub mod verdict_log;
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -1,12 +1,14 @@
-//! A running node of a fleet: its services, listeners and shutdown.
+//! A fleet node: starts its services and listeners, and shuts them down.
 
+use crate::store_sync::ConfigSync;
+use crate::store_sync::DirectorySync;
 use std::io;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
+use briarswitch_core::fingerprint::RequestFingerprint;
 use briarswitch_core::id::Incarnation;
-use briarswitch_core::print::RequestPrint;
 use briarswitch_http::{
     reply_bytes, reply_json, reply_text, Handler, HttpServer, Request, Response, ServerGuard,
 };
@@ -15,45 +17,44 @@
 use http::{Method, StatusCode};
 use tokio::sync::watch;
 
+use crate::caller_api::CallerApi;
 use crate::controller::GroupController;
+use crate::crash_watcher::CrashWatcher;
 use crate::dispatch::FleetDispatcher;
-use crate::end_watch::EndWatch;
-use crate::keeper::{BookKeeper, DirectoryKeeper};
-use crate::peer_surface::PeerSurface;
+use crate::peer_api::PeerApi;
 use crate::peers::PeerExchange;
 use crate::ports::FleetPlatform;
-use crate::run::RunReports;
+use crate::run::RunListeners;
 use crate::settings::FleetSettings;
 use crate::shared::{FleetPhase, FleetShared};
-use crate::surface::CallerSurface;
 use crate::suspect_host::SuspectHost;
-use crate::suspect_keeper::{SuspectKeeper, SuspectMessage};
+use crate::suspect_sync::{SuspectMessage, SuspectSync};
 
-/// Time for the balancer to notice that the node is no longer ready: two checks a second apart,
-/// each with time to be missed.
+/// Time for which requests are still accepted after the node has reported that it is not ready.
 ///
-/// Requests are taken for that long. One that is taken later might not be finished before the
-/// process has to be gone, and its caller would see the connection end in the middle of the answer.
-const NOTICE_TIME: Duration = Duration::from_millis(2_800);
-/// Time kept at the end of the grace for the process to go.
+/// The load balancer checks once a second and needs two failed checks, each with its own time-out, to stop sending
+/// callers here. A request accepted later might not finish before the process has to exit; its caller would see the
+/// connection close in the middle of the response.
+const PRE_DRAIN_DELAY: Duration = Duration::from_millis(2_800);
+/// Part of the grace period that is reserved for the process to exit.
 const EXIT_MARGIN: Duration = Duration::from_millis(700);
-/// Time between looks at whether the last request has ended.
-const DRAIN_CHECK: Duration = Duration::from_millis(20);
+/// Interval at which the number of requests in flight is checked while draining.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Why a node could not start.
+/// Reason why a node could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
     /// A listener could not be bound.
-    #[error("{surface} listener at {address}: {source}")]
+    #[error("{listener} listener at {address}: {source}")]
     Bind {
-        /// Surface of the listener.
-        surface: &'static str,
-        /// Address wanted.
+        /// Name of the listener.
+        listener: &'static str,
+        /// Address that was to be bound.
         address: String,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The control thread could not be set up.
+    /// The control thread could not be started.
     #[error(transparent)]
     Kernel(#[from] KernelError),
 }
@@ -66,11 +67,11 @@
 }
 
 impl FleetNode {
-    /// Starts a node on the present runtime.
+    /// Starts a node on the current Tokio runtime.
     ///
     /// # Errors
     ///
-    /// Returns [`FleetError`] when a listener can not be bound or the control thread not started.
+    /// Returns [`FleetError`] if a listener cannot be bound or the control thread cannot be started.
     pub async fn spawn(
         settings: FleetSettings,
         platform: FleetPlatform,
@@ -80,30 +81,30 @@
         let health = bind("health", &mut settings.health).await?;
         let peers = bind("peers", &mut settings.peers).await?;
         let metrics = bind("metrics", &mut settings.metrics).await?;
-        let shared = FleetShared::open(settings, new_incarnation(), platform);
+        let shared = FleetShared::new(settings, new_incarnation(), platform);
         let settings = &shared.settings;
         let kernel = Kernel::spawn()?;
-        kernel.mount(BookKeeper::open(Arc::clone(&shared)))?;
-        kernel.mount(DirectoryKeeper::open(Arc::clone(&shared)))?;
-        let exchange = kernel.mount(PeerExchange::open(Arc::clone(&shared)))?;
-        kernel.mount(GroupController::open(Arc::clone(&shared)))?;
+        kernel.mount(ConfigSync::new(Arc::clone(&shared)))?;
+        kernel.mount(DirectorySync::new(Arc::clone(&shared)))?;
+        let exchange = kernel.mount(PeerExchange::new(Arc::clone(&shared)))?;
+        kernel.mount(GroupController::new(Arc::clone(&shared)))?;
         let host: Arc<dyn SuspectHost> = Arc::clone(&shared) as Arc<dyn SuspectHost>;
-        let suspects = kernel.mount(SuspectKeeper::open(Arc::clone(&host)))?;
-        let watch = kernel.mount(EndWatch::open(host, suspects.clone()))?;
-        let reports = RunReports {
+        let suspects = kernel.mount(SuspectSync::new(Arc::clone(&host)))?;
+        let watch = kernel.mount(CrashWatcher::new(host, suspects.clone()))?;
+        let run_listeners = RunListeners {
             watch,
             suspects: suspects.clone(),
         };
-        let dispatcher = FleetDispatcher::open(Arc::clone(&shared), exchange, reports);
+        let dispatcher = FleetDispatcher::new(Arc::clone(&shared), exchange, run_listeners);
         let (stop, stopped) = watch::channel(false);
-        let surface = CallerSurface::open(Arc::clone(&shared), dispatcher);
-        let peer_surface = PeerSurface::open(Arc::clone(&shared), suspects.clone());
-        let state = StateSurface::open(Arc::clone(&shared), kernel, suspects);
+        let caller_api = CallerApi::new(Arc::clone(&shared), dispatcher);
+        let peer_api = PeerApi::new(Arc::clone(&shared), suspects.clone());
+        let admin_api = AdminApi::new(Arc::clone(&shared), kernel, suspects);
         let servers = vec![
-            callers.spawn(surface, stopped.clone()),
-            peers.spawn(peer_surface, stopped.clone()),
-            health.spawn(Arc::clone(&state) as Arc<dyn Handler>, stopped.clone()),
-            metrics.spawn(state, stopped),
+            callers.spawn(caller_api, stopped.clone()),
+            peers.spawn(peer_api, stopped.clone()),
+            health.spawn(Arc::clone(&admin_api) as Arc<dyn Handler>, stopped.clone()),
+            metrics.spawn(admin_api, stopped),
         ];
         log::info!(
             zone = settings.zone.as_str(),
@@ -118,44 +119,44 @@
         })
     }
 
-    /// Returns the settings in force, with the ports that were bound.
+    /// Returns the settings in effect, with the ports that were actually bound.
     pub fn settings(&self) -> &FleetSettings {
         &self.shared.settings
     }
 
-    /// Ends the node without cutting off a request.
+    /// Shuts the node down without interrupting requests.
     ///
-    /// The balancer's check fails first, and requests are still taken until it has had time to
-    /// notice; each answer asks its caller to use another connection. Then new ones are refused as
-    /// not run, and those in flight are finished, as long as the grace allows.
+    /// The readiness check fails first. Requests are still accepted until the load balancer has had time to notice,
+    /// and each response asks its caller to close the connection. After that, new requests are refused as not run,
+    /// and those in flight may finish until the grace period ends.
     pub async fn shutdown(self) {
         let grace = self.shared.settings.grace;
         log::info!(grace_ms = grace.as_millis() as u64; "shutdown_begun");
-        self.shared.enter(FleetPhase::Leaving);
-        let notice = NOTICE_TIME.min(grace / 2);
-        tokio::time::sleep(notice).await;
-        self.shared.enter(FleetPhase::Draining);
-        let left = grace.saturating_sub(notice + EXIT_MARGIN);
-        let drained = tokio::time::timeout(left, self.drain()).await;
+        self.shared.set_phase(FleetPhase::Leaving);
+        let delay = PRE_DRAIN_DELAY.min(grace / 2);
+        tokio::time::sleep(delay).await;
+        self.shared.set_phase(FleetPhase::Draining);
+        let drain_time = grace.saturating_sub(delay + EXIT_MARGIN);
+        let drained = tokio::time::timeout(drain_time, self.drain()).await;
         self.shared.log_costs();
-        let open = self.shared.in_flight.load(Ordering::SeqCst);
-        log::info!(complete = drained.is_ok(), in_flight = open; "shutdown_ended");
+        let in_flight = self.shared.in_flight.load(Ordering::SeqCst);
+        log::info!(complete = drained.is_ok(), in_flight = in_flight; "shutdown_ended");
         let _ = self.stop.send(true);
     }
 
     async fn drain(&self) {
         while self.shared.in_flight.load(Ordering::SeqCst) > 0 {
-            tokio::time::sleep(DRAIN_CHECK).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 }
 
-/// Binds a listener, and puts the port that it got in place of one left open.
-async fn bind(surface: &'static str, address: &mut String) -> Result<HttpServer, FleetError> {
+/// Binds a listener and replaces `address` by the address that was bound, since port 0 is chosen on binding.
+async fn bind(listener: &'static str, address: &mut String) -> Result<HttpServer, FleetError> {
     let server = HttpServer::bind(address)
         .await
         .map_err(|source| FleetError::Bind {
-            surface,
+            listener,
             address: address.clone(),
             source,
         })?;
@@ -163,24 +164,24 @@
     Ok(server)
 }
 
-/// Returns a number that is higher for each later life of a process on one machine.
+/// Returns a number that grows with each restart of the process on one machine.
 fn new_incarnation() -> Incarnation {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.unwrap_or_default().as_millis() as Incarnation
 }
 
-/// Answers the balancer's check, the metrics scraper, and requests for the node's state.
-struct StateSurface {
+/// HTTP API for the load balancer's health check, the metrics scraper and operators.
+struct AdminApi {
     shared: Arc<FleetShared>,
     kernel: Kernel,
     suspects: Mailbox<SuspectMessage>,
 }
 
-/// Path below which a request's fingerprint names what the operator releases.
+/// Path prefix for releasing a quarantined request; the request's fingerprint follows it.
 const RELEASE_PATH: &str = "/release/";
 
-impl StateSurface {
-    fn open(
+impl AdminApi {
+    fn new(
         shared: Arc<FleetShared>,
         kernel: Kernel,
         suspects: Mailbox<SuspectMessage>,
@@ -192,24 +193,25 @@
         })
     }
 
-    /// Lets a quarantined request run again, at all nodes.
-    async fn release(&self, name: &str) -> Response {
-        let Ok(print) = name.parse::<RequestPrint>() else {
+    /// Lifts the quarantine of a request on all nodes.
+    async fn release(&self, fingerprint: &str) -> Response {
+        let Ok(fingerprint) = fingerprint.parse::<RequestFingerprint>() else {
             return reply_text(StatusCode::BAD_REQUEST, "expected a request's fingerprint");
         };
-        if !self.shared.suspects.has_ends(&print) {
+        if !self.shared.suspects.has_crashes(&fingerprint) {
             return reply_text(StatusCode::NOT_FOUND, "nothing is held of this request");
         }
-        match self.suspects.send(SuspectMessage::Released(print)).await {
-            Ok(()) => reply_json(StatusCode::OK, &print.to_string()),
+        let message = SuspectMessage::Released(fingerprint);
+        match self.suspects.send(message).await {
+            Ok(()) => reply_json(StatusCode::OK, &fingerprint.to_string()),
             Err(error) => reply_text(StatusCode::SERVICE_UNAVAILABLE, error.to_string()),
         }
     }
 
-    async fn answer(&self, method: &Method, path: &str) -> Response {
-        if let Some(name) = path.strip_prefix(RELEASE_PATH) {
+    async fn respond(&self, method: &Method, path: &str) -> Response {
+        if let Some(fingerprint) = path.strip_prefix(RELEASE_PATH) {
             return match *method {
-                Method::POST => self.release(name).await,
+                Method::POST => self.release(fingerprint).await,
                 _ => reply_text(StatusCode::METHOD_NOT_ALLOWED, "expected POST"),
             };
         }
@@ -217,8 +219,8 @@
             "/ready" if self.shared.is_ready() => reply_text(StatusCode::OK, "ready"),
             "/ready" => reply_text(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
             "/metrics" => {
-                let page = self.shared.metrics.page();
-                reply_bytes(StatusCode::OK, "text/plain; version=0.0.4", page.into())
+                let text = self.shared.metrics.render();
+                reply_bytes(StatusCode::OK, "text/plain; version=0.0.4", text.into())
             }
             "/costs" => reply_json(StatusCode::OK, &self.shared.costs.lines()),
             "/state" => reply_json(StatusCode::OK, &self.kernel.dump().await),
@@ -227,11 +229,11 @@
     }
 }
 
-impl Handler for StateSurface {
+impl Handler for AdminApi {
     fn handle(&self, request: Request) -> BoxFuture<'_, Response> {
         Box::pin(async move {
             let path = request.uri().path().to_owned();
-            self.answer(request.method(), &path).await
+            self.respond(request.method(), &path).await
         })
     }
 }
