--- /dev/null
+++ b/crates/fleet/src/peer_api.rs
@@ -0,0 +1,135 @@
+//! HTTP handler for other nodes: gossip, suspicions, crash reports, and requests for the store's
+//! tables.
+
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::Duration;
+
+use briarswitch_core::fingerprint::RequestFingerprint;
+use briarswitch_core::id::Moment;
+use briarswitch_http::{read_body, reply_packed, reply_text, unpack, Handler, Request, Response};
+use briarswitch_kernel::{BootClock, Mailbox};
+use briarswitch_membership::{Gossip, GossipDoc, Standing};
+use futures::future::BoxFuture;
+use http::StatusCode;
+use indexmap::IndexSet;
+
+use crate::costs::CostKind;
+use crate::feed::FEED_PATH;
+use crate::feed_doc::{FeedRequestDoc, FeedResponseDoc};
+use crate::peers::{
+    apply_hints, apply_suspicions, own_status, SuspicionDoc, GOSSIP_PATH, SUSPICION_PATH,
+};
+use crate::ports::{SourceError, SuspectRow};
+use crate::shared::FleetShared;
+use crate::suspect_doc::SuspectDoc;
+use crate::suspect_sync::{SuspectMessage, SUSPECT_PATH};
+
+/// Time for which this node's own status is cached; hubs are polled many times per second.
+const STATUS_TTL: Duration = Duration::from_millis(20);
+/// Maximum size of a message.
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
+
+/// Responds to other nodes.
+pub struct PeerApi {
+    shared: Arc<FleetShared>,
+    status: Mutex<(Moment, Standing)>,
+    suspects: Mailbox<SuspectMessage>,
+}
+
+impl PeerApi {
+    /// Creates the handler; `suspects` is notified of crashes that other nodes report.
+    pub fn new(shared: Arc<FleetShared>, suspects: Mailbox<SuspectMessage>) -> Arc<Self> {
+        Arc::new(Self {
+            shared,
+            status: Mutex::default(),
+            suspects,
+        })
+    }
+
+    async fn route(&self, request: Request) -> Response {
+        match request.uri().path() {
+            GOSSIP_PATH => self.gossip(request).await,
+            SUSPICION_PATH => self.suspicion(request).await,
+            FEED_PATH => self.feed(request).await,
+            SUSPECT_PATH => self.crashes(request).await,
+            _ => reply_text(StatusCode::NOT_FOUND, "no such path"),
+        }
+    }
+
+    async fn feed(&self, request: Request) -> Response {
+        let arrived = BootClock::now();
+        let Some(doc) = read_message::<FeedRequestDoc>(request).await else {
+            return reply_text(StatusCode::BAD_REQUEST, "expected a question");
+        };
+        self.shared.costs.count(CostKind::ReaderAnswered);
+        match self.shared.feed.respond(doc.into(), arrived).await {
+            Ok(response) => reply_packed(StatusCode::OK, &FeedResponseDoc::from(response)),
+            // The requesting node has to read the full table again. If this were reported as an
+            // outage, it would repeat the same request forever.
+            Err(SourceError::HistoryGone) => reply_text(StatusCode::GONE, "history gone"),
+            Err(error) => reply_text(StatusCode::SERVICE_UNAVAILABLE, error.to_string()),
+        }
+    }
+
+    async fn gossip(&self, request: Request) -> Response {
+        let Some(doc) = read_message::<GossipDoc>(request).await else {
+            return reply_text(StatusCode::BAD_REQUEST, "expected a message");
+        };
+        self.shared.costs.count(CostKind::GossipAnswered);
+        let gossip = Gossip::from(doc);
+        apply_hints(&self.shared, &gossip);
+        let now = BootClock::now();
+        let mut cached = self.status.lock().unwrap_or_else(PoisonError::into_inner);
+        if now >= cached.0 + STATUS_TTL {
+            *cached = (now, own_status(&self.shared));
+        }
+        let response = self.shared.membership().answer(&gossip, &cached.1, now);
+        drop(cached);
+        reply_packed(StatusCode::OK, &GossipDoc::from(&response))
+    }
+
+    /// Records crashes that another node saw, and responds with all that is known of the requests
+    /// that were running there.
+    async fn crashes(&self, request: Request) -> Response {
+        let Some(doc) = read_message::<SuspectDoc>(request).await else {
+            return reply_text(StatusCode::BAD_REQUEST, "expected ends of targets");
+        };
+        let reported = Vec::<SuspectRow>::from(doc);
+        let fingerprints: IndexSet<RequestFingerprint> =
+            reported.iter().map(|row| row.key().fingerprint).collect();
+        let suspects = &self.shared.suspects;
+        let updated = reported.iter().filter(|row| suspects.record(row));
+        let updated: IndexSet<RequestFingerprint> =
+            updated.map(|row| row.key().fingerprint).collect();
+        if !updated.is_empty() {
+            if let Err(error) = self.suspects.post(SuspectMessage::Reported(updated)) {
+                log::warn!(error:% = error; "ends_untold");
+            }
+        }
+        let known = fingerprints
+            .iter()
+            .flat_map(|fingerprint| suspects.rows(fingerprint));
+        reply_packed(StatusCode::OK, &known.collect::<SuspectDoc>())
+    }
+
+    async fn suspicion(&self, request: Request) -> Response {
+        let Some(doc) = read_message::<SuspicionDoc>(request).await else {
+            return reply_text(StatusCode::BAD_REQUEST, "expected a target");
+        };
+        apply_suspicions(&self.shared, std::iter::once(&doc.target));
+        reply_packed(StatusCode::OK, &())
+    }
+}
+
+async fn read_message<T: serde::de::DeserializeOwned>(request: Request) -> Option<T> {
+    let bytes = read_body(request.into_body(), MAX_MESSAGE_BYTES)
+        .await
+        .ok()?;
+    unpack::<T>(&bytes).ok()
+}
+
+impl Handler for PeerApi {
+    fn handle(&self, request: Request) -> BoxFuture<'_, Response> {
+        Box::pin(self.route(request))
+    }
+}
--- a/crates/fleet/src/relay.rs
+++ b/crates/fleet/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passes a stream on to its caller, and goes on elsewhere when its group falls silent or breaks.
+//! Relays a stream to its caller, and resumes it at another target if its group falls silent or the stream breaks.
 
 use std::io;
 use std::sync::Arc;
@@ -10,67 +10,68 @@
 use bytes::Bytes;
 use futures::Stream;
 
-use crate::dispatch::{FleetDispatcher, SILENCE_CHECK};
-use crate::failure::FailureSign;
-use crate::gauge::GaugePlace;
-use crate::job::{BegunAnswer, RequestJob};
-use crate::queue::PlacedTarget;
-use crate::suspicion::silence_of;
+use crate::dispatch::{FleetDispatcher, SILENCE_POLL_INTERVAL};
+use crate::failure::ConnectionFailure;
+use crate::gauge::SlotGuard;
+use crate::job::{RequestJob, ResponseStart};
+use crate::slot_queue::ReservedTarget;
+use crate::suspicion::silence_limit_for;
 use crate::trace::{RequestEnd, RequestTrace};
 
-/// Lateness of the node's own timer beyond which silence proves nothing about the target.
-const OWN_LATENESS: Duration = Duration::from_millis(60);
+/// Delay of the node's own timer beyond which silence is not attributed to the target.
+const MAX_TIMER_DELAY: Duration = Duration::from_millis(60);
 
-/// A stream under way.
+/// A stream that is being relayed.
 pub struct StreamRelay {
     dispatcher: Arc<FleetDispatcher>,
     job: RequestJob,
-    current: BegunAnswer,
+    response: ResponseStart,
     splitter: EventSplitter,
     trace: RequestTrace,
     tried: Vec<TargetId>,
-    heard: Moment,
-    is_over: bool,
+    last_received: Moment,
+    has_ended: bool,
 }
 
-/// What became of a stream that was to go on at another target.
+/// Result of trying to resume a stream at another target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum GoOnEnd {
-    /// It goes on.
-    Begun,
-    /// Nobody listened there.
+enum ResumeResult {
+    /// The stream was resumed.
+    Resumed,
+    /// The target refused the connection.
     Refused,
-    /// It ends here.
+    /// The stream could not be resumed.
     Failed,
 }
 
-enum RelayStep {
-    Piece(Bytes),
+/// Next step of a stream.
+enum StreamStep {
+    Chunk(Bytes),
     End,
     Broken,
-    /// The request's time is over.
+    /// The request's deadline passed.
     Deadline,
     Silent,
 }
 
 impl StreamRelay {
-    /// Returns the body of the caller's response.
-    pub fn spawn(
+    /// Starts to relay a stream; returns the body of the response to the caller.
+    pub fn start(
         dispatcher: Arc<FleetDispatcher>,
         job: RequestJob,
-        begun: BegunAnswer,
+        response: ResponseStart,
         mut trace: RequestTrace,
     ) -> impl Stream<Item = Result<Bytes, io::Error>> + Send + 'static {
-        trace.sent += 1;
+        trace.attempts_sent += 1;
         let relay = Self {
-            tried: vec![begun.target.id.clone()],
+            tried: vec![response.target.id.clone()],
             dispatcher,
             job,
-            current: begun,
+            response,
             splitter: EventSplitter::default(),
             trace,
-            heard: BootClock::now(),
-            is_over: false,
+            last_received: BootClock::now(),
+            has_ended: false,
         };
         futures::stream::unfold(relay, |mut relay| async move {
             relay.next().await.map(|item| (item, relay))
@@ -78,30 +79,30 @@
     }
 
     async fn next(&mut self) -> Option<Result<Bytes, io::Error>> {
-        if self.is_over {
+        if self.has_ended {
             return None;
         }
         loop {
-            match self.step().await {
-                RelayStep::Piece(piece) => {
-                    let whole = self.splitter.push(&piece);
-                    if !whole.is_empty() {
-                        self.note_events();
-                        return Some(Ok(whole));
+            match self.next_step().await {
+                StreamStep::Chunk(chunk) => {
+                    let events = self.splitter.push(&chunk);
+                    if !events.is_empty() {
+                        self.record_events();
+                        return Some(Ok(events));
                     }
                 }
-                RelayStep::End => return self.end(),
-                end @ (RelayStep::Broken | RelayStep::Deadline) => {
-                    if matches!(end, RelayStep::Broken) {
-                        self.current.run.broke("stream_broken");
-                        self.trace.broken += 1;
+                StreamStep::End => return self.finish(),
+                end @ (StreamStep::Broken | StreamStep::Deadline) => {
+                    if matches!(end, StreamStep::Broken) {
+                        self.response.run.report_broken("stream_broken");
+                        self.trace.broken_runs += 1;
                     }
                     self.trace.reason = "stream_broken";
-                    if !self.resume_broken().await {
-                        return Some(Err(self.give_up()));
+                    if !self.resume_after_break().await {
+                        return Some(Err(self.abort()));
                     }
                 }
-                RelayStep::Silent => {
+                StreamStep::Silent => {
                     self.trace.reason = "stream_silent";
                     self.resume().await;
                 }
@@ -109,32 +110,37 @@
         }
     }
 
-    async fn step(&mut self) -> RelayStep {
+    async fn next_step(&mut self) -> StreamStep {
         loop {
-            let timer = tokio::time::timeout(SILENCE_CHECK, self.current.body.next());
-            let begun = BootClock::now();
+            let timer = tokio::time::timeout(SILENCE_POLL_INTERVAL, self.response.body.next());
+            let started = BootClock::now();
             match timer.await {
-                Ok(Ok(Some(piece))) => return RelayStep::Piece(piece),
-                Ok(Ok(None)) => return RelayStep::End,
-                Ok(Err(_)) => return RelayStep::Broken,
+                Ok(Ok(Some(chunk))) => return StreamStep::Chunk(chunk),
+                Ok(Ok(None)) => return StreamStep::End,
+                Ok(Err(_)) => return StreamStep::Broken,
                 Err(_) => {}
             }
             let now = BootClock::now();
             if now >= self.job.deadline {
-                return RelayStep::Deadline;
+                return StreamStep::Deadline;
             }
-            let is_late = now.saturating_sub(begun) > SILENCE_CHECK + OWN_LATENESS;
-            if !is_late && self.is_silent(now) {
-                return RelayStep::Silent;
+            let is_timer_late =
+                now.saturating_sub(started) > SILENCE_POLL_INTERVAL + MAX_TIMER_DELAY;
+            if !is_timer_late && self.should_resume(now) {
+                return StreamStep::Silent;
             }
         }
     }
 
-    /// Returns whether the whole group has been silent for longer than its passes explain.
-    fn is_silent(&self, now: Moment) -> bool {
-        let target = &self.current.target;
-        let limit = silence_of(&self.job, target);
-        let is_silent = now.saturating_sub(self.heard) > limit && target.gauge.silence(now) > limit;
+    /// Returns whether the group has been silent for longer than its forward passes explain, and the stream may be
+    /// resumed elsewhere.
+    ///
+    /// A silent group is reported as suspect even if the stream may not be resumed.
+    fn should_resume(&self, now: Moment) -> bool {
+        let target = &self.response.target;
+        let limit = silence_limit_for(&self.job, target);
+        let is_silent =
+            now.saturating_sub(self.last_received) > limit && target.gauge.silence(now) > limit;
         if is_silent {
             self.dispatcher.suspicion().suspect(target, now);
         }
@@ -144,136 +150,140 @@
     fn may_resume(&self) -> bool {
         let suspects = &self.dispatcher.shared().suspects;
         self.job.rule.is_repeatable()
-            && self.trace.sent < self.job.rule.max_attempts
-            && suspects.may_go_on(&self.job.print, self.trace.broken)
+            && self.trace.attempts_sent < self.job.rule.max_attempts
+            && suspects.may_retry(&self.job.fingerprint, self.trace.broken_runs)
     }
 
-    fn note_events(&mut self) {
+    fn record_events(&mut self) {
         let now = BootClock::now();
         if self.trace.events == 0 {
-            self.current
-                .place
+            self.response
+                .slot
                 .iter_mut()
-                .for_each(GaugePlace::note_read);
-            self.trace.note_first();
-            if self.trace.sent == 1 {
-                let placed = self.trace.arrived + self.trace.waited.unwrap_or_default();
-                let time = now.saturating_sub(placed);
-                self.dispatcher.placer().note_first(&self.job, time);
+                .for_each(SlotGuard::end_prefill);
+            self.trace.record_first_event();
+            if self.trace.attempts_sent == 1 {
+                let reserved_at = self.trace.arrived + self.trace.slot_wait.unwrap_or_default();
+                let time = now.saturating_sub(reserved_at);
+                self.dispatcher
+                    .selector()
+                    .record_first_event(&self.job, time);
             }
         } else {
-            self.trace.pause = self.trace.pause.max(now.saturating_sub(self.heard));
+            self.trace.longest_pause = self
+                .trace
+                .longest_pause
+                .max(now.saturating_sub(self.last_received));
         }
-        self.heard = now;
-        self.current.target.gauge.note_heard(now);
+        self.last_received = now;
+        self.response.target.gauge.record_activity(now);
         self.trace.events = self.splitter.events();
     }
 
-    /// Ends the caller's stream; bytes of an event that never ended are passed on as they came.
-    fn end(&mut self) -> Option<Result<Bytes, io::Error>> {
-        self.is_over = true;
-        self.current
+    /// Ends the caller's stream; the bytes of an incomplete last event are passed on unchanged.
+    fn finish(&mut self) -> Option<Result<Bytes, io::Error>> {
+        self.has_ended = true;
+        self.response
             .run
             .complete(&self.dispatcher.shared().suspects);
         self.trace.end(RequestEnd::Answered);
-        let rest = Bytes::copy_from_slice(self.splitter.held());
+        let rest = Bytes::copy_from_slice(self.splitter.partial());
         (!rest.is_empty()).then_some(Ok(rest))
     }
 
-    /// Goes on after the last whole event at another target, if there is one with a place.
+    /// Resumes the stream after the last complete event at another target, if one has a free slot.
     ///
-    /// The old answer is kept until the new one has begun: a group that was only slow goes on.
+    /// The current response is kept until the new one has begun, so that a group that was only slow can continue.
     async fn resume(&mut self) -> bool {
         if !self.may_resume() {
             return false;
         }
-        let Some(placed) = self
-            .dispatcher
-            .placer()
-            .pick(&self.job.place_ask(&self.tried))
-        else {
+        let slot_request = self.job.slot_request(&self.tried);
+        let Some(reserved) = self.dispatcher.selector().pick(&slot_request) else {
             return false;
         };
-        self.go_on(placed).await == GoOnEnd::Begun
+        self.resume_at(reserved).await == ResumeResult::Resumed
     }
 
-    /// Goes on elsewhere after the old answer has ended, waiting for a place if none is free.
+    /// Resumes the stream at another target after the current response has ended, waiting for a slot if necessary.
     ///
-    /// Targets often end together, and the next one may be gone as well without anybody knowing yet. One that
-    /// refuses the connection has not had the request, so the stream goes on to another.
-    async fn resume_broken(&mut self) -> bool {
-        self.current.place = None;
+    /// Targets often fail together, and the failure of the next one may not have been detected yet. A target that
+    /// refuses the connection has not received the request, so a further one is tried.
+    async fn resume_after_break(&mut self) -> bool {
+        self.response.slot = None;
         while self.may_resume() {
-            let placer = self.dispatcher.placer();
-            let is_begun = self.splitter.last().is_some();
-            let placing = placer.place_again(&self.job, &self.tried, is_begun);
-            let Ok(placed) = placing.await else {
+            let selector = self.dispatcher.selector();
+            let is_begun = self.splitter.last_id().is_some();
+            let acquiring = selector.acquire_for_resume(&self.job, &self.tried, is_begun);
+            let Ok(reserved) = acquiring.await else {
                 return false;
             };
-            match self.go_on(placed).await {
-                GoOnEnd::Begun => return true,
-                GoOnEnd::Refused => {}
-                GoOnEnd::Failed => return false,
+            match self.resume_at(reserved).await {
+                ResumeResult::Resumed => return true,
+                ResumeResult::Refused => {}
+                ResumeResult::Failed => return false,
             }
         }
         false
     }
 
-    async fn go_on(&mut self, (target, place): PlacedTarget) -> GoOnEnd {
-        if !self.dispatcher.budgets().spend(&self.job.service) {
-            return GoOnEnd::Failed;
+    async fn resume_at(&mut self, (target, slot): ReservedTarget) -> ResumeResult {
+        if !self.dispatcher.budgets().withdraw(&self.job.service) {
+            return ResumeResult::Failed;
         }
-        self.trace.sent += 1;
-        let last = self.splitter.last().map(str::to_owned);
-        let last = last.or_else(|| self.job.ask.last_event.clone());
+        self.trace.attempts_sent += 1;
+        let last_event = self.splitter.last_id().map(str::to_owned);
+        let last_event = last_event.or_else(|| self.job.request.last_event.clone());
         self.tried.push(target.id.clone());
         log::info!(
-            request = self.trace.request.as_str(),
-            from = self.current.target.id.as_str(),
+            request = self.trace.request_id.as_str(),
+            from = self.response.target.id.as_str(),
             to = target.id.as_str(),
             reason = self.trace.reason,
-            after_event = last.as_deref().unwrap_or(""),
-            silence_ms = BootClock::now().saturating_sub(self.heard).as_millis() as u64;
+            after_event = last_event.as_deref().unwrap_or(""),
+            silence_ms = BootClock::now().saturating_sub(self.last_received).as_millis() as u64;
             "stream_resumed"
         );
-        let begun = self
+        let sent = self
             .dispatcher
-            .begin(&self.job, target, place, last.as_deref(), false)
+            .send(&self.job, target, slot, last_event.as_deref(), false)
             .await;
-        match begun {
-            Ok(begun) => {
+        match sent {
+            Ok(response) => {
                 self.dispatcher
                     .shared()
                     .metrics
                     .count_resume(&self.job.service);
-                self.trace.target.clone_from(&begun.target.id);
-                self.current = begun;
-                self.splitter.drop_tail();
-                GoOnEnd::Begun
+                self.trace.target.clone_from(&response.target.id);
+                self.response = response;
+                self.splitter.discard_partial();
+                ResumeResult::Resumed
             }
             Err(failed) => {
                 self.trace.reason = failed.point.code();
-                if failed.sign == FailureSign::Refused {
-                    self.trace.sent -= 1;
-                    self.dispatcher.budgets().give_back(&self.job.service);
-                    return GoOnEnd::Refused;
+                if failed.connection == ConnectionFailure::Refused {
+                    self.trace.attempts_sent -= 1;
+                    self.dispatcher.budgets().refund(&self.job.service);
+                    return ResumeResult::Refused;
                 }
-                GoOnEnd::Failed
+                ResumeResult::Failed
             }
         }
     }
 
-    /// Ends the caller's connection without the end mark, so that the answer does not look whole.
-    fn give_up(&mut self) -> io::Error {
-        self.is_over = true;
+    /// Ends the caller's stream with an error, so that the connection closes without the end of the body.
+    ///
+    /// Otherwise the caller would take the response for complete.
+    fn abort(&mut self) -> io::Error {
+        self.has_ended = true;
         self.trace.end(RequestEnd::Unknown);
-        io::Error::other("the stream is broken")
+        io::Error::other("the stream broke and could not be resumed")
     }
 }
 
 impl Drop for StreamRelay {
     fn drop(&mut self) {
-        self.current.place = None;
-        self.dispatcher.placer().serve_queue();
+        self.response.slot = None;
+        self.dispatcher.selector().serve_queue();
     }
 }
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -1,77 +1,79 @@
-//! One run of a request at a target, from its sending to its end.
+//! The run of a request on a target, from sending the request to the end of the response.
 
 use briarswitch_kernel::{BootClock, Mailbox};
 
-use crate::end_watch::WatchMessage;
-use crate::run_facts::{RunBreak, RunFacts};
-use crate::suspect_keeper::SuspectMessage;
-use crate::suspects::SuspectBoard;
+use crate::crash_watcher::CrashWatchMessage;
+use crate::run_info::{RunEnd, RunInfo};
+use crate::suspect_ledger::SuspectLedger;
+use crate::suspect_sync::SuspectMessage;
 
-/// A run under way; whatever becomes of it, the watch of targets hears of a run that brought no whole answer.
+/// A run in progress. A run that ends without a complete response is reported to the crash watcher.
 ///
-/// Dropped without a word it counts as abandoned: the caller left, or the request was moved elsewhere. A target
-/// that ends in the next moment may have ended because of it.
+/// If it is dropped before its end is known, it counts as abandoned: the caller disconnected, or the request was sent
+/// to another target. If the target crashes soon after, the request may be the cause.
 pub struct TargetRun {
-    facts: Option<RunFacts>,
-    reports: RunReports,
+    info: Option<RunInfo>,
+    listeners: RunListeners,
 }
 
-/// Who is told how runs end.
+/// Services that are notified of how runs end.
 #[derive(Clone)]
-pub struct RunReports {
-    /// Hears of runs that brought no whole answer.
-    pub watch: Mailbox<WatchMessage>,
-    /// Hears of whole answers to requests under which targets have ended.
+pub struct RunListeners {
+    /// Receives runs that ended without a complete response.
+    pub watch: Mailbox<CrashWatchMessage>,
+    /// Receives complete responses to requests that were running on targets when these crashed.
     pub suspects: Mailbox<SuspectMessage>,
 }
 
 impl TargetRun {
-    /// Begins a run.
-    pub fn open(facts: RunFacts, reports: RunReports) -> Self {
+    /// Starts a run.
+    pub fn start(info: RunInfo, listeners: RunListeners) -> Self {
         Self {
-            facts: Some(facts),
-            reports,
+            info: Some(info),
+            listeners,
         }
     }
 
-    /// Notes that the target gave an answer that is none of success, or never had the request.
-    pub fn settle(&mut self) {
-        self.facts = None;
+    /// Ends the run without a report: the target sent an error response or never received the request.
+    pub fn end_unreported(&mut self) {
+        self.info = None;
     }
 
-    /// Notes that the target gave its whole answer; the request did not end it, and so is cleared of earlier ends.
-    pub fn complete(&mut self, board: &SuspectBoard) {
-        let Some(facts) = self.facts.take() else {
+    /// Ends the run with a complete response.
+    ///
+    /// The request did not crash the target, so it is cleared of the suspicion from earlier crashes.
+    pub fn complete(&mut self, suspects: &SuspectLedger) {
+        let Some(info) = self.info.take() else {
             return;
         };
-        if board.has_ends(&facts.print) {
-            let message = SuspectMessage::Completed(facts.print);
-            if let Err(error) = self.reports.suspects.post(message) {
+        if suspects.has_crashes(&info.fingerprint) {
+            let message = SuspectMessage::Completed(info.fingerprint);
+            if let Err(error) = self.listeners.suspects.post(message) {
                 log::warn!(error:% = error; "run_untold");
             }
         }
     }
 
-    /// Notes that the connection broke.
-    pub fn broke(&mut self, reason: &'static str) {
-        let Some(facts) = self.facts.take() else {
+    /// Ends the run because the connection broke.
+    pub fn report_broken(&mut self, reason: &'static str) {
+        let Some(info) = self.info.take() else {
             return;
         };
         log::info!(
-            request = facts.request.as_str(),
-            print:% = facts.print,
-            target_id = facts.life.target.as_str(),
-            group = facts.group.as_str(),
+            request = info.request.as_str(),
+            print:% = info.fingerprint,
+            target_id = info.target.id.as_str(),
+            group = info.group.as_str(),
             reason = reason,
-            ran_ms = BootClock::now().saturating_sub(facts.sent).as_millis() as u64;
+            ran_ms = BootClock::now().saturating_sub(info.sent).as_millis() as u64;
             "run_broken"
         );
-        self.tell(facts, RunBreak::Broken);
+        self.report(info, RunEnd::Broken);
     }
 
-    fn tell(&self, facts: RunFacts, end: RunBreak) {
-        let message = WatchMessage::Ended(Box::new(facts), end);
-        if let Err(error) = self.reports.watch.post(message) {
+    fn report(&self, info: RunInfo, end: RunEnd) {
+        let message = CrashWatchMessage::RunFailed(Box::new(info), end);
+        if let Err(error) = self.listeners.watch.post(message) {
             log::warn!(error:% = error; "run_untold");
         }
     }
@@ -79,8 +81,8 @@
 
 impl Drop for TargetRun {
     fn drop(&mut self) {
-        if let Some(facts) = self.facts.take() {
-            self.tell(facts, RunBreak::Abandoned);
+        if let Some(info) = self.info.take() {
+            self.report(info, RunEnd::Abandoned);
         }
     }
 }
--- a/crates/fleet/src/scope.rs
+++ b/crates/fleet/src/scope.rs
@@ -1,17 +1,17 @@
-//! The fabric domains in which a node gives the orders.
+//! The fabric domains whose targets a node controls.
 
 use std::sync::Arc;
 
 use briarswitch_core::id::*;
 use briarswitch_core::target::TargetRecord;
-use briarswitch_core::traffic::TrafficBook;
+use briarswitch_core::traffic::TrafficConfig;
 use briarswitch_membership::LiveView;
 use indexmap::IndexSet;
 
 use crate::domains::domains_of;
 use crate::shared::DirectoryView;
 
-/// One service's part of a fabric domain.
+/// The targets of one service in one fabric domain.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct DomainKey {
     /// Service.
@@ -21,54 +21,55 @@
 }
 
 impl DomainKey {
-    /// Returns whether a target belongs to the domain.
-    pub fn holds(&self, record: &TargetRecord) -> bool {
+    /// Returns whether a target belongs to the service and the domain.
+    pub fn contains(&self, record: &TargetRecord) -> bool {
         record.domain == self.domain && record.service == self.service
     }
 }
 
-/// What a scope follows from.
+/// Inputs that determine a node's scope.
 #[derive(Debug)]
-pub struct ScopeBasis {
+pub struct ScopeInputs {
     /// Version of the configuration.
     pub version: ConfigVersion,
-    /// Targets.
+    /// Directory of targets.
     pub directory: Arc<DirectoryView>,
-    /// Nodes that live.
+    /// Live nodes.
     pub live: Arc<LiveView>,
 }
 
-/// What a node is responsible for.
+/// The domains and targets that a node controls.
 #[derive(Debug)]
 pub struct ControlScope {
-    /// Targets of all services whose targets are engines.
-    pub engines: Vec<Arc<TargetRecord>>,
-    /// Domains that are this node's.
-    pub own: IndexSet<DomainKey>,
-    /// Targets of those.
-    pub mine: Vec<Arc<TargetRecord>>,
-    /// Members of groups there whose entries are gone.
-    pub unlisted: Vec<Arc<TargetRecord>>,
-    basis: ScopeBasis,
+    /// Targets of all services that run on engines, in all domains.
+    pub engine_targets: Vec<Arc<TargetRecord>>,
+    /// Domains that this node controls.
+    pub own_domains: IndexSet<DomainKey>,
+    /// Targets in those domains.
+    pub own_targets: Vec<Arc<TargetRecord>>,
+    /// Members of groups in those domains whose directory entries are missing.
+    pub unlisted_members: Vec<Arc<TargetRecord>>,
+    inputs: ScopeInputs,
 }
 
 impl ControlScope {
-    /// Works out a scope.
+    /// Determines the scope from its inputs.
     ///
-    /// The domain's own zone goes first, since a zone that is cut off has to mend itself. Two nodes that
-    /// both believe a domain theirs do no harm: the targets obey only one of them.
-    pub fn open(book: &TrafficBook, basis: ScopeBasis) -> Self {
-        let ScopeBasis {
+    /// Nodes in a domain's own zone come first, because a zone that is cut off from the others has to repair
+    /// its groups by itself. If two nodes control the same domain for a while, the condition on each order lets
+    /// targets obey only one of them.
+    pub fn new(config: &TrafficConfig, inputs: ScopeInputs) -> Self {
+        let ScopeInputs {
             directory, live, ..
-        } = &basis;
-        let mut engines = Vec::new();
-        let mut own = IndexSet::new();
-        for service in book
+        } = &inputs;
+        let mut engine_targets = Vec::new();
+        let mut own_domains = IndexSet::new();
+        for service in config
             .services
             .values()
             .filter(|service| service.engine.is_some())
         {
-            let targets = directory.book.targets().values();
+            let targets = directory.cache.targets().values();
             let of_service: Vec<&Arc<TargetRecord>> = targets
                 .filter(|record| record.service == service.id)
                 .collect();
@@ -76,32 +77,36 @@
                 of_service.iter().map(|record| record.as_ref()).collect();
             for (domain, zone) in domains_of(&records) {
                 if live.first_for(domain, zone).is_none() {
-                    own.insert(DomainKey {
+                    own_domains.insert(DomainKey {
                         service: service.id.clone(),
                         domain: domain.clone(),
                     });
                 }
             }
-            engines.extend(of_service.into_iter().cloned());
+            engine_targets.extend(of_service.into_iter().cloned());
         }
-        let is_mine = |record: &&Arc<TargetRecord>| own.iter().any(|key| key.holds(record));
-        let mine = engines.iter().filter(is_mine).cloned().collect();
-        let unlisted = directory.book.unlisted().values();
-        let unlisted = unlisted.filter(is_mine).cloned().collect();
+        let is_own =
+            |record: &&Arc<TargetRecord>| own_domains.iter().any(|key| key.contains(record));
+        let own_targets = engine_targets.iter().filter(is_own).cloned().collect();
+        let unlisted = directory.cache.unlisted().values();
+        let unlisted_members = unlisted.filter(is_own).cloned().collect();
         Self {
-            engines,
-            mine,
-            unlisted,
-            own,
-            basis,
+            engine_targets,
+            own_targets,
+            unlisted_members,
+            own_domains,
+            inputs,
         }
     }
 
-    /// Returns whether the scope follows from the same; what nodes see of callers decides nothing.
-    pub fn is_of(&self, basis: &ScopeBasis) -> bool {
-        let held = &self.basis;
-        held.version == basis.version
-            && Arc::ptr_eq(&held.directory, &basis.directory)
-            && held.live.composition() == basis.live.composition()
+    /// Returns whether the scope is still valid for these inputs.
+    ///
+    /// Only the set of live nodes counts here; other changes of the live view, such as observed load, do not
+    /// affect the scope.
+    pub fn is_current_for(&self, inputs: &ScopeInputs) -> bool {
+        let current = &self.inputs;
+        current.version == inputs.version
+            && Arc::ptr_eq(&current.directory, &inputs.directory)
+            && current.live.composition() == inputs.live.composition()
     }
 }
--- a/crates/fleet/src/suspect_record.rs
+++ b/crates/fleet/src/suspect_record.rs
@@ -1,81 +1,85 @@
-//! Rows on requests under which targets have ended, as tables hold them.
+//! Stored form of crash rows.
 
-use briarswitch_core::crash::{ClearSign, EndSign, LifeKey, StoreMillis};
-use briarswitch_core::print::RequestPrint;
+use briarswitch_core::crash::{ClearReport, CrashReport, IncarnationKey, StoreMillis};
+use briarswitch_core::fingerprint::RequestFingerprint;
 use serde::{Deserialize, Serialize};
 
 use crate::suspect_row::{SuspectKey, SuspectRow};
 
-/// What stands for the life in the key of a row that clears a request.
+/// Stands in place of the incarnation in the key of a row that clears a request.
 const CLEARED: &str = "cleared";
 
-/// Content of a row: an end, or where there is no domain and chance, the word that the request is not the cause.
+/// Value of a row: a crash, or, without domain and chance, the statement that the request caused
+/// none.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct SuspectValue {
     at: StoreMillis,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     domain: Option<u64>,
-    /// Thousandths.
+    /// Probability of a coincidence in thousandths.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     chance: Option<u16>,
 }
 
-/// A row as a table holds it.
+/// A row as it is stored.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SuspectRecord {
     /// Key.
     pub key: String,
-    /// Content.
+    /// Value.
     pub value: SuspectValue,
 }
 
-/// A row's key or content can not be understood.
+/// The key or value of a row is malformed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("not a row on a request under which targets have ended")]
+#[error("malformed crash report row")]
 pub struct UnreadableRecord;
 
-/// Returns the text of a row's key.
+/// Formats the key of a row.
 ///
 /// ```
-/// use briarswitch_core::print::RequestPrint;
+/// use briarswitch_core::fingerprint::RequestFingerprint;
 /// use briarswitch_fleet::ports::SuspectKey;
-/// use briarswitch_fleet::suspect_record::{key_text, read_key};
+/// use briarswitch_fleet::suspect_record::{format_key, parse_key};
 ///
-/// let key = SuspectKey { print: RequestPrint::from([1; 16]), life: None };
-/// assert_eq!(read_key(&key_text(&key)), Ok(key));
+/// let key = SuspectKey { fingerprint: RequestFingerprint::from([1; 16]), incarnation: None };
+/// assert_eq!(parse_key(&format_key(&key)), Ok(key));
 /// ```
-pub fn key_text(key: &SuspectKey) -> String {
-    match key.life {
-        Some(LifeKey(life)) => format!("{}-{life:016x}", key.print),
-        None => format!("{}-{CLEARED}", key.print),
+pub fn format_key(key: &SuspectKey) -> String {
+    match key.incarnation {
+        Some(IncarnationKey(incarnation)) => format!("{}-{incarnation:016x}", key.fingerprint),
+        None => format!("{}-{CLEARED}", key.fingerprint),
     }
 }
 
-/// Reads the text of a row's key.
+/// Parses the key of a row.
 ///
 /// # Errors
 ///
-/// Returns [`UnreadableRecord`] where it is none.
-pub fn read_key(text: &str) -> Result<SuspectKey, UnreadableRecord> {
-    let (print, life) = text.split_once('-').ok_or(UnreadableRecord)?;
-    let print: RequestPrint = print.parse().map_err(|_| UnreadableRecord)?;
-    let life = if life == CLEARED {
+/// Returns [`UnreadableRecord`] if the text is not a key.
+pub fn parse_key(text: &str) -> Result<SuspectKey, UnreadableRecord> {
+    let (fingerprint, incarnation) = text.split_once('-').ok_or(UnreadableRecord)?;
+    let fingerprint: RequestFingerprint = fingerprint.parse().map_err(|_| UnreadableRecord)?;
+    let incarnation = if incarnation == CLEARED {
         None
     } else {
-        let life = u64::from_str_radix(life, 16).map_err(|_| UnreadableRecord)?;
-        Some(LifeKey(life))
+        let incarnation = u64::from_str_radix(incarnation, 16).map_err(|_| UnreadableRecord)?;
+        Some(IncarnationKey(incarnation))
     };
-    Ok(SuspectKey { print, life })
+    Ok(SuspectKey {
+        fingerprint,
+        incarnation,
+    })
 }
 
 impl From<&SuspectRow> for SuspectRecord {
     fn from(row: &SuspectRow) -> Self {
         let (domain, chance) = match row {
-            SuspectRow::End(end) => (Some(end.domain), Some(end.chance)),
+            SuspectRow::Crash(crash) => (Some(crash.domain), Some(crash.chance_permille)),
             SuspectRow::Clear(_) => (None, None),
         };
         Self {
-            key: key_text(&row.key()),
+            key: format_key(&row.key()),
             value: SuspectValue {
                 at: row.at(),
                 domain,
@@ -89,17 +93,20 @@
     type Error = UnreadableRecord;
 
     fn try_from(record: SuspectRecord) -> Result<Self, Self::Error> {
-        let SuspectKey { print, life } = read_key(&record.key)?;
+        let SuspectKey {
+            fingerprint,
+            incarnation,
+        } = parse_key(&record.key)?;
         let SuspectValue { at, domain, chance } = record.value;
-        let Some(life) = life else {
-            return Ok(Self::Clear(ClearSign { print, at }));
+        let Some(incarnation) = incarnation else {
+            return Ok(Self::Clear(ClearReport { fingerprint, at }));
         };
-        Ok(Self::End(EndSign {
-            print,
-            life,
+        Ok(Self::Crash(CrashReport {
+            fingerprint,
+            incarnation,
             domain: domain.ok_or(UnreadableRecord)?,
             at,
-            chance: chance.ok_or(UnreadableRecord)?,
+            chance_permille: chance.ok_or(UnreadableRecord)?,
         }))
     }
 }
--- a/crates/fleet/src/suspect_row.rs
+++ b/crates/fleet/src/suspect_row.rs
@@ -1,55 +1,59 @@
-//! Rows on requests under which targets have ended.
+//! Rows of the table of crash reports.
 
-use briarswitch_core::crash::{ClearSign, EndSign, LifeKey, StoreMillis};
-use briarswitch_core::print::RequestPrint;
+use briarswitch_core::crash::{ClearReport, CrashReport, IncarnationKey, StoreMillis};
+use briarswitch_core::fingerprint::RequestFingerprint;
 
-/// Names a row in the table of requests under which targets have ended.
+/// Key of a row in the table of crash reports.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct SuspectKey {
-    /// Request.
-    pub print: RequestPrint,
-    /// Life that ended; `None` for the word that the request is not the cause.
-    pub life: Option<LifeKey>,
+    /// Fingerprint of the request.
+    pub fingerprint: RequestFingerprint,
+    /// Incarnation that crashed; `None` for a row that clears the request.
+    pub incarnation: Option<IncarnationKey>,
 }
 
-/// A row in the table of requests under which targets have ended.
+/// A row in the table of crash reports.
 ///
-/// Each end is a row of its own: nodes that write at the same moment, or late, never undo each other's word.
+/// Each crash has a row of its own, so that nodes that write concurrently or late never overwrite
+/// each other's reports.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SuspectRow {
-    /// A target ended.
-    End(EndSign),
-    /// The request is not the cause of earlier ends.
-    Clear(ClearSign),
+    /// A target crashed while it ran the request.
+    Crash(CrashReport),
+    /// The request did not cause earlier crashes.
+    Clear(ClearReport),
 }
 
 impl SuspectRow {
-    /// Returns the row's name.
+    /// Returns the key of the row.
     pub fn key(&self) -> SuspectKey {
-        let (print, life) = match self {
-            Self::End(end) => (end.print, Some(end.life)),
-            Self::Clear(clear) => (clear.print, None),
+        let (fingerprint, incarnation) = match self {
+            Self::Crash(crash) => (crash.fingerprint, Some(crash.incarnation)),
+            Self::Clear(clear) => (clear.fingerprint, None),
         };
-        SuspectKey { print, life }
+        SuspectKey {
+            fingerprint,
+            incarnation,
+        }
     }
 
-    /// Returns when what it says was seen.
+    /// Returns when the row's content was observed.
     pub fn at(&self) -> StoreMillis {
         match self {
-            Self::End(end) => end.at,
+            Self::Crash(crash) => crash.at,
             Self::Clear(clear) => clear.at,
         }
     }
 }
 
-/// One change of the table of requests under which targets have ended.
+/// A change of the table of crash reports.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SuspectChange {
     /// The row is new or has changed.
     Put(SuspectRow),
-    /// The row is gone.
+    /// The row was deleted.
     Removed(SuspectKey),
 }
 
-/// Most rows that are written and dropped at once.
-pub const MOST_SUSPECT_ROWS: usize = 100;
+/// Maximum number of rows that are written and deleted in one call.
+pub const MAX_SUSPECT_ROWS: usize = 100;
--- /dev/null
+++ b/crates/fleet/src/suspect_sync.rs
@@ -0,0 +1,437 @@
+//! Distributes crash reports, so that every node knows which requests were running when targets
+//! crashed.
+//!
+//! Retries of a request may arrive at any node, so no single node sees all crashes that it causes.
+//! Each crash is reported to the two nodes that rank first for the request, which thus see all of
+//! its crashes. Requests whose crashes are unlikely to be a coincidence are written to a table of
+//! the store, which every node follows, including nodes that reach no other node and nodes that
+//! have just started. A node that reaches no other node writes the crashes that it sees itself.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use briarswitch_core::crash::{
+    ClearReport, CrashRate, CrashReport, CrashVerdict, CrashedTarget, StoreMillis,
+};
+use briarswitch_core::fingerprint::RequestFingerprint;
+use briarswitch_core::id::*;
+use briarswitch_http::{CallError, CallerClient, Codec};
+use briarswitch_kernel::{Service, ServiceLink};
+use briarswitch_membership::NodeEntry;
+use http::Method;
+use indexmap::{IndexMap, IndexSet};
+use serde_json::{json, Value};
+
+use crate::ports::{FeedMark, SourceError, SuspectChange, SuspectKey, SuspectRow};
+use crate::run_info::RunInfo;
+use crate::store_sync::{retry_delay, SourceHealth};
+use crate::suspect_doc::SuspectDoc;
+use crate::suspect_host::{SuspectEvent, SuspectHost};
+use crate::suspect_table::{SuspectBatch, SuspectTable};
+use crate::verdict_log::VerdictLog;
+
+/// Path at which a node receives crash reports.
+pub const SUSPECT_PATH: &str = "/suspects";
+/// Nodes that receive each crash report; one of them may fail.
+const HOLDERS_PER_REQUEST: usize = 2;
+/// Time-out of a report to a holder.
+const HOLDER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Probability of a coincidence, in thousandths, above which a crash says too little to be counted.
+const MAX_CHANCE_PERMILLE: u16 = 300;
+/// Maximum wait of a long poll for changes of the table.
+///
+/// A connection that fell silent is noticed after this time and the response time-out, and every
+/// node has to know of a crash within three seconds.
+const MAX_TABLE_WAIT: Duration = Duration::from_millis(2_000);
+/// Delay per rank before a row is written: the second holder, and after it the node that saw the
+/// crash, give those before them time to write it.
+const WRITE_STAGGER: Duration = Duration::from_millis(250);
+/// Interval between checks for rows to write or delete.
+const ROUND_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which the crash rate of targets is sampled.
+const CRASH_RATE_INTERVAL: Duration = Duration::from_secs(2);
+
+/// Name of the service.
+pub const SUSPECT_SERVICE: &str = "suspects";
+
+/// A run that was active when its target crashed.
+#[derive(Clone, Debug)]
+pub struct CrashedRun {
+    /// The request and its target.
+    pub facts: RunInfo,
+    /// How long it had run when it failed.
+    pub ran_for: Duration,
+    /// When the target crashed, as far as the run shows.
+    pub crashed_at: Moment,
+}
+
+/// Message to [`SuspectSync`].
+pub enum SuspectMessage {
+    /// Targets crashed while these runs were active.
+    Crashed(Vec<CrashedRun>),
+    /// Another node reported something new about these requests.
+    Reported(IndexSet<RequestFingerprint>),
+    /// A holder received these crash reports and responded with what it knows of the requests, or
+    /// did not respond.
+    HolderResponded(Vec<CrashReport>, Option<Vec<SuspectRow>>),
+    /// A request that had crashed targets before received a complete response.
+    Completed(RequestFingerprint),
+    /// The operator released a request.
+    Released(RequestFingerprint),
+    /// Poll the table for changes.
+    Poll,
+    /// The poll returned changes or failed.
+    Polled(Result<SuspectUpdate, SourceError>),
+    /// A batch of rows was written, or the write failed.
+    Written(SuspectBatch, Result<(), SourceError>),
+    /// Check for rows to write or delete.
+    Round,
+}
+
+/// The full table, or changes of it.
+#[derive(Clone, Debug)]
+pub struct SuspectUpdate {
+    mark: FeedMark,
+    is_snapshot: bool,
+    changes: Vec<SuspectChange>,
+}
+
+/// Keeps the ledger that traffic reads in sync with other nodes and the store's table.
+pub struct SuspectSync {
+    host: Arc<dyn SuspectHost>,
+    client: CallerClient,
+    mark: Option<FeedMark>,
+    source_health: SourceHealth,
+    table: SuspectTable,
+    /// Number of holders that have not responded yet, by the reported crash; removed as soon as one
+    /// has.
+    unacknowledged: IndexMap<SuspectKey, usize>,
+    verdicts: VerdictLog,
+    crash_rate: CrashRate,
+    rate_sampled_at: Moment,
+}
+
+impl SuspectSync {
+    /// Creates a service that knows of no crash.
+    pub fn new(host: Arc<dyn SuspectHost>) -> Self {
+        Self {
+            host,
+            client: CallerClient::open(Codec::Packed, None),
+            mark: None,
+            source_health: SourceHealth::default(),
+            table: SuspectTable::default(),
+            unacknowledged: IndexMap::new(),
+            verdicts: VerdictLog::default(),
+            crash_rate: CrashRate::default(),
+            rate_sampled_at: Moment::ZERO,
+        }
+    }
+
+    /// Records crashes that this node saw, and reports them to their holders.
+    fn record_crashes(&mut self, runs: Vec<CrashedRun>, link: &ServiceLink<SuspectMessage>) {
+        let (store_time, crash_rate) = (self.host.suspects().now(), self.crash_rate.per_second());
+        let mut crashes = Vec::new();
+        for CrashedRun {
+            facts,
+            ran_for,
+            crashed_at,
+        } in runs
+        {
+            // The time of the crash itself is used: crashes that are only noticed together would
+            // otherwise count as one.
+            let elapsed = link.now().saturating_sub(crashed_at).as_millis() as StoreMillis;
+            let at = store_time.saturating_sub(elapsed);
+            let target = CrashedTarget {
+                target: &facts.target.id,
+                incarnation: facts.target.incarnation,
+                domain: &facts.domain,
+            };
+            let crash = CrashReport::of(facts.fingerprint, target, at, ran_for, crash_rate);
+            if crash.chance_permille > MAX_CHANCE_PERMILLE {
+                continue;
+            }
+            self.host.suspects().record(&SuspectRow::Crash(crash));
+            log::info!(
+                request = facts.request.as_str(),
+                print:% = facts.fingerprint,
+                organisation = facts.organisation.as_str(),
+                target_id = facts.target.id.as_str(),
+                ran_ms = ran_for.as_millis() as u64,
+                chance_permille = crash.chance_permille,
+                ends = self.host.suspects().crashes(&facts.fingerprint);
+                "end_counted"
+            );
+            crashes.push(crash);
+        }
+        self.report_to_holders(&crashes, link);
+        let fingerprints = crashes.iter().map(|crash| crash.fingerprint).collect();
+        self.reevaluate(&fingerprints, true, link.now());
+    }
+
+    /// Reports crashes to the nodes that rank first for each request; if there are none, the rows
+    /// are written immediately.
+    fn report_to_holders(&mut self, crashes: &[CrashReport], link: &ServiceLink<SuspectMessage>) {
+        let mut messages: IndexMap<NodeId, (Arc<NodeEntry>, Vec<CrashReport>)> = IndexMap::new();
+        for crash in crashes {
+            let others = self
+                .host
+                .holders_of(&crash.fingerprint, HOLDERS_PER_REQUEST)
+                .others;
+            if others.is_empty() {
+                self.table
+                    .schedule_write(SuspectRow::Crash(*crash), link.now());
+            } else {
+                self.unacknowledged
+                    .insert(SuspectRow::Crash(*crash).key(), others.len());
+            }
+            for entry in others {
+                let message = messages.entry(entry.node.clone());
+                let message = message.or_insert_with(|| (entry, Vec::new()));
+                message.1.push(*crash);
+            }
+        }
+        for (entry, crashes) in messages.into_values() {
+            self.send(&entry, crashes, link);
+        }
+    }
+
+    /// Applies a holder's response; crashes that no holder received are written to the store.
+    fn apply_holder_response(
+        &mut self,
+        crashes: &[CrashReport],
+        known: Option<Vec<SuspectRow>>,
+        now: Moment,
+    ) {
+        for crash in crashes {
+            let row = SuspectRow::Crash(*crash);
+            let Some(remaining) = self.unacknowledged.get_mut(&row.key()) else {
+                continue;
+            };
+            *remaining -= 1;
+            let is_last = *remaining == 0;
+            if is_last && known.is_none() {
+                self.table.schedule_write(row, now);
+            }
+            if is_last || known.is_some() {
+                self.unacknowledged.swap_remove(&row.key());
+            }
+        }
+        self.apply_rows(&known.unwrap_or_default(), true, now);
+    }
+
+    fn send(
+        &self,
+        holder: &NodeEntry,
+        crashes: Vec<CrashReport>,
+        link: &ServiceLink<SuspectMessage>,
+    ) {
+        let url = format!("http://{}{SUSPECT_PATH}", holder.address);
+        let client = self.client.clone();
+        self.host.count(SuspectEvent::CrashReported);
+        link.spawn(async move {
+            let doc: SuspectDoc = crashes.iter().copied().map(SuspectRow::Crash).collect();
+            let reported: Result<SuspectDoc, CallError> = client
+                .call(Method::POST, &url, Some(&doc), HOLDER_TIMEOUT)
+                .await;
+            if let Err(error) = &reported {
+                log::info!(error:% = error, ends = crashes.len(); "holder_missed");
+            }
+            SuspectMessage::HolderResponded(crashes, reported.ok().map(Vec::from))
+        });
+    }
+
+    /// Applies rows; `must_write` if this node is one of those that have to make sure they are
+    /// written.
+    fn apply_rows(&mut self, rows: &[SuspectRow], must_write: bool, now: Moment) {
+        let updated = rows.iter().filter(|row| self.host.suspects().record(row));
+        let fingerprints: IndexSet<RequestFingerprint> =
+            updated.map(|row| row.key().fingerprint).collect();
+        self.reevaluate(&fingerprints, must_write, now);
+    }
+
+    /// Reevaluates requests of which something new is known: updates the verdicts and schedules
+    /// writes.
+    fn reevaluate(
+        &mut self,
+        fingerprints: &IndexSet<RequestFingerprint>,
+        must_write: bool,
+        now: Moment,
+    ) {
+        for fingerprint in fingerprints {
+            let verdict = self.host.suspects().verdict(fingerprint);
+            self.verdicts
+                .record(self.host.as_ref(), fingerprint, verdict);
+            if verdict == CrashVerdict::Clear {
+                continue;
+            }
+            let rank = self.own_rank(fingerprint);
+            if !must_write && rank.is_none() {
+                continue;
+            }
+            let stagger = WRITE_STAGGER * rank.unwrap_or(HOLDERS_PER_REQUEST) as u32;
+            for row in self.host.suspects().rows(fingerprint) {
+                self.table.schedule_write(row, now + stagger);
+            }
+        }
+    }
+
+    fn own_rank(&self, fingerprint: &RequestFingerprint) -> Option<usize> {
+        self.host
+            .holders_of(fingerprint, HOLDERS_PER_REQUEST)
+            .own_place
+    }
+
+    /// Records that a request did not cause the crashes so far.
+    fn clear(&mut self, fingerprint: RequestFingerprint, reason: &'static str, now: Moment) {
+        if !self.host.suspects().has_crashes(&fingerprint) {
+            return;
+        }
+        let is_shared = self.verdicts.contains(&fingerprint) || self.table.contains(&fingerprint);
+        let at = self.host.suspects().now();
+        let row = SuspectRow::Clear(ClearReport { fingerprint, at });
+        self.host.suspects().record(&row);
+        log::info!(print:% = fingerprint, reason = reason; "request_cleared");
+        self.verdicts
+            .record(self.host.as_ref(), &fingerprint, CrashVerdict::Clear);
+        self.table.cancel_writes(&fingerprint);
+        if is_shared {
+            self.table.schedule_write(row, now);
+        }
+    }
+
+    /// Writes rows that are due, and deletes expired rows of the requests that this node ranks
+    /// first for.
+    fn write_due(&mut self, link: &ServiceLink<SuspectMessage>) {
+        let host = Arc::clone(&self.host);
+        let is_first = |fingerprint: &RequestFingerprint| {
+            host.holders_of(fingerprint, HOLDERS_PER_REQUEST).own_place == Some(0)
+        };
+        let store_time = host.suspects().now();
+        let Some(batch) = self.table.begin_write(link.now(), store_time, is_first) else {
+            return;
+        };
+        host.count(SuspectEvent::RowsWritten);
+        link.spawn(async move {
+            let registry = host.registry();
+            let written = registry.write(batch.rows.clone(), batch.deleted.clone());
+            SuspectMessage::Written(batch, written.await)
+        });
+    }
+
+    fn apply_write_result(
+        &mut self,
+        batch: &SuspectBatch,
+        written: Result<(), SourceError>,
+        now: Moment,
+    ) {
+        match written {
+            Ok(()) => self.table.commit_batch(batch),
+            Err(error) => {
+                log::info!(error:% = error, rows = batch.rows.len(); "suspects_unwritten");
+                self.table.retry_batch(now + retry_delay());
+            }
+        }
+    }
+
+    fn poll(&self, link: &ServiceLink<SuspectMessage>) {
+        let host = Arc::clone(&self.host);
+        let (mark, wait) = (self.mark, self.source_health.max_wait(MAX_TABLE_WAIT));
+        link.spawn(async move {
+            let response = Arc::clone(&host).changes(mark, wait).await;
+            SuspectMessage::Polled(response.map(|response| SuspectUpdate {
+                mark: response.mark,
+                is_snapshot: response.is_snapshot,
+                changes: host.registry().decode(&response),
+            }))
+        });
+    }
+
+    fn apply_update(&mut self, update: SuspectUpdate, now: Moment) {
+        self.mark = Some(update.mark);
+        let rows = self.table.apply(&update.changes, update.is_snapshot);
+        self.apply_rows(&rows, false, now);
+        if update.is_snapshot {
+            // Rows that the store lost or never received are written again.
+            let suspects = self.host.suspects().suspects().into_iter();
+            let fingerprints = suspects.map(|(fingerprint, _)| fingerprint).collect();
+            self.reevaluate(&fingerprints, false, now);
+        }
+    }
+
+    fn run_round(&mut self, link: &ServiceLink<SuspectMessage>) {
+        let now = link.now();
+        self.write_due(link);
+        if now >= self.rate_sampled_at + CRASH_RATE_INTERVAL {
+            self.rate_sampled_at = now;
+            let counts = self.host.crash_count();
+            self.crash_rate.record(counts.crashes, counts.targets, now);
+            self.host.suspects().prune();
+            self.refresh_verdicts();
+        }
+    }
+
+    /// Updates the verdicts of requests whose crashes may have expired.
+    fn refresh_verdicts(&mut self) {
+        for fingerprint in self.verdicts.fingerprints() {
+            let verdict = self.host.suspects().verdict(&fingerprint);
+            self.verdicts
+                .record(self.host.as_ref(), &fingerprint, verdict);
+        }
+    }
+}
+
+impl Service for SuspectSync {
+    type Message = SuspectMessage;
+
+    fn name(&self) -> &'static str {
+        SUSPECT_SERVICE
+    }
+
+    fn start(&mut self, link: &ServiceLink<SuspectMessage>) {
+        self.poll(link);
+        link.later(ROUND_INTERVAL, SuspectMessage::Round);
+    }
+
+    fn handle(&mut self, message: SuspectMessage, link: &ServiceLink<SuspectMessage>) {
+        let now = link.now();
+        match message {
+            SuspectMessage::Crashed(runs) => self.record_crashes(runs, link),
+            SuspectMessage::Reported(fingerprints) => self.reevaluate(&fingerprints, true, now),
+            SuspectMessage::HolderResponded(crashes, known) => {
+                self.apply_holder_response(&crashes, known, now);
+            }
+            SuspectMessage::Completed(fingerprint) => self.clear(fingerprint, "completed", now),
+            SuspectMessage::Released(fingerprint) => self.clear(fingerprint, "released", now),
+            SuspectMessage::Poll => self.poll(link),
+            SuspectMessage::Polled(Ok(update)) => {
+                self.source_health.record(SUSPECT_SERVICE, None, now);
+                self.apply_update(update, now);
+                self.poll(link);
+            }
+            SuspectMessage::Polled(Err(error)) => {
+                self.source_health
+                    .record(SUSPECT_SERVICE, Some(&error), now);
+                if error == SourceError::HistoryGone {
+                    self.mark = None;
+                }
+                link.later(retry_delay(), SuspectMessage::Poll);
+            }
+            SuspectMessage::Written(batch, written) => {
+                self.apply_write_result(&batch, written, now);
+            }
+            SuspectMessage::Round => {
+                self.run_round(link);
+                link.later(ROUND_INTERVAL, SuspectMessage::Round);
+            }
+        }
+    }
+
+    fn dump(&self) -> Value {
+        json!({
+            "held": self.verdicts.dump(self.host.as_ref()),
+            "stored_rows": self.table.stored_rows(),
+            "unwritten_rows": self.table.unwritten_rows(),
+            "ends_per_target_hour": self.crash_rate.per_second() * 3_600.0,
+        })
+    }
+}
--- a/crates/fleet/src/suspicion.rs
+++ b/crates/fleet/src/suspicion.rs
@@ -1,73 +1,78 @@
-//! Keeps new work from targets that fall silent or refuse connections, and has them looked at.
+//! Excludes targets that fall silent or refuse connections from new work, and has their groups
+//! checked.
 
 use std::time::Duration;
 
 use briarswitch_core::id::Moment;
-use briarswitch_core::silence::{silence_limit, GroupWork};
+use briarswitch_core::silence::{silence_limit, GroupActivity};
 use briarswitch_kernel::Mailbox;
 
 use crate::job::RequestJob;
 use crate::peers::{PeerMessage, SilentTarget};
-use crate::table::RouteTarget;
+use crate::routing_table::RouteTarget;
 
-/// Least time without an answer after which a request that may be repeated is sent elsewhere.
-const LEAST_PATIENCE: Duration = Duration::from_millis(500);
+/// Minimum time without a response after which a request that may be repeated is sent to another
+/// target.
+const MIN_REROUTE_DELAY: Duration = Duration::from_millis(500);
 /// Time for which a silent target gets no new work.
-const SUSPECT_TIME: Duration = Duration::from_millis(900);
+const SUSPICION_TTL: Duration = Duration::from_millis(900);
 
-/// Returns the time without an answer after which a request is worth sending elsewhere, if it may be.
-pub fn patience(job: &RequestJob) -> Duration {
-    (job.rule.objective * 2).max(LEAST_PATIENCE)
+/// Returns the time without a response after which a request is better sent to another target, if
+/// it may be.
+pub fn reroute_delay(job: &RequestJob) -> Duration {
+    (job.rule.objective * 2).max(MIN_REROUTE_DELAY)
 }
 
-/// Returns the silence of a target after which it has lost a member or is cut off.
-pub fn silence_of(job: &RequestJob, target: &RouteTarget) -> Duration {
+/// Returns the silence of a target after which it counts as having lost a member or being
+/// partitioned.
+pub fn silence_limit_for(job: &RequestJob, target: &RouteTarget) -> Duration {
     let model = target.group.as_ref().and_then(|group| {
         let engine = job.engine()?;
         Some((engine, engine.models.get(&group.model)?))
     });
     let Some((engine, model)) = model else {
-        return patience(job);
+        return reroute_delay(job);
     };
     let gauge = &target.gauge;
-    let work = GroupWork {
-        writers: gauge.writers(),
-        own: gauge.own(),
-        unread: gauge.unread_requests(),
-        unread_tokens: gauge.unread(),
-        interval: gauge.interval(),
+    let work = GroupActivity {
+        active_requests: gauge.active_requests(),
+        local_requests: gauge.local_requests(),
+        prefill_requests: gauge.prefill_requests(),
+        prefill_tokens: gauge.prefill_tokens(),
+        max_interval: gauge.max_activity_gap(),
     };
     silence_limit(engine, model, &work)
 }
 
-/// Suspects targets, and tells those that give their groups orders.
-pub struct SuspicionTeller {
+/// Marks targets as suspect and reports them to the nodes that control their groups.
+pub struct SuspicionReporter {
     peers: Mailbox<PeerMessage>,
 }
 
-impl SuspicionTeller {
-    /// Opens a teller that tells `peers` of targets that fall silent.
-    pub fn open(peers: Mailbox<PeerMessage>) -> Self {
+impl SuspicionReporter {
+    /// Creates a reporter that sends silent targets to `peers`.
+    pub fn new(peers: Mailbox<PeerMessage>) -> Self {
         Self { peers }
     }
 
-    /// Keeps new work from a target that fell silent, and has it looked at.
+    /// Excludes a silent target from new work and has its group checked.
     pub fn suspect(&self, target: &RouteTarget, now: Moment) {
         if !target.gauge.is_suspect(now) {
             log::warn!(
                 target_id = target.id.as_str(),
                 group = target.group.as_ref().map_or("", |group| group.id.as_str()),
                 silence_ms = target.gauge.silence(now).as_millis() as u64,
-                writers = target.gauge.writers();
+                writers = target.gauge.active_requests();
                 "target_suspected"
             );
-            self.tell_suspicion(target);
+            self.report_suspicion(target);
         }
-        target.gauge.suspect(now + SUSPECT_TIME);
+        target.gauge.suspect(now + SUSPICION_TTL);
     }
 
-    /// Has the node told that gives the group its orders; a single target has none.
-    fn tell_suspicion(&self, target: &RouteTarget) {
+    /// Has the target reported to the node that controls its group; a target without a group has
+    /// none.
+    fn report_suspicion(&self, target: &RouteTarget) {
         if target.group.is_none() {
             return;
         }
--- /dev/null
+++ b/crates/fleet/src/target_selector.rs
@@ -0,0 +1,242 @@
+//! Selects targets for requests and reserves slots there; requests wait in a queue while no slot is free.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use briarswitch_core::engine::EngineSpec;
+use briarswitch_core::id::*;
+use briarswitch_core::outcome::FailurePoint;
+use briarswitch_core::placement::{pick_group, slot_share, GroupLoad, PlacementParams};
+use briarswitch_core::waiting::{WaitParams, WaitingRequest};
+use briarswitch_kernel::BootClock;
+use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
+
+use crate::gauge::SlotGuard;
+use crate::job::RequestJob;
+use crate::peers::PROPAGATION_TIME;
+use crate::routing_table::RouteTarget;
+use crate::shared::FleetShared;
+use crate::slot_queue::{wait_for_slot, QueueKey, ReservedTarget, SlotQueue, SlotRequest};
+
+/// Interval at which a waiting request checks for a free slot if it is not woken before.
+const SLOT_POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Weight of a target's failure rate relative to its load; a target that always fails counts as loaded to twice its
+/// slots.
+const FAILURE_WEIGHT: f64 = 2.0;
+/// Slots that count as used at targets of another zone, for the additional round-trip time.
+const REMOTE_ZONE_PENALTY_SLOTS: f64 = 0.5;
+
+/// Selects targets and reserves slots there.
+pub struct TargetSelector {
+    shared: Arc<FleetShared>,
+    queue: SlotQueue,
+}
+
+/// Removes a request from the queue when its caller disconnects or it has a slot.
+struct QueueGuard<'a> {
+    queue: &'a SlotQueue,
+    key: &'a QueueKey,
+    ticket: u64,
+}
+
+impl Drop for QueueGuard<'_> {
+    fn drop(&mut self) {
+        self.queue.cancel(self.key, self.ticket);
+    }
+}
+
+impl TargetSelector {
+    /// Creates a selector with an empty queue.
+    pub fn new(shared: Arc<FleetShared>) -> Self {
+        Self {
+            shared,
+            queue: SlotQueue::default(),
+        }
+    }
+
+    /// Reserves a slot at a target, waiting for one if none is free.
+    ///
+    /// # Errors
+    ///
+    /// Returns the failure to report to the caller if no slot became free in time.
+    pub async fn acquire(
+        &self,
+        job: &RequestJob,
+        tried: &[TargetId],
+    ) -> Result<ReservedTarget, FailurePoint> {
+        let terms = WaitParams {
+            arrived: job.arrived,
+            waited_before: job.waited_before,
+            ..WaitParams::default()
+        };
+        self.acquire_with(job, tried, terms).await
+    }
+
+    /// Reserves a slot for resuming a stream that broke.
+    ///
+    /// If the stream ended here, what was delivered of it would be lost. It therefore counts as arriving now, so that
+    /// it is not late compared with new requests, and goes before them if the caller has received part of it.
+    ///
+    /// # Errors
+    ///
+    /// Returns the failure to report to the caller if no slot became free in time.
+    pub async fn acquire_for_resume(
+        &self,
+        job: &RequestJob,
+        tried: &[TargetId],
+        is_begun: bool,
+    ) -> Result<ReservedTarget, FailurePoint> {
+        let terms = WaitParams {
+            arrived: BootClock::now(),
+            is_resumption: is_begun,
+            ..WaitParams::default()
+        };
+        self.acquire_with(job, tried, terms).await
+    }
+
+    /// Reserves a slot; `terms` is completed with the values of the request and its rule.
+    async fn acquire_with(
+        &self,
+        job: &RequestJob,
+        tried: &[TargetId],
+        terms: WaitParams,
+    ) -> Result<ReservedTarget, FailurePoint> {
+        let mut slot_request = job.slot_request(tried);
+        let request = WaitingRequest::new(WaitParams {
+            objective: job.rule.objective,
+            first_event_time: self.queue.usual_first_event_time(&slot_request.key),
+            deadline: job.deadline,
+            priority: job.priority,
+            ..terms
+        });
+        slot_request.is_late = request.is_late(BootClock::now());
+        // A new request must not overtake waiting ones that can still meet their objective.
+        if !self.queue.has_waiters(&slot_request.key) {
+            if let Some(reserved) = self.pick(&slot_request) {
+                return Ok(reserved);
+            }
+        }
+        let key = slot_request.key.clone();
+        let (ticket, reserved) = self.queue.push(slot_request, request);
+        self.serve_queue();
+        let _guard = QueueGuard {
+            queue: &self.queue,
+            key: &key,
+            ticket,
+        };
+        let poll = || self.serve_queue();
+        let reserved = wait_for_slot(reserved, request, SLOT_POLL_INTERVAL, poll).await;
+        reserved.ok_or(FailurePoint::NoTarget)
+    }
+
+    /// Reserves free slots for waiting requests.
+    pub fn serve_queue(&self) {
+        if !self.queue.is_empty() {
+            self.queue.serve(|slot_request| self.pick(slot_request));
+        }
+    }
+
+    /// Records the time from reserving a slot to the first event of a stream.
+    pub fn record_first_event(&self, job: &RequestJob, time: Duration) {
+        self.queue
+            .record_first_event(&job.slot_request(&[]).key, time);
+    }
+
+    /// Reserves a slot without waiting; `None` if every target is full, suspect or already tried.
+    pub fn pick(&self, slot_request: &SlotRequest) -> Option<ReservedTarget> {
+        let table = self.shared.routing_table.load();
+        let config = self.shared.config.load();
+        let now = BootClock::now();
+        let (service, model) = &slot_request.key;
+        let service_spec = config.as_ref().as_ref()?.services.get(service);
+        let engine = service_spec.and_then(|spec| spec.engine.as_ref());
+        let target = match engine {
+            Some(engine) => {
+                let model = engine.models.get(model.as_ref()?)?;
+                let groups = table.groups(service, &model.id);
+                let candidates: Vec<&Arc<RouteTarget>> = groups
+                    .iter()
+                    .filter(|group| {
+                        !slot_request.tried.contains(&group.id) && !group.gauge.is_suspect(now)
+                    })
+                    .collect();
+                let loads: Vec<GroupLoad> = candidates
+                    .iter()
+                    .map(|group| GroupLoad {
+                        is_request_late: slot_request.is_late,
+                        ..self.group_load(engine, group, now)
+                    })
+                    .collect();
+                let peer_work = self.shared.peer_work.read();
+                let arrivals = peer_work.arrivals.get(&model.id).copied();
+                let terms = PlacementParams {
+                    prompt_tokens: slot_request.prompt_tokens,
+                    unseen_requests: arrivals.unwrap_or_default() * PROPAGATION_TIME.as_secs_f64(),
+                    draw: rand::random(),
+                    turn: self.overflow_turn(&model.id, now),
+                };
+                let index = pick_group(engine, model, &loads, &terms)?;
+                candidates[index]
+            }
+            None => self.pick_single(table.single_targets(service), &slot_request.tried, now)?,
+        };
+        let slot = SlotGuard::acquire(&target.gauge, slot_request.prompt_tokens, now);
+        Some((Arc::clone(target), slot))
+    }
+
+    /// Returns a number from 0 to 1 that decides whether this node may use slots beyond its share of a model's groups.
+    ///
+    /// It differs between nodes, and changes after the time in which the other nodes learn of the load that this node
+    /// has added.
+    fn overflow_turn(&self, model: &str, now: Moment) -> f64 {
+        let window = now.as_millis() / PROPAGATION_TIME.as_millis();
+        let seed = xxh3_64(model.as_bytes()) ^ self.shared.incarnation ^ window as u64;
+        let hash = xxh3_64_with_seed(self.shared.settings.node.as_bytes(), seed);
+        hash as f64 / u64::MAX as f64
+    }
+
+    fn group_load(&self, engine: &EngineSpec, group: &RouteTarget, now: Moment) -> GroupLoad {
+        let own = &self.shared.settings.zone;
+        let delay = engine.delays.iter().find(|delay| {
+            (&delay.from == own && delay.to == group.zone)
+                || (&delay.to == own && delay.from == group.zone)
+        });
+        // The share does not depend on the zone, so that a zone without groups of its own can use those of others.
+        let share = || slot_share(engine.slots, self.shared.weight_for(&group.id, now));
+        GroupLoad {
+            slot_share: group.gauge.slot_share(now, share),
+            active_requests: group.gauge.estimated_load(now),
+            local_requests: group.gauge.local_requests(),
+            unreported_requests: group.gauge.unreported_requests(),
+            nodes: self.shared.live_view.read().live_nodes(),
+            prefill_tokens: group.gauge.prefill_tokens(),
+            delay: delay.map_or(Duration::ZERO, |delay| delay.delay),
+            is_queueing: group.gauge.is_queueing(now),
+            is_request_late: false,
+        }
+    }
+
+    /// Selects the single target with the least load; failures count as load.
+    fn pick_single<'a>(
+        &self,
+        targets: &'a [Arc<RouteTarget>],
+        tried: &[TargetId],
+        now: Moment,
+    ) -> Option<&'a Arc<RouteTarget>> {
+        let cost = |target: &RouteTarget| {
+            let slots = f64::from(target.slots.max(1));
+            let load = f64::from(target.gauge.active_requests()) / slots;
+            let is_remote = target.zone != self.shared.settings.zone;
+            let zone_penalty = if is_remote {
+                REMOTE_ZONE_PENALTY_SLOTS / slots
+            } else {
+                0.0
+            };
+            load + zone_penalty + target.gauge.failure_rate() * FAILURE_WEIGHT
+        };
+        let candidates = targets
+            .iter()
+            .filter(|target| !tried.contains(&target.id) && !target.gauge.is_suspect(now));
+        candidates.min_by(|left, right| cost(left).total_cmp(&cost(right)))
+    }
+}
--- a/crates/fleet/src/trace.rs
+++ b/crates/fleet/src/trace.rs
@@ -1,11 +1,11 @@
-//! What is known of one request, told in one line when it is over.
+//! Record of one request, which is logged in one line when the request ends.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::Duration;
 
+use briarswitch_core::fingerprint::RequestFingerprint;
 use briarswitch_core::id::*;
-use briarswitch_core::print::RequestPrint;
 use briarswitch_kernel::BootClock;
 
 use crate::metrics::RequestLabels;
@@ -14,17 +14,17 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RequestEnd {
-    /// The caller got a target's whole answer.
+    /// The caller received a target's complete response.
     Answered,
-    /// The caller got a failure that a target made.
+    /// The caller received a target's error response.
     Failed,
-    /// No target ran it, and the caller was told so.
+    /// No target ran the request, and the caller was told so.
     NotRun,
-    /// It may have run; the caller got no whole answer.
+    /// The request may have run; the caller received no complete response.
     Unknown,
-    /// It was wrong or not allowed.
+    /// The request was invalid or not allowed.
     Rejected,
-    /// The caller went away first.
+    /// The caller disconnected before the response was complete.
     CallerLeft,
 }
 
@@ -42,119 +42,119 @@
     }
 }
 
-/// One request from its arrival to its end.
+/// Record of one request from its arrival to its end; dropping it logs and counts the request.
 pub struct RequestTrace {
     shared: Arc<FleetShared>,
-    /// Id that the caller gave the attempt.
-    pub request: RequestId,
-    /// Fingerprint, once the request was read.
-    pub print: Option<RequestPrint>,
-    /// When its head was read.
+    /// Id that the caller gave to the attempt.
+    pub request_id: RequestId,
+    /// Fingerprint; `None` until the request has been read.
+    pub fingerprint: Option<RequestFingerprint>,
+    /// Time at which the head of the request was read.
     pub arrived: Moment,
-    /// Organisation.
+    /// Organisation of the caller; empty if no key is required.
     pub organisation: OrganisationId,
-    /// Rule that matched.
+    /// Name of the rule that matched.
     pub rule: String,
-    /// Configuration that the rule is from.
-    pub version: ConfigVersion,
-    /// Service.
+    /// Version of the configuration that contains the rule.
+    pub config_version: ConfigVersion,
+    /// Service that the rule selected.
     pub service: ServiceId,
     /// Target of the last attempt.
     pub target: TargetId,
     /// Group of the last attempt.
     pub group: GroupId,
-    /// Tokens of its prompt; zero where it has none.
+    /// Number of tokens of the prompt; zero if there is none.
     pub prompt_tokens: u64,
-    /// Most tokens that its answer may have; zero where the caller does not say.
-    pub most_tokens: u64,
-    /// Time that the caller said it would wait.
-    pub patience: Duration,
-    /// Time for which the caller is thought to have waited before.
+    /// Maximum number of tokens of the response; zero if the caller does not state it.
+    pub max_tokens: u64,
+    /// Time for which the caller waits for the response.
+    pub timeout: Duration,
+    /// Estimated time for which the caller had waited before this attempt.
     pub waited_before: Duration,
-    /// Attempts sent.
-    pub sent: u32,
-    /// Runs of this attempt whose connection broke.
-    pub broken: usize,
-    /// Why the last attempt or the request failed.
+    /// Number of attempts sent to targets.
+    pub attempts_sent: u32,
+    /// Number of runs whose connection broke.
+    pub broken_runs: usize,
+    /// Reason why the last attempt or the request failed.
     pub reason: &'static str,
-    /// Time until the first place at a target was found.
-    pub waited: Option<Duration>,
-    /// Time to the first event.
-    pub first: Option<Duration>,
-    /// Longest pause between events.
-    pub pause: Duration,
-    /// Events delivered.
+    /// Time from arrival until the first slot at a target was reserved.
+    pub slot_wait: Option<Duration>,
+    /// Time from arrival until the first event was sent to the caller.
+    pub first_event: Option<Duration>,
+    /// Longest pause between two events.
+    pub longest_pause: Duration,
+    /// Number of events sent to the caller.
     pub events: u64,
     end: Option<RequestEnd>,
 }
 
 impl RequestTrace {
-    /// Begins a request.
-    pub fn open(shared: &Arc<FleetShared>, request: &str, arrived: Moment) -> Self {
+    /// Starts the record of a request, which counts as in flight until the record is dropped.
+    pub fn begin(shared: &Arc<FleetShared>, request_id: &str, arrived: Moment) -> Self {
         shared.in_flight.fetch_add(1, Ordering::SeqCst);
         Self {
             shared: Arc::clone(shared),
-            request: request.to_owned(),
-            print: None,
+            request_id: request_id.to_owned(),
+            fingerprint: None,
             arrived,
             organisation: OrganisationId::new(),
             rule: String::new(),
-            version: 0,
+            config_version: 0,
             service: ServiceId::new(),
             target: TargetId::new(),
             group: GroupId::new(),
             prompt_tokens: 0,
-            most_tokens: 0,
-            patience: Duration::ZERO,
+            max_tokens: 0,
+            timeout: Duration::ZERO,
             waited_before: Duration::ZERO,
-            sent: 0,
-            broken: 0,
+            attempts_sent: 0,
+            broken_runs: 0,
             reason: "",
-            waited: None,
-            first: None,
-            pause: Duration::ZERO,
+            slot_wait: None,
+            first_event: None,
+            longest_pause: Duration::ZERO,
             events: 0,
             end: None,
         }
     }
 
-    /// Returns the fingerprint for the log; empty until the request was read.
-    pub fn print_text(&self) -> String {
-        self.print
-            .map(|print| print.to_string())
+    /// Returns the fingerprint as text; empty until the request has been read.
+    pub fn fingerprint_text(&self) -> String {
+        self.fingerprint
+            .map(|fingerprint| fingerprint.to_string())
             .unwrap_or_default()
     }
 
-    /// Notes how the request ended.
+    /// Sets how the request ended; later calls have no effect.
     pub fn end(&mut self, end: RequestEnd) {
         self.end.get_or_insert(end);
     }
 
-    /// Notes that an attempt failed, and why.
-    pub fn note_failed(&mut self, reason: &'static str) {
+    /// Records and logs a failed attempt.
+    pub fn record_failed_attempt(&mut self, reason: &'static str) {
         self.reason = reason;
         log::info!(
-            request = self.request.as_str(),
+            request = self.request_id.as_str(),
             target_id = self.target.as_str(),
             group = self.group.as_str(),
             reason = reason,
-            attempt = self.sent + 1,
+            attempt = self.attempts_sent + 1,
             ms = BootClock::now().saturating_sub(self.arrived).as_millis() as u64;
             "attempt_failed"
         );
     }
 
-    /// Notes that a place at a target was found.
-    pub fn note_placed(&mut self) {
+    /// Records that a slot at a target was reserved.
+    pub fn record_slot(&mut self) {
         let waited = BootClock::now().saturating_sub(self.arrived);
-        self.waited.get_or_insert(waited);
+        self.slot_wait.get_or_insert(waited);
     }
 
-    /// Notes that the first event went to the caller.
-    pub fn note_first(&mut self) {
-        if self.first.is_none() {
+    /// Records that the first event was sent to the caller.
+    pub fn record_first_event(&mut self) {
+        if self.first_event.is_none() {
             let latency = BootClock::now().saturating_sub(self.arrived);
-            self.first = Some(latency);
+            self.first_event = Some(latency);
             self.shared
                 .metrics
                 .record_first_event(&self.service, latency);
@@ -174,26 +174,26 @@
         };
         self.shared.metrics.count_request(labels, latency);
         log::info!(
-            request = self.request.as_str(),
-            print = self.print_text().as_str(),
+            request = self.request_id.as_str(),
+            print = self.fingerprint_text().as_str(),
             organisation = self.organisation.as_str(),
             rule = self.rule.as_str(),
-            config = self.version,
-            config_age_ms = self.shared.book_age().as_millis() as u64,
+            config = self.config_version,
+            config_age_ms = self.shared.config_age().as_millis() as u64,
             service = self.service.as_str(),
             target_id = self.target.as_str(),
             group = self.group.as_str(),
             outcome = end.name(),
             reason = self.reason,
             prompt_tokens = self.prompt_tokens,
-            most_tokens = self.most_tokens,
-            sent = self.sent,
+            most_tokens = self.max_tokens,
+            sent = self.attempts_sent,
             events = self.events,
-            patience_ms = self.patience.as_millis() as u64,
+            patience_ms = self.timeout.as_millis() as u64,
             before_ms = self.waited_before.as_millis() as u64,
-            wait_ms = self.waited.map_or(0, |waited| waited.as_millis() as u64),
-            first_ms = self.first.map_or(0, |first| first.as_millis() as u64),
-            pause_ms = self.pause.as_millis() as u64,
+            wait_ms = self.slot_wait.map_or(0, |wait| wait.as_millis() as u64),
+            first_ms = self.first_event.map_or(0, |first| first.as_millis() as u64),
+            pause_ms = self.longest_pause.as_millis() as u64,
             ms = latency.as_millis() as u64;
             "request_ended"
         );
--- a/crates/fleet/tests/crashes.rs
+++ b/crates/fleet/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that end the targets that run them, through whole nodes.
+//! End-to-end tests of requests that crash the targets that run them.
 
 mod support;
 
@@ -10,21 +10,21 @@
 use serde_json::Value;
 
 use support::platform::SUSPECT_TABLE;
-use support::target::{TargetStub, BREAKING, DEADLY, LASTING};
-use support::{Ask, Fleet, KEYS};
+use support::target::{TargetStub, CRASHING, DISCONNECTING, HANGING};
+use support::{Fleet, TestRequest, KEYS};
 
-/// Time after the third end within which every node has to know.
-const KNOWN_TIME: Duration = Duration::from_secs(3);
-/// Runs that are allowed after that, all nodes together.
-const LATE_RUNS: usize = 3;
-/// Time between two attempts of a caller that comes again at once.
-const PACE: Duration = Duration::from_millis(150);
-/// Ends of targets after which a request is not to run any more.
-const ENOUGH: usize = 3;
+/// Time after the third crash within which every node has to know of it.
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(3);
+/// Maximum number of runs after that time, at all nodes together.
+const MAX_LATE_RUNS: usize = 3;
+/// Interval between two attempts of a caller that retries immediately.
+const RETRY_INTERVAL: Duration = Duration::from_millis(150);
+/// Crashes after which a request must not run any more.
+const QUARANTINE_CRASHES: usize = 3;
 
-/// Returns when a body began to run, at all targets, in order.
+/// Returns the start times of all runs of a body at all targets, in order.
 fn runs(fleet: &Fleet, body: &str) -> Vec<Instant> {
-    let seen = fleet.targets.iter().flat_map(|target| target.seen());
+    let seen = fleet.targets.iter().flat_map(|target| target.runs());
     let mut runs: Vec<Instant> = seen
         .filter(|run| run.body == body)
         .map(|run| run.at)
@@ -33,350 +33,392 @@
     runs
 }
 
-/// Returns how many runs began later than all nodes have to know.
+/// Returns how many runs began after every node had to know of the third crash.
 fn late_runs(fleet: &Fleet, body: &str) -> usize {
     let runs = runs(fleet, body);
-    let Some(third) = runs.get(ENOUGH - 1) else {
+    let Some(third) = runs.get(QUARANTINE_CRASHES - 1) else {
         return 0;
     };
-    runs.iter().filter(|at| **at > *third + KNOWN_TIME).count()
+    runs.iter()
+        .filter(|at| **at > *third + PROPAGATION_LIMIT)
+        .count()
 }
 
-/// Repeats a request at one node after the other.
+/// Repeats a request, with the next node each time.
 async fn repeat(fleet: &Fleet, body: &str, time: Duration) {
     let end = Instant::now() + time;
     let mut node = 0;
     while Instant::now() < end {
-        fleet.ask(node % fleet.nodes.len(), Ask::chat(body)).await;
+        fleet
+            .request(node % fleet.nodes.len(), TestRequest::chat(body))
+            .await;
         node += 1;
-        tokio::time::sleep(PACE).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
 }
 
-/// Symptom: callers of a service get nothing in time for seconds on end; 23 targets end one after the other, each
-/// back after some seconds.
-/// Events: a caller's request ends the target that runs it. Its stream goes on at a second target, which ends too. The
-/// caller comes again, with the same path and body under another id, at any node, and so on.
-/// Cause: nothing remembered what a request had done to a target, neither between two runs of one attempt nor between
-/// attempts, so each repeat began from nothing. 35 runs began later than three seconds after the third end.
+/// Guards against a request that crashes one target after the other; once, 23 targets crashed in
+/// turn, each was away for some seconds, and callers of the service got no response in time.
+///
+/// The request crashes the target that runs it, its stream is resumed at a second target and
+/// crashes that as well, and the caller retries at any node with the same path and body under
+/// another id. Without a record of crashes, kept between the runs of an attempt and between
+/// attempts, 35 runs began more than three seconds after the third crash.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_ends_targets_is_run_no_more_at_any_node() {
+async fn a_request_that_crashes_targets_is_no_longer_run_at_any_node() {
     let fleet = Fleet::open(9, &["z1", "z1", "z2"]).await;
-    repeat(&fleet, DEADLY, KNOWN_TIME * 3).await;
-    expect_that!(runs(&fleet, DEADLY).len(), ge(ENOUGH));
-    expect_that!(late_runs(&fleet, DEADLY), le(LATE_RUNS));
+    repeat(&fleet, CRASHING, PROPAGATION_LIMIT * 3).await;
+    expect_that!(runs(&fleet, CRASHING).len(), ge(QUARANTINE_CRASHES));
+    expect_that!(late_runs(&fleet, CRASHING), le(MAX_LATE_RUNS));
 }
 
-/// Symptom: one attempt of a caller ends as many targets as its rule allows attempts.
-/// Events: a stream breaks with its target and goes on at another, though two targets have ended under it before.
-/// Cause guarded against: deciding on a repeat by what this attempt knows alone.
+/// Guards against an attempt that crashes as many targets as its rule allows runs.
+///
+/// A stream breaks with its target and is resumed at another one, though two targets have crashed
+/// under the request before. The decision must not rest on this attempt alone.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn an_attempt_does_not_go_on_once_two_targets_have_ended_before() {
+async fn an_attempt_is_not_retried_once_two_targets_have_crashed_before() {
     let fleet = Fleet::open(6, &["z1"]).await;
-    fleet.ask(0, Ask::chat(DEADLY)).await;
+    fleet.request(0, TestRequest::chat(CRASHING)).await;
     expect_that!(
-        runs(&fleet, DEADLY).len(),
+        runs(&fleet, CRASHING).len(),
         eq(2),
         "one attempt, two targets"
     );
     fleet
-        .until("both ends are known", || async {
-            ends(&fleet, 0).await == [2]
+        .wait_until("both crashes are known", || async {
+            crash_counts(&fleet, 0).await == [2]
         })
         .await;
-    fleet.ask(0, Ask::chat(DEADLY)).await;
-    expect_that!(runs(&fleet, DEADLY).len(), eq(ENOUGH));
+    fleet.request(0, TestRequest::chat(CRASHING)).await;
+    expect_that!(runs(&fleet, CRASHING).len(), eq(QUARANTINE_CRASHES));
 }
 
-/// Returns how many ends each suspected request has, as a node shows them.
-async fn ends(fleet: &Fleet, node: usize) -> Vec<u64> {
-    let held = held(fleet, node).await;
-    let ends = held.iter().filter_map(|one| one["ends"].as_u64());
-    ends.collect()
+/// Returns the number of crashes of each suspected request, as shown by a node.
+async fn crash_counts(fleet: &Fleet, node: usize) -> Vec<u64> {
+    let suspects = suspects(fleet, node).await;
+    let counts = suspects
+        .iter()
+        .filter_map(|suspect| suspect["ends"].as_u64());
+    counts.collect()
 }
 
-/// Waits until a node refuses a request, and returns what its caller is told.
-async fn until_refused(fleet: &Fleet, node: usize, ask: Ask<'_>) -> support::Answer {
+/// Waits until a node refuses a request, and returns the refusal.
+async fn wait_until_refused(
+    fleet: &Fleet,
+    node: usize,
+    ask: TestRequest<'_>,
+) -> support::TestResponse {
     fleet
-        .until("the request is refused", || async {
+        .wait_until("the request is refused", || async {
             fleet
-                .ask(node, ask)
+                .request(node, ask)
                 .await
                 .retry_after()
                 .is_some_and(|after| after > 60.0)
         })
         .await;
-    fleet.ask(node, ask).await
+    fleet.request(node, ask).await
 }
 
-/// Symptom: a caller is kept waiting for a place, or is told nothing of when to come back, or another caller is
-/// refused with it.
-/// Events: a request was quarantined; it comes again, and so do others of its caller and of another one.
-/// Cause guarded against: refusing late, or by too little of what makes the request.
+/// Guards against a quarantined request that waits in the queue instead of being refused at once,
+/// against a refusal that does not say when to retry, and against a fingerprint that matches too
+/// much: other requests of the same caller, and the same request of another caller, must still run.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_quarantined_request_is_refused_as_not_run_and_no_other_is() {
     let fleet = Fleet::open(6, &["z1", "z1"]).await;
-    repeat(&fleet, DEADLY, Duration::from_secs(2)).await;
-    let answer = until_refused(&fleet, 0, Ask::chat(DEADLY)).await;
+    repeat(&fleet, CRASHING, Duration::from_secs(2)).await;
+    let answer = wait_until_refused(&fleet, 0, TestRequest::chat(CRASHING)).await;
     expect_that!(answer.status, eq(503));
     expect_that!(answer.body, eq("quarantined"));
     expect_that!(answer.retry_after(), some(all!(gt(500.0), le(600.0))));
 
-    let before = runs(&fleet, DEADLY).len();
-    fleet.ask(0, Ask::chat(DEADLY)).await;
-    expect_that!(runs(&fleet, DEADLY).len(), eq(before));
+    let before = runs(&fleet, CRASHING).len();
+    fleet.request(0, TestRequest::chat(CRASHING)).await;
+    expect_that!(runs(&fleet, CRASHING).len(), eq(before));
     let others = [
-        Ask::chat("harmless"),
-        Ask {
+        TestRequest::chat("harmless"),
+        TestRequest {
             path: "/chat/other",
-            ..Ask::chat("harmless")
+            ..TestRequest::chat("harmless")
         },
-        Ask {
+        TestRequest {
             path: "/look/x",
-            ..Ask::chat("harmless")
+            ..TestRequest::chat("harmless")
         },
     ];
     for other in others {
         fleet
-            .until("another request is served", || async {
-                fleet.ask(0, other).await.is_served()
+            .wait_until("another request is served", || async {
+                fleet.request(0, other).await.is_served()
             })
             .await;
     }
-    let of_another = Ask {
+    let of_another = TestRequest {
         key: KEYS[1].0,
-        ..Ask::chat(DEADLY)
+        ..TestRequest::chat(CRASHING)
     };
-    fleet.ask(0, of_another).await;
-    expect_that!(runs(&fleet, DEADLY).len(), gt(before), "another caller's");
+    fleet.request(0, of_another).await;
+    expect_that!(
+        runs(&fleet, CRASHING).len(),
+        gt(before),
+        "the request of another caller"
+    );
 }
 
-/// Symptom: a node that reaches no other node goes on sending a request to targets.
-/// Events: three targets end at other nodes; the node reaches the platform only.
-/// Cause guarded against: telling other nodes and nobody else.
+/// Guards against crash reports that travel only between nodes: a node that reaches only the
+/// platform has to learn of three crashes at other nodes as well.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_reaches_no_other_node_knows() {
+async fn a_node_that_reaches_no_other_node_learns_of_crashes() {
     let mut fleet = Fleet::open(9, &["z1", "z1", "z2"]).await;
-    fleet.nodes[2].door.hide();
+    fleet.nodes[2].link.isolate_from_peers();
     fleet.start(2).await;
-    fleet.until_known().await;
+    fleet.wait_until_serving().await;
     for node in [0, 1, 0, 1] {
-        fleet.ask(node, Ask::chat(DEADLY)).await;
+        fleet.request(node, TestRequest::chat(CRASHING)).await;
     }
-    until_refused(&fleet, 0, Ask::chat(DEADLY)).await;
-    tokio::time::sleep(KNOWN_TIME).await;
-    let before = runs(&fleet, DEADLY).len();
-    fleet.ask(2, Ask::chat(DEADLY)).await;
-    expect_that!(runs(&fleet, DEADLY).len(), eq(before));
+    wait_until_refused(&fleet, 0, TestRequest::chat(CRASHING)).await;
+    tokio::time::sleep(PROPAGATION_LIMIT).await;
+    let before = runs(&fleet, CRASHING).len();
+    fleet.request(2, TestRequest::chat(CRASHING)).await;
+    expect_that!(runs(&fleet, CRASHING).len(), eq(before));
 }
 
-/// Symptom: a request ends a few targets at each node, many in all.
-/// Events: no node reaches another; each sees less than enough by itself.
-/// Cause guarded against: writing down only what one node alone is sure of.
+/// Guards against many crashes in total when no node reaches another and each sees too few crashes
+/// to be certain. Every node therefore has to write down what it sees.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn nodes_that_do_not_reach_each_other_add_up_what_they_see() {
+async fn isolated_nodes_add_up_the_crashes_they_see() {
     let mut fleet = Fleet::open(9, &["z1", "z1", "z2", "z2"]).await;
     for index in 0..4 {
         fleet.kill(index);
-        fleet.nodes[index].door.hide();
+        fleet.nodes[index].link.isolate_from_peers();
     }
     for index in 0..4 {
         fleet.start(index).await;
     }
-    fleet.until_known().await;
-    repeat(&fleet, DEADLY, KNOWN_TIME * 2).await;
-    expect_that!(late_runs(&fleet, DEADLY), le(LATE_RUNS));
-    expect_that!(runs(&fleet, DEADLY).len(), le(2 * ENOUGH + 2));
+    fleet.wait_until_serving().await;
+    repeat(&fleet, CRASHING, PROPAGATION_LIMIT * 2).await;
+    expect_that!(late_runs(&fleet, CRASHING), le(MAX_LATE_RUNS));
+    expect_that!(runs(&fleet, CRASHING).len(), le(2 * QUARANTINE_CRASHES + 2));
 }
 
-/// Symptom: after all nodes were killed at once a request ends targets again.
-/// Events: it was quarantined; every node starts again without anything that it knew.
-/// Cause guarded against: keeping a verdict in the memory of nodes only.
+/// Guards against verdicts that are kept in memory only: after all nodes were killed and started
+/// again, a quarantined request would crash targets again.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn nodes_that_all_start_again_still_know() {
+async fn nodes_that_all_restart_still_know_of_quarantines() {
     let mut fleet = Fleet::open(9, &["z1", "z1", "z2"]).await;
-    repeat(&fleet, DEADLY, Duration::from_secs(2)).await;
-    until_refused(&fleet, 0, Ask::chat(DEADLY)).await;
+    repeat(&fleet, CRASHING, Duration::from_secs(2)).await;
+    wait_until_refused(&fleet, 0, TestRequest::chat(CRASHING)).await;
     fleet
-        .until("the ends are written down", || async {
-            fleet.platform.keys(SUSPECT_TABLE).len() >= ENOUGH
+        .wait_until("the crashes are written to the store", || async {
+            fleet.platform.keys(SUSPECT_TABLE).len() >= QUARANTINE_CRASHES
         })
         .await;
     (0..3).for_each(|index| fleet.kill(index));
     for index in 0..3 {
         fleet.start(index).await;
     }
-    let before = runs(&fleet, DEADLY).len();
-    fleet.until_known().await;
+    let before = runs(&fleet, CRASHING).len();
+    fleet.wait_until_serving().await;
     for index in 0..3 {
-        until_refused(&fleet, index, Ask::chat(DEADLY)).await;
+        wait_until_refused(&fleet, index, TestRequest::chat(CRASHING)).await;
     }
-    // Whoever is asked before it has read the table runs it once at most.
-    expect_that!(runs(&fleet, DEADLY).len() - before, le(LATE_RUNS));
+    // A node that has not read the table yet runs the request at most once.
+    expect_that!(runs(&fleet, CRASHING).len() - before, le(MAX_LATE_RUNS));
 }
 
-/// Symptom: while the store is away a request ends targets without an end.
-/// Events: no node reaches the store; the request comes again at all of them; the store returns.
-/// Cause guarded against: learning of ends through the store alone, and forgetting what could not be written.
+/// Guards against crash reports that travel through the store only: while no node reaches the
+/// store, a request that is repeated at all nodes would crash targets without limit. Reports that
+/// could not be written have to be written once the store is back.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn nodes_tell_each_other_while_the_store_is_away_and_write_when_it_is_back() {
+async fn nodes_report_crashes_to_each_other_while_the_store_is_down_and_write_them_later() {
     let fleet = Fleet::open(12, &["z1", "z1", "z2"]).await;
-    fleet.nodes.iter().for_each(|node| node.door.close(true));
-    repeat(&fleet, DEADLY, KNOWN_TIME * 2).await;
-    // Two nodes hear of all ends; any other one learns from them at its own next one.
-    expect_that!(runs(&fleet, DEADLY).len(), le(ENOUGH + fleet.nodes.len()));
+    fleet
+        .nodes
+        .iter()
+        .for_each(|node| node.link.set_blocked(true));
+    repeat(&fleet, CRASHING, PROPAGATION_LIMIT * 2).await;
+    // Two nodes receive all crash reports; any other node learns of them when it reports its own
+    // next crash.
+    expect_that!(
+        runs(&fleet, CRASHING).len(),
+        le(QUARANTINE_CRASHES + fleet.nodes.len())
+    );
     expect_that!(fleet.platform.keys(SUSPECT_TABLE), is_empty());
-    fleet.nodes.iter().for_each(|node| node.door.close(false));
     fleet
-        .until("the ends are written down", || async {
-            fleet.platform.keys(SUSPECT_TABLE).len() >= ENOUGH
+        .nodes
+        .iter()
+        .for_each(|node| node.link.set_blocked(false));
+    fleet
+        .wait_until("the crashes are written to the store", || async {
+            fleet.platform.keys(SUSPECT_TABLE).len() >= QUARANTINE_CRASHES
         })
         .await;
 }
 
-/// Symptom: callers are refused although no target has ended under their requests.
-/// Events: the connection of each run breaks while its target lives on, as on a bad path.
-/// Cause guarded against: taking a broken connection for the end of a target.
+/// Guards against broken connections, as on a bad network path, that are taken for crashes: callers
+/// would be refused although their requests crashed no target.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn connections_that_break_are_not_held_against_a_request() {
+async fn broken_connections_do_not_count_as_crashes() {
     let fleet = Fleet::open(6, &["z1"]).await;
     for _ in 0..8 {
-        let answer = fleet.ask(0, Ask::chat(BREAKING)).await;
-        expect_that!(answer.status, eq(200), "it is sent, and breaks: {answer:?}");
+        let answer = fleet.request(0, TestRequest::chat(DISCONNECTING)).await;
+        expect_that!(
+            answer.status,
+            eq(200),
+            "it is sent, and its connection breaks: {answer:?}"
+        );
     }
-    expect_that!(runs(&fleet, BREAKING).len(), ge(8));
+    expect_that!(runs(&fleet, DISCONNECTING).len(), ge(8));
     expect_that!(fleet.platform.keys(SUSPECT_TABLE), is_empty());
 }
 
-/// Returns what a node holds of the requests that it suspects.
-async fn held(fleet: &Fleet, node: usize) -> Vec<Value> {
-    let state = fleet.operate(node, Method::GET, "/state").await.body;
+/// Returns the suspected requests from a node's state dump.
+async fn suspects(fleet: &Fleet, node: usize) -> Vec<Value> {
+    let state = fleet
+        .operator_request(node, Method::GET, "/state")
+        .await
+        .body;
     let state: Value = serde_json::from_str(&state).unwrap_or_default();
-    let held = state["suspects"]["held"].as_array();
-    held.cloned().unwrap_or_default()
+    let suspects = state["suspects"]["held"].as_array();
+    suspects.cloned().unwrap_or_default()
 }
 
-/// Symptom: a request that does no harm is refused for minutes, and nobody can help its caller.
-/// Events: three targets ended by themselves under it; the operator releases it at one node.
-/// Cause guarded against: a verdict that only time turns over, or a release that one node knows of.
+/// Guards against a harmless request that stays refused for minutes because three targets happened
+/// to crash while running it: an operator has to be able to release it, and the release has to
+/// reach all nodes.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn an_operator_releases_a_request_at_all_nodes() {
     let fleet = Fleet::open(6, &["z1", "z2"]).await;
-    let ask = Ask::chat(LASTING);
-    while !held(&fleet, 0)
+    let ask = TestRequest::chat(HANGING);
+    while !suspects(&fleet, 0)
         .await
         .iter()
-        .any(|one| one["quarantine_ms"].is_u64())
+        .any(|suspect| suspect["quarantine_ms"].is_u64())
     {
-        let before = runs(&fleet, LASTING).len();
-        let end = async {
+        let before = runs(&fleet, HANGING).len();
+        let crash = async {
             fleet
-                .until("it runs", || async { runs(&fleet, LASTING).len() > before })
+                .wait_until("it runs", || async { runs(&fleet, HANGING).len() > before })
                 .await;
-            let runs = |target: &&TargetStub| target.is_running(LASTING);
+            let runs = |target: &&TargetStub| target.is_running(HANGING);
             fleet
                 .targets
                 .iter()
                 .filter(runs)
-                .for_each(|target| target.end());
+                .for_each(|target| target.crash());
         };
-        // Once it is quarantined it does not run again; the next look at what is held shows that.
-        let asked = fleet.ask(0, ask);
-        tokio::pin!(asked);
+        // Once it is quarantined it does not run again, which the loop condition detects.
+        let response = fleet.request(0, ask);
+        tokio::pin!(response);
         tokio::select! {
-            _ = &mut asked => {}
-            () = end => {
-                asked.await;
+            _ = &mut response => {}
+            () = crash => {
+                response.await;
             }
         }
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
-    until_refused(&fleet, 1, ask).await;
-    let print = held(&fleet, 0).await.remove(0)["print"].clone();
-    let print = print.as_str().unwrap_or_default();
+    wait_until_refused(&fleet, 1, ask).await;
+    let fingerprint = suspects(&fleet, 0).await.remove(0)["print"].clone();
+    let fingerprint = fingerprint.as_str().unwrap_or_default();
     let unknown = format!("/release/{}", "0".repeat(32));
     expect_that!(
-        fleet.operate(1, Method::POST, &unknown).await.status,
+        fleet
+            .operator_request(1, Method::POST, &unknown)
+            .await
+            .status,
         eq(404)
     );
     expect_that!(
-        fleet.operate(1, Method::POST, "/release/x").await.status,
+        fleet
+            .operator_request(1, Method::POST, "/release/x")
+            .await
+            .status,
         eq(400)
     );
-    let path = format!("/release/{print}");
-    expect_that!(fleet.operate(1, Method::GET, &path).await.status, eq(405));
-    expect_that!(fleet.operate(1, Method::POST, &path).await.status, eq(200));
+    let path = format!("/release/{fingerprint}");
+    expect_that!(
+        fleet.operator_request(1, Method::GET, &path).await.status,
+        eq(405)
+    );
+    expect_that!(
+        fleet.operator_request(1, Method::POST, &path).await.status,
+        eq(200)
+    );
     for node in 0..2 {
         fleet
-            .until("the node holds nothing", || async {
-                held(&fleet, node).await.is_empty()
+            .wait_until("the node suspects no request", || async {
+                suspects(&fleet, node).await.is_empty()
             })
             .await;
     }
 }
 
-/// Symptom: of callers that come while targets have ended half are told to come again, each after four refused
-/// connections; 2,198 were refused within 16 s.
-/// Events: six of eight targets end. The directory drops them seconds later; until then they look like the ones with
-/// the least work.
-/// Cause: a refused connection was forgotten with the request that met it, and counted towards giving that up. 30 of 30
-/// callers were told to come again.
+/// Guards against callers who are told to retry although healthy targets are left: half of them
+/// were, each after four refused connections, 2,198 within 16 s.
+///
+/// Six of eight targets crash. The directory drops them only seconds later; until then they look
+/// like the least loaded targets. When a refused connection was forgotten together with its
+/// request, and counted towards the request's maximum number of attempts, 30 of 30 callers were
+/// told to retry.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_are_not_sent_on_to_targets_that_have_ended() {
+async fn requests_are_not_sent_to_crashed_targets() {
     let fleet = Fleet::open_groups(8, &["z1"]).await;
     for target in &fleet.targets[..6] {
-        target.end_for_good().await;
+        target.crash_permanently().await;
     }
     let mut unserved = 0;
     for index in 0..30 {
         let body = format!("harmless {index}");
-        let answer = fleet.ask(0, Ask::model(&body)).await;
+        let answer = fleet.request(0, TestRequest::model(&body)).await;
         unserved += usize::from(!answer.is_served());
     }
-    // Two may each find four targets gone before the node knows of all six.
+    // Two requests may each meet four crashed targets before the node knows of all six.
     expect_that!(unserved, le(2));
 }
 
-/// Symptom: callers' streams break off although another target has room for them; 123 did within 16 s.
-/// Events: the target of a stream ends, and others with it. The stream is to go on at one of those, which refuses
-/// the connection.
-/// Cause: a stream had one try to go on, also where that reached nobody. 3 of 3 broke off.
+/// Guards against streams that break off although another target has capacity; 123 did within 16 s.
+///
+/// The target of a stream crashes, and others with it; one of those is chosen to resume the stream
+/// and refuses the connection. When a stream could be resumed only once, even if that attempt
+/// reached no target, 3 of 3 streams broke off.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_goes_on_past_targets_that_have_ended() {
+async fn a_stream_is_resumed_past_crashed_targets() {
     for round in 0..3 {
         let fleet = Fleet::open_groups(5, &["z1"]).await;
-        let body = format!("{LASTING} {round}");
-        let end = async {
+        let body = format!("{HANGING} {round}");
+        let crash = async {
             fleet
-                .until("it runs", || async { !runs(&fleet, &body).is_empty() })
+                .wait_until("it runs", || async { !runs(&fleet, &body).is_empty() })
                 .await;
-            // Its first event is on its way.
-            tokio::time::sleep(PACE).await;
+            // Leaves time for its first event.
+            tokio::time::sleep(RETRY_INTERVAL).await;
             let is_running = |target: &&TargetStub| target.is_running(&body);
             let running = fleet.targets.iter().position(|target| is_running(&target));
-            // The last that is chosen among those without work.
+            // The idle target that would be chosen last.
             let spared = if running == Some(4) { 3 } else { 4 };
             for (index, target) in fleet.targets.iter().enumerate() {
                 if index != spared && Some(index) != running {
-                    target.end_for_good().await;
+                    target.crash_permanently().await;
                 }
             }
             running
                 .into_iter()
-                .for_each(|index| fleet.targets[index].end());
+                .for_each(|index| fleet.targets[index].crash());
         };
-        let (answer, ()) = tokio::join!(fleet.ask(0, Ask::model(&body)), end);
+        let (answer, ()) = tokio::join!(fleet.request(0, TestRequest::model(&body)), crash);
         expect_true!(answer.is_served(), "{answer:?}");
     }
 }
--- a/crates/fleet/tests/order_sender.rs
+++ b/crates/fleet/tests/order_sender.rs
@@ -1,4 +1,4 @@
-//! Orders whose answers are lost.
+//! Resending of orders whose responses are lost.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, PoisonError};
@@ -11,32 +11,32 @@
 use futures::future::BoxFuture;
 use googletest::prelude::*;
 
-/// A target that says to each sending what it was told to say, and nothing to those after.
+/// A target that gives the scripted results in turn, and then does not respond any more.
 struct ScriptedTarget {
-    answers: Mutex<VecDeque<OrderResult>>,
-    sendings: Mutex<usize>,
+    results: Mutex<VecDeque<OrderResult>>,
+    attempts: Mutex<usize>,
 }
 
 impl ScriptedTarget {
-    fn open(answers: impl IntoIterator<Item = OrderResult>) -> Self {
+    fn new(results: impl IntoIterator<Item = OrderResult>) -> Self {
         Self {
-            answers: Mutex::new(answers.into_iter().collect()),
-            sendings: Mutex::new(0),
+            results: Mutex::new(results.into_iter().collect()),
+            attempts: Mutex::new(0),
         }
     }
 
-    fn sendings(&self) -> usize {
-        *self.sendings.lock().unwrap_or_else(PoisonError::into_inner)
+    fn attempts(&self) -> usize {
+        *self.attempts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl TargetControl for ScriptedTarget {
-    fn reach<'a>(
+    fn probe<'a>(
         &'a self,
         _: &'a str,
         _: Duration,
     ) -> BoxFuture<'a, std::result::Result<(), ReportError>> {
-        Box::pin(async { Err(ReportError::Silent) })
+        Box::pin(async { Err(ReportError::NoResponse) })
     }
 
     fn report<'a>(
@@ -45,7 +45,7 @@
         _: &'a str,
         _: Duration,
     ) -> BoxFuture<'a, std::result::Result<TargetReport, ReportError>> {
-        Box::pin(async { Err(ReportError::Silent) })
+        Box::pin(async { Err(ReportError::NoResponse) })
     }
 
     fn order<'a>(
@@ -56,10 +56,10 @@
         _: &'a TargetAction,
         _: Duration,
     ) -> BoxFuture<'a, OrderResult> {
-        let mut answers = self.answers.lock().unwrap_or_else(PoisonError::into_inner);
-        let answer = answers.pop_front().unwrap_or(OrderResult::Lost);
-        *self.sendings.lock().unwrap_or_else(PoisonError::into_inner) += 1;
-        Box::pin(async move { answer })
+        let mut results = self.results.lock().unwrap_or_else(PoisonError::into_inner);
+        let result = results.pop_front().unwrap_or(OrderResult::Lost);
+        *self.attempts.lock().unwrap_or_else(PoisonError::into_inner) += 1;
+        Box::pin(async move { result })
     }
 }
 
@@ -76,45 +76,45 @@
     }
 }
 
-/// Guards against groups that form seconds late because each lost answer is waited for in full.
+/// Guards against groups that form seconds late because each lost response is waited for with a long timeout.
 #[tokio::test]
-async fn an_order_that_is_not_answered_is_sent_again() {
-    let target = ScriptedTarget::open([OrderResult::Lost, OrderResult::Lost, OrderResult::Begun]);
+async fn an_order_without_a_response_is_resent() {
+    let target = ScriptedTarget::new([OrderResult::Lost, OrderResult::Lost, OrderResult::Begun]);
     let result = deliver(&target, &order(), "address").await;
     assert_that!(result, eq(OrderResult::Begun));
-    assert_that!(target.sendings(), eq(3));
+    assert_that!(target.attempts(), eq(3));
 }
 
-/// Guards against a group that is given up for a conflict with an order of its own.
+/// Guards against giving up a group because an order conflicts with an earlier attempt of itself.
 #[tokio::test]
-async fn a_conflict_after_a_lost_answer_leaves_the_outcome_open() {
-    let target = ScriptedTarget::open([OrderResult::Lost, OrderResult::Conflict]);
+async fn a_conflict_after_a_lost_response_leaves_the_result_unknown() {
+    let target = ScriptedTarget::new([OrderResult::Lost, OrderResult::Conflict]);
     let result = deliver(&target, &order(), "address").await;
     assert_that!(result, eq(OrderResult::Lost));
 }
 
-/// Guards against orders that are sent again though the target has answered.
+/// Guards against resending an order after the target has responded.
 #[tokio::test]
-async fn an_answer_ends_the_sending() {
-    for answer in [
+async fn a_response_ends_the_attempts() {
+    for expected in [
         OrderResult::Begun,
         OrderResult::Held,
         OrderResult::Conflict,
-        OrderResult::Gone,
+        OrderResult::OtherIncarnation,
         OrderResult::Refused,
     ] {
-        let target = ScriptedTarget::open([answer]);
+        let target = ScriptedTarget::new([expected]);
         let result = deliver(&target, &order(), "address").await;
-        assert_that!(result, eq(answer));
-        assert_that!(target.sendings(), eq(1));
+        assert_that!(result, eq(expected));
+        assert_that!(target.attempts(), eq(1));
     }
 }
 
-/// Guards against a target out of reach that is sent orders without end, or without a pause.
+/// Guards against resending orders to an unreachable target forever, or without a delay.
 #[tokio::test]
-async fn a_target_that_never_answers_is_sent_a_few() {
-    let target = ScriptedTarget::open([]);
+async fn an_unreachable_target_gets_a_limited_number_of_attempts() {
+    let target = ScriptedTarget::new([]);
     let result = deliver(&target, &order(), "address").await;
     assert_that!(result, eq(OrderResult::Lost));
-    assert_that!(target.sendings(), all![gt(1), le(5)]);
+    assert_that!(target.attempts(), all![gt(1), le(5)]);
 }
--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes in this process, with a platform in memory and targets behind real sockets.
+//! Runs nodes in the test process, with an in-memory platform and targets on real sockets.
 #![allow(dead_code)]
 
 pub mod platform;
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use briarswitch_core::engine::{EngineModel, ModelSpec};
+use briarswitch_core::engine::{EngineSpec, ModelSpec};
 use briarswitch_core::id::*;
 use briarswitch_core::traffic::{
-    AnswerKind, CallerLimits, KeyHolder, RepeatKind, ServiceSpec, SplitShare, TrafficBook,
+    AnswerKind, CallerLimits, KeyHolder, RepeatKind, ServiceSpec, SplitShare, TrafficConfig,
     TrafficRule,
 };
 use briarswitch_fleet::{FleetNode, FleetSettings};
@@ -18,31 +18,31 @@
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Method};
 
-use platform::{NodeDoor, PlatformStub};
+use platform::{PlatformLink, PlatformStub};
 use target::TargetStub;
 
 pub const HOST: &str = "api.example";
 pub const SERVICE: &str = "app";
 pub const GROUP_SERVICE: &str = "lm";
 pub const MODEL: &str = "m0";
-/// Keys and the organisations that hold them.
+/// API keys and the organisations that hold them.
 pub const KEYS: [(&str, &str); 2] = [("key-one", "org-one"), ("key-two", "org-two")];
-/// An address whose port the operating system chooses when it is bound.
+/// Address with a port that the operating system chooses on binding.
 const ANY_PORT: &str = "127.0.0.1:0";
-/// Longest time a condition may take to come about.
-const LIMIT: Duration = Duration::from_secs(60);
-/// Time that callers wait.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Time-out for a condition to become true.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time for which callers wait.
+const CALLER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Returns rules for streams of single targets below `/chat/` and of groups below `/model/`, for idempotent calls
-/// below `/look/` and for calls that run at most once below `/bill/`.
-pub fn book() -> TrafficBook {
+/// Returns a configuration with rules for streams from single targets (`/chat/`) and from groups (`/model/`), for
+/// idempotent calls (`/look/`) and for at-most-once calls (`/bill/`).
+pub fn config() -> TrafficConfig {
     let rule = |prefix: &str, service: &str, repeat, answer| TrafficRule {
         name: prefix.to_owned(),
         prefix: prefix.to_owned(),
         repeat,
         answer,
-        timeout: PATIENCE,
+        timeout: CALLER_TIMEOUT,
         objective: Duration::from_millis(500),
         priority: 1,
         max_attempts: 2,
@@ -81,7 +81,7 @@
         service(SERVICE, None),
         service(GROUP_SERVICE, Some(engine())),
     ];
-    TrafficBook {
+    TrafficConfig {
         version: 1,
         hosts: [(HOST.to_owned(), rules)].into(),
         services: services.into(),
@@ -95,26 +95,26 @@
     }
 }
 
-/// Returns engines whose groups have one member each.
-fn engine() -> EngineModel {
+/// Returns the model of an engine whose groups have one member each.
+fn engine() -> EngineSpec {
     let model = ModelSpec {
         id: MODEL.to_owned(),
-        size: 1,
-        share: 1.0,
-        pace: 1.0,
+        group_size: 1,
+        expected_share: 1.0,
+        time_factor: 1.0,
         load_time: Duration::from_secs(60),
         warmup: Duration::from_secs(60),
     };
-    EngineModel {
+    EngineSpec {
         slots: 8,
-        stride: 2,
-        step: Duration::from_millis(5),
-        read_per_second: 100_000.0,
-        usual_answer: 20.0,
+        steps_per_pass: 2,
+        step_time: Duration::from_millis(5),
+        prefill_tokens_per_second: 100_000.0,
+        mean_answer_tokens: 20.0,
         loads_per_second: 1.0,
-        loads_at_once: 1,
+        parallel_loads: 1,
         models: [(MODEL.to_owned(), model)].into(),
-        ..EngineModel::default()
+        ..EngineSpec::default()
     }
 }
 
@@ -131,7 +131,7 @@
         is_first_start: false,
         fails_closed: true,
         key_validity: Duration::from_secs(30),
-        // More than any test needs: what is shown must not hang on the budget of retries.
+        // More than any test needs, so that no result depends on the retry budget.
         retry_ratio: 20.0,
         retry_burst: 10_000,
         retry_window: Duration::from_secs(10),
@@ -140,38 +140,38 @@
     }
 }
 
-/// One answer as a caller saw it.
+/// A response as its caller received it.
 #[derive(Clone, Debug)]
-pub struct Answer {
-    /// Status; zero where the connection ended without one.
+pub struct TestResponse {
+    /// HTTP status; zero if the connection ended without a response.
     pub status: u16,
     pub headers: HeaderMap,
     pub body: String,
-    /// Whether the body came to its end.
-    pub is_whole: bool,
+    /// Whether the body was received completely.
+    pub is_complete: bool,
 }
 
-impl Answer {
-    /// Returns the seconds after which to come back.
+impl TestResponse {
+    /// Returns the value of the `Retry-After` header in seconds.
     pub fn retry_after(&self) -> Option<f64> {
         let value = self.headers.get("retry-after")?;
         value.to_str().ok()?.parse().ok()
     }
 
     pub fn is_served(&self) -> bool {
-        self.status == 200 && self.is_whole
+        self.status == 200 && self.is_complete
     }
 }
 
-/// A request that a caller sends, again and again if need be.
+/// A caller's request, which can be sent repeatedly.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct TestRequest<'a> {
     pub key: &'a str,
     pub path: &'a str,
     pub body: &'a str,
 }
 
-impl<'a> Ask<'a> {
+impl<'a> TestRequest<'a> {
     pub fn chat(body: &'a str) -> Self {
         Self {
             key: KEYS[0].0,
@@ -188,36 +188,36 @@
     }
 }
 
-/// A node and its way to the platform.
+/// A node and its link to the platform.
 pub struct NodeStub {
-    pub door: Arc<NodeDoor>,
+    pub link: Arc<PlatformLink>,
     node: Option<FleetNode>,
     zone: ZoneId,
 }
 
-/// A platform, targets and nodes.
+/// A fleet of nodes with its platform and targets.
 pub struct Fleet {
     pub platform: PlatformStub,
     pub targets: Vec<TargetStub>,
     pub nodes: Vec<NodeStub>,
     client: TargetClient,
     service: &'static str,
-    asked: std::sync::atomic::AtomicU64,
+    next_attempt: std::sync::atomic::AtomicU64,
 }
 
 impl Fleet {
-    /// Starts targets, and a node for each zone that is named.
+    /// Starts single targets, and one node for each listed zone.
     pub async fn open(targets: usize, zones: &[&str]) -> Self {
         Self::open_of(SERVICE, targets, zones).await
     }
 
-    /// Starts targets that are groups of one member, and a node for each zone that is named.
+    /// Starts targets that each form a group of one member, and one node for each listed zone.
     pub async fn open_groups(targets: usize, zones: &[&str]) -> Self {
         Self::open_of(GROUP_SERVICE, targets, zones).await
     }
 
     async fn open_of(service: &'static str, targets: usize, zones: &[&str]) -> Self {
-        let platform = PlatformStub::open(book());
+        let platform = PlatformStub::new(config());
         let mut fleet = Self {
             targets: Vec::new(),
             nodes: Vec::new(),
@@ -225,7 +225,7 @@
                 connect: Duration::from_secs(2),
                 idle: 0,
             }),
-            asked: Default::default(),
+            next_attempt: Default::default(),
             service,
             platform,
         };
@@ -236,9 +236,9 @@
             fleet.targets.push(target);
         }
         for zone in zones {
-            let door = fleet.platform.door(&format!("n{}", fleet.nodes.len()));
+            let link = fleet.platform.link(&format!("n{}", fleet.nodes.len()));
             fleet.nodes.push(NodeStub {
-                door,
+                link,
                 node: None,
                 zone: (*zone).to_owned(),
             });
@@ -246,76 +246,77 @@
         for index in 0..fleet.nodes.len() {
             fleet.start(index).await;
         }
-        fleet.until_known().await;
+        fleet.wait_until_serving().await;
         fleet
     }
 
-    /// Starts a node, or starts it again without anything that it knew.
+    /// Starts a node, or restarts it without any state.
     pub async fn start(&mut self, index: usize) {
         let stub = &mut self.nodes[index];
         stub.node = None;
-        let settings = settings(&stub.door.node, &stub.zone);
-        let platform = stub.door.platform();
+        let settings = settings(&stub.link.node, &stub.zone);
+        let platform = stub.link.platform();
         let node = FleetNode::spawn(settings, platform).await;
-        stub.node = Some(node.expect("the node starts"));
+        stub.node = Some(node.expect("node starts"));
     }
 
-    /// Ends a node as a kill does.
+    /// Stops a node without a shutdown, as if the process were killed.
     pub fn kill(&mut self, index: usize) {
         self.nodes[index].node = None;
     }
 
-    /// Waits until each node that runs serves.
-    pub async fn until_known(&self) {
+    /// Waits until every running node serves requests.
+    pub async fn wait_until_serving(&self) {
         for index in 0..self.nodes.len() {
             if self.nodes[index].node.is_none() {
                 continue;
             }
-            let ask = match self.service {
-                GROUP_SERVICE => Ask::model("hello"),
-                _ => Ask::chat("hello"),
+            let request = match self.service {
+                GROUP_SERVICE => TestRequest::model("hello"),
+                _ => TestRequest::chat("hello"),
             };
-            self.until("a node serves", || async {
-                self.ask(index, ask).await.is_served()
+            self.wait_until("a node serves", || async {
+                self.request(index, request).await.is_served()
             })
             .await;
         }
     }
 
-    pub async fn until<F, Fut>(&self, what: &str, condition: F)
+    /// Waits until a condition is true; `what` describes it in the message of a time-out.
+    pub async fn wait_until<F, Fut>(&self, what: &str, condition: F)
     where
         F: Fn() -> Fut,
         Fut: std::future::Future<Output = bool>,
     {
-        let end = Instant::now() + LIMIT;
+        let end = Instant::now() + CONDITION_TIMEOUT;
         while !condition().await {
-            assert!(Instant::now() < end, "{what} did not come about");
+            assert!(Instant::now() < end, "timed out waiting until {what}");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Sends a request to a node under an id of its own.
-    pub async fn ask(&self, node: usize, ask: Ask<'_>) -> Answer {
+    /// Sends a request to a node, with a new attempt id.
+    pub async fn request(&self, node: usize, test_request: TestRequest<'_>) -> TestResponse {
         let settings = self.nodes[node].node.as_ref().map(FleetNode::settings);
         let address = settings.map(|settings| settings.callers.clone());
         let attempt = self
-            .asked
+            .next_attempt
             .fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        let mut request = request(Method::POST, ask.path, ask.body);
+        let mut request = request(Method::POST, test_request.path, test_request.body);
         let headers = [
-            ("key", ask.key),
+            ("key", test_request.key),
             ("attempt", &format!("a{attempt}")),
             ("model", MODEL),
         ];
         for (name, value) in headers {
-            let value = HeaderValue::from_str(value).expect("a header's value");
+            let value = HeaderValue::from_str(value).expect("valid header value");
             request.headers_mut().insert(name, value);
         }
         self.send(&address.unwrap_or_default(), request).await
     }
 
-    /// Sends a request to a node's listener for operators.
-    pub async fn operate(&self, node: usize, method: Method, path: &str) -> Answer {
+    /// Sends a request to a node's listener for metrics and operators.
+    pub async fn operator_request(&self, node: usize, method: Method, path: &str) -> TestResponse {
         let settings = self.nodes[node].node.as_ref().map(FleetNode::settings);
         let address = settings.map(|settings| settings.metrics.clone());
         self.send(&address.unwrap_or_default(), request(method, path, ""))
@@ -326,33 +327,33 @@
         &self,
         address: &str,
         request: http::Request<http_body_util::Full<Bytes>>,
-    ) -> Answer {
+    ) -> TestResponse {
         let target = TargetAddress {
             address: address.to_owned(),
             incarnation: 0,
         };
-        let Ok(reply) = self.client.send(&target, request, true).await else {
-            return Answer {
+        let Ok(response) = self.client.send(&target, request, true).await else {
+            return TestResponse {
                 status: 0,
                 headers: HeaderMap::new(),
                 body: String::new(),
-                is_whole: false,
+                is_complete: false,
             };
         };
-        let mut body = reply.body;
+        let mut body = response.body;
         let mut text = String::new();
-        let is_whole = loop {
+        let is_complete = loop {
             match body.next().await {
-                Ok(Some(piece)) => text.push_str(&String::from_utf8_lossy(&piece)),
+                Ok(Some(chunk)) => text.push_str(&String::from_utf8_lossy(&chunk)),
                 Ok(None) => break true,
                 Err(_) => break false,
             }
         };
-        Answer {
-            status: reply.head.status.as_u16(),
-            headers: reply.head.headers,
+        TestResponse {
+            status: response.head.status.as_u16(),
+            headers: response.head.headers,
             body: text,
-            is_whole,
+            is_complete,
         }
     }
 }
@@ -360,7 +361,7 @@
 fn request(method: Method, path: &str, body: &str) -> http::Request<http_body_util::Full<Bytes>> {
     let mut request = http::Request::new(whole_body(Bytes::from(body.to_owned())));
     *request.method_mut() = method;
-    *request.uri_mut() = path.parse().expect("a path");
+    *request.uri_mut() = path.parse().expect("valid path");
     let host = HeaderValue::from_static(HOST);
     request.headers_mut().insert("host", host);
     request
--- a/crates/fleet/tests/support/platform.rs
+++ b/crates/fleet/tests/support/platform.rs
@@ -1,4 +1,4 @@
-//! The platform in memory, as the fleet's traits show it; each node's way to it can be closed.
+//! An in-memory implementation of the fleet's platform traits. Each node's link to it can be cut.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,7 +7,7 @@
 use briarswitch_core::id::*;
 use briarswitch_core::order::{OrderResult, TargetAction};
 use briarswitch_core::target::{Membership, MembershipState, TargetChange, TargetRecord};
-use briarswitch_core::traffic::TrafficBook;
+use briarswitch_core::traffic::TrafficConfig;
 use briarswitch_fleet::ports::*;
 use briarswitch_kernel::BootClock;
 use futures::future::BoxFuture;
@@ -21,7 +21,7 @@
 const CONFIG_TABLE: &str = "config";
 const TARGET_TABLE: &str = "targets";
 const NODE_TABLE: &str = "nodes";
-/// Table of the requests under which targets have ended.
+/// Table of the requests that were running on targets when these crashed.
 pub const SUSPECT_TABLE: &str = "suspects";
 
 #[derive(Default)]
@@ -35,41 +35,41 @@
 }
 
 struct StoreShared {
-    book: TrafficBook,
+    config: TrafficConfig,
     state: Mutex<StoreState>,
     changed: Notify,
 }
 
-/// A platform; clones share its state.
+/// An in-memory platform; clones share its state.
 #[derive(Clone)]
 pub struct PlatformStub {
     shared: Arc<StoreShared>,
 }
 
 impl PlatformStub {
-    pub fn open(book: TrafficBook) -> Self {
+    pub fn new(config: TrafficConfig) -> Self {
         let stub = Self {
             shared: Arc::new(StoreShared {
-                book,
+                config,
                 state: Mutex::default(),
                 changed: Notify::new(),
             }),
         };
-        stub.put(CONFIG_TABLE, "book", Some(Vec::new()));
+        stub.put(CONFIG_TABLE, "config", Some(Vec::new()));
         stub
     }
 
-    /// Returns a node's way to the platform.
-    pub fn door(&self, node: &str) -> Arc<NodeDoor> {
-        Arc::new(NodeDoor {
+    /// Returns a link of a node to the platform.
+    pub fn link(&self, node: &str) -> Arc<PlatformLink> {
+        Arc::new(PlatformLink {
             node: node.to_owned(),
             platform: self.clone(),
-            is_closed: AtomicBool::new(false),
-            is_alone: AtomicBool::new(false),
+            is_blocked: AtomicBool::new(false),
+            is_isolated: AtomicBool::new(false),
         })
     }
 
-    /// Lists a target of a service; one of engines heads an open group of its own.
+    /// Adds a target of a service to the directory; a target with an engine forms an open group by itself.
     pub fn list_target(&self, service: &str, id: &str, address: &str, domain: &str) {
         let is_group = service == GROUP_SERVICE;
         let membership = Membership {
@@ -99,12 +99,12 @@
         self.put(TARGET_TABLE, id, Some(Vec::new()));
     }
 
-    /// Takes a target out of the list.
-    pub fn drop_target(&self, id: &str) {
+    /// Removes a target from the directory.
+    pub fn remove_target(&self, id: &str) {
         self.put(TARGET_TABLE, id, None);
     }
 
-    /// Writes or drops a row.
+    /// Writes a row, or removes it if `value` is `None`.
     pub fn put(&self, table: &str, key: &str, value: Option<Vec<u8>>) {
         let mut state = self.lock();
         state.version += 1;
@@ -135,10 +135,10 @@
         state.unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn whole(&self, table: &str) -> FeedAnswer {
+    fn snapshot(&self, table: &str) -> FeedResponse {
         let state = self.lock();
         let rows = state.tables.get(table).into_iter().flatten();
-        FeedAnswer {
+        FeedResponse {
             mark: mark_of(state.version),
             rows: rows
                 .map(|(key, value)| FeedRow {
@@ -147,34 +147,34 @@
                 })
                 .collect(),
             age: Duration::ZERO,
-            is_whole: true,
+            is_snapshot: true,
         }
     }
 
-    fn after(&self, table: &str, mark: FeedMark) -> FeedAnswer {
+    fn changes_after(&self, table: &str, mark: FeedMark) -> FeedResponse {
         let state = self.lock();
         let later = state
             .history
             .iter()
             .filter(|(version, of, _)| *version > mark.version && of == table);
-        FeedAnswer {
+        FeedResponse {
             mark: mark_of(state.version),
             rows: later.map(|(_, _, row)| row.clone()).collect(),
             age: Duration::ZERO,
-            is_whole: false,
+            is_snapshot: false,
         }
     }
 
-    async fn feed(&self, question: FeedQuestion) -> FeedAnswer {
-        let Some(mark) = question.mark else {
-            return self.whole(&question.table);
+    async fn feed(&self, request: FeedRequest) -> FeedResponse {
+        let Some(mark) = request.mark else {
+            return self.snapshot(&request.table);
         };
-        let end = tokio::time::Instant::now() + question.wait;
+        let end = tokio::time::Instant::now() + request.wait;
         loop {
             let changed = self.shared.changed.notified();
-            let answer = self.after(&question.table, mark);
-            if !answer.rows.is_empty() || tokio::time::timeout_at(end, changed).await.is_err() {
-                return answer;
+            let response = self.changes_after(&request.table, mark);
+            if !response.rows.is_empty() || tokio::time::timeout_at(end, changed).await.is_err() {
+                return response;
             }
         }
     }
@@ -187,57 +187,57 @@
     }
 }
 
-/// One node's way to the platform.
-pub struct NodeDoor {
+/// Link of one node to the platform.
+pub struct PlatformLink {
     pub node: NodeId,
     platform: PlatformStub,
-    is_closed: AtomicBool,
-    is_alone: AtomicBool,
+    is_blocked: AtomicBool,
+    is_isolated: AtomicBool,
 }
 
-impl NodeDoor {
-    /// Turns the node away, or no more.
-    pub fn close(&self, is_closed: bool) {
-        self.is_closed.store(is_closed, Ordering::SeqCst);
+impl PlatformLink {
+    /// Makes all calls over this link fail, or lets them succeed again.
+    pub fn set_blocked(&self, is_blocked: bool) {
+        self.is_blocked.store(is_blocked, Ordering::SeqCst);
     }
 
-    /// Hides the node and all others from each other; to be set before it starts.
-    pub fn hide(&self) {
-        self.is_alone.store(true, Ordering::SeqCst);
+    /// Hides this node from all others and these from it; must be called before the node starts.
+    pub fn isolate_from_peers(&self) {
+        self.is_isolated.store(true, Ordering::SeqCst);
     }
 
-    /// Returns the platform as this node sees it.
+    /// Returns the platform's interfaces, as they work over this link.
     pub fn platform(self: &Arc<Self>) -> FleetPlatform {
         FleetPlatform {
-            feed: Arc::new(DoorFeed(Arc::clone(self))),
+            feed: Arc::new(LinkFeed(Arc::clone(self))),
             clock: Arc::new(StubClock),
             config: Arc::new(StubConfig(self.platform.clone())),
             directory: Arc::new(StubDirectory(self.platform.clone())),
-            nodes: Arc::new(DoorNodes(Arc::clone(self))),
+            nodes: Arc::new(LinkNodes(Arc::clone(self))),
             targets: Arc::new(StubControl),
-            suspects: Arc::new(DoorSuspects(Arc::clone(self))),
-            dialect: Arc::new(StubDialect),
+            suspects: Arc::new(LinkSuspects(Arc::clone(self))),
+            protocol: Arc::new(StubDialect),
         }
     }
 
-    fn pass(&self) -> Result<(), SourceError> {
-        if self.is_closed.load(Ordering::SeqCst) {
-            return Err(SourceError::Unavailable("turned away".to_owned()));
+    fn check_open(&self) -> Result<(), SourceError> {
+        if self.is_blocked.load(Ordering::SeqCst) {
+            return Err(SourceError::Unavailable("link blocked".to_owned()));
         }
         Ok(())
     }
 }
 
-struct DoorFeed(Arc<NodeDoor>);
+struct LinkFeed(Arc<PlatformLink>);
 
-impl FeedSource for DoorFeed {
-    fn changes(&self, question: FeedQuestion) -> SourceFuture<'static, FeedAnswer> {
-        let door = Arc::clone(&self.0);
+impl FeedSource for LinkFeed {
+    fn changes(&self, request: FeedRequest) -> SourceFuture<'static, FeedResponse> {
+        let link = Arc::clone(&self.0);
         Box::pin(async move {
-            door.pass()?;
-            let answer = door.platform.feed(question).await;
-            door.pass()?;
-            Ok(answer)
+            link.check_open()?;
+            let response = link.platform.feed(request).await;
+            link.check_open()?;
+            Ok(response)
         })
     }
 }
@@ -257,13 +257,13 @@
         CONFIG_TABLE
     }
 
-    fn news(&self, answer: &FeedAnswer) -> Result<ConfigNews, SourceError> {
-        let book = &self.0.shared.book;
-        Ok(ConfigNews {
-            mark: answer.mark,
-            book: (!answer.rows.is_empty()).then(|| Box::new(book.clone())),
-            is_newest: answer.is_complete(),
-            age: answer.age,
+    fn decode(&self, response: &FeedResponse) -> Result<ConfigUpdate, SourceError> {
+        let config = &self.0.shared.config;
+        Ok(ConfigUpdate {
+            mark: response.mark,
+            config: (!response.rows.is_empty()).then(|| Box::new(config.clone())),
+            is_newest: response.is_up_to_date(),
+            age: response.age,
         })
     }
 }
@@ -275,28 +275,28 @@
         TARGET_TABLE
     }
 
-    fn news(&self, answer: &FeedAnswer) -> DirectoryNews {
+    fn decode(&self, response: &FeedResponse) -> DirectoryUpdate {
         let state = self.0.lock();
-        let changes = answer.rows.iter().map(|row| match &row.value {
+        let changes = response.rows.iter().map(|row| match &row.value {
             Some(_) => TargetChange::Put(Box::new(state.records[&row.key].clone())),
             None => TargetChange::Removed(row.key.clone()),
         });
         let changes = changes.collect();
-        if answer.is_whole {
-            DirectoryNews::Whole(answer.mark, changes)
+        if response.is_snapshot {
+            DirectoryUpdate::Snapshot(response.mark, changes)
         } else {
-            DirectoryNews::Changes(answer.mark, changes)
+            DirectoryUpdate::Changes(response.mark, changes)
         }
     }
 }
 
-struct DoorNodes(Arc<NodeDoor>);
+struct LinkNodes(Arc<PlatformLink>);
 
-impl NodeRegistry for DoorNodes {
+impl NodeRegistry for LinkNodes {
     fn register(&self, entry: NodeEntry) -> SourceFuture<'_, ()> {
         Box::pin(async move {
-            self.0.pass()?;
-            if !self.0.is_alone.load(Ordering::SeqCst) {
+            self.0.check_open()?;
+            if !self.0.is_isolated.load(Ordering::SeqCst) {
                 let platform = &self.0.platform;
                 let node = entry.node.clone();
                 platform.lock().nodes.insert(node.clone(), entry);
@@ -306,38 +306,38 @@
         })
     }
 
-    fn next(&self, mark: Option<FeedMark>, wait: Duration) -> SourceFuture<'_, NodeNews> {
+    fn poll_entries(&self, mark: Option<FeedMark>, wait: Duration) -> SourceFuture<'_, NodeUpdate> {
         Box::pin(async move {
-            self.0.pass()?;
+            self.0.check_open()?;
             let table = NODE_TABLE.to_owned();
-            let answer = self
+            let response = self
                 .0
                 .platform
-                .feed(FeedQuestion { table, mark, wait })
+                .feed(FeedRequest { table, mark, wait })
                 .await;
-            let is_alone = self.0.is_alone.load(Ordering::SeqCst);
+            let is_isolated = self.0.is_isolated.load(Ordering::SeqCst);
             let state = self.0.platform.lock();
-            let rows = answer.rows.iter().filter(|_| !is_alone);
+            let rows = response.rows.iter().filter(|_| !is_isolated);
             let entries = rows.filter_map(|row| state.nodes.get(&row.key).cloned());
-            Ok(NodeNews {
-                mark: answer.mark,
+            Ok(NodeUpdate {
+                mark: response.mark,
                 nodes: entries.collect(),
             })
         })
     }
 }
 
-/// Rows of suspects by their keys' texts, since the store knows only bytes.
-struct DoorSuspects(Arc<NodeDoor>);
+/// The store of the stub holds only bytes, so rows of suspects are looked up by the text of their key.
+struct LinkSuspects(Arc<PlatformLink>);
 
-impl SuspectRegistry for DoorSuspects {
+impl SuspectRegistry for LinkSuspects {
     fn table(&self) -> &'static str {
         SUSPECT_TABLE
     }
 
-    fn news(&self, answer: &FeedAnswer) -> Vec<SuspectChange> {
+    fn decode(&self, response: &FeedResponse) -> Vec<SuspectChange> {
         let state = self.0.platform.lock();
-        let rows = answer.rows.iter().filter_map(|row| {
+        let rows = response.rows.iter().filter_map(|row| {
             let held = state.suspects.get(&row.key).copied()?;
             Some(match row.value {
                 Some(_) => SuspectChange::Put(held),
@@ -349,7 +349,7 @@
 
     fn write(&self, rows: Vec<SuspectRow>, dropped: Vec<SuspectKey>) -> SourceFuture<'_, ()> {
         Box::pin(async move {
-            self.0.pass()?;
+            self.0.check_open()?;
             let platform = &self.0.platform;
             for row in rows {
                 let key = format!("{:?}", row.key());
@@ -367,7 +367,7 @@
 struct StubControl;
 
 impl TargetControl for StubControl {
-    fn reach<'a>(
+    fn probe<'a>(
         &'a self,
         address: &'a str,
         limit: Duration,
@@ -377,7 +377,7 @@
             match tokio::time::timeout(limit, opening).await {
                 Ok(Ok(_)) => Ok(()),
                 Ok(Err(_)) => Err(ReportError::Refused),
-                Err(_) => Err(ReportError::Silent),
+                Err(_) => Err(ReportError::NoResponse),
             }
         })
     }
@@ -389,7 +389,7 @@
         limit: Duration,
     ) -> BoxFuture<'a, Result<TargetReport, ReportError>> {
         Box::pin(async move {
-            self.reach(address, limit).await?;
+            self.probe(address, limit).await?;
             Err(ReportError::Unreadable)
         })
     }
@@ -415,20 +415,20 @@
     Some(value.to_owned())
 }
 
-impl CallerDialect for StubDialect {
-    fn ask(&self, head: &Parts) -> CallerAsk {
-        CallerAsk {
+impl CallerProtocol for StubDialect {
+    fn parse_request(&self, head: &Parts) -> CallerRequest {
+        CallerRequest {
             attempt: text(&head.headers, "attempt").unwrap_or_default(),
             host: text(&head.headers, "host").unwrap_or_default(),
             key: text(&head.headers, "key"),
             model: text(&head.headers, "model"),
             prompt_tokens: 10,
             last_event: text(&head.headers, "last-event"),
-            ..CallerAsk::default()
+            ..CallerRequest::default()
         }
     }
 
-    fn to_target(&self, head: &HeaderMap, mark: TargetMark<'_>) -> HeaderMap {
+    fn target_headers(&self, head: &HeaderMap, mark: TargetRequestInfo<'_>) -> HeaderMap {
         let mut headers = HeaderMap::new();
         let attempt = text(head, "attempt").unwrap_or_default();
         let fields = [
@@ -444,21 +444,21 @@
         headers
     }
 
-    fn facts(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFacts {
-        AnswerFacts {
+    fn parse_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseInfo {
+        ResponseInfo {
             attempt: text(headers, "attempt"),
             is_signed: headers.contains_key("signed"),
             is_not_run: status == StatusCode::SERVICE_UNAVAILABLE,
-            is_other_life: status == StatusCode::MISDIRECTED_REQUEST,
-            ..AnswerFacts::default()
+            is_other_incarnation: status == StatusCode::MISDIRECTED_REQUEST,
+            ..ResponseInfo::default()
         }
     }
 
-    fn to_caller(&self, _: &HeaderMap) -> HeaderMap {
+    fn caller_headers(&self, _: &HeaderMap) -> HeaderMap {
         HeaderMap::new()
     }
 
-    fn mark_own(&self, headers: &mut HeaderMap, attempt: &str) {
+    fn add_attempt_id(&self, headers: &mut HeaderMap, attempt: &str) {
         if let Ok(value) = HeaderValue::from_str(attempt) {
             headers.insert(ATTEMPT, value);
         }
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -3,14 +3,14 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
 
+use briarswitch_core::fingerprint::RequestFingerprint;
 use briarswitch_core::limit::RateShare;
-use briarswitch_core::mint::MintedKey;
+use briarswitch_core::minted_key::MintedKey;
 use briarswitch_core::prelude::*;
-use briarswitch_core::print::RequestPrint;
-use briarswitch_fleet::run::{RunReports, TargetRun};
-use briarswitch_fleet::run_facts::{RunFacts, TargetLife};
+use briarswitch_fleet::run::{RunListeners, TargetRun};
+use briarswitch_fleet::run_info::{RunInfo, TargetIncarnation};
 use briarswitch_fleet::suspect_host::SuspectHost;
-use briarswitch_fleet::suspects::SuspectBoard;
+use briarswitch_fleet::suspect_ledger::SuspectLedger;
 use briarswitch_http::{stream_body, Response};
 use briarswitch_kernel::BootClock;
 use briarswitch_wire::caller::OUTCOME_HEADER;
@@ -37,7 +37,7 @@
 /// A request that was identified and matched by a rule.
 pub struct MatchedRequest {
     /// Fingerprint, the same for each repeat.
-    pub print: RequestPrint,
+    pub print: RequestFingerprint,
     /// What admission needs.
     pub admit: AdmitAsk,
     /// What targets are sent.
@@ -58,8 +58,8 @@
     runner: AttemptRunner,
     claims: ClaimWriter,
     suspects: Arc<NodeSuspects>,
-    reports: RunReports,
-    keys: Arc<Mutex<ClaimBook>>,
+    reports: RunListeners,
+    keys: Arc<Mutex<ClaimCache>>,
     budget: Mutex<RetryBudget>,
     gates: RwLock<HashMap<DeploymentId, Arc<DeploymentGate>>>,
     rates: Mutex<HashMap<OrganisationId, (u32, RateShare)>>,
@@ -84,7 +84,7 @@
         runner: AttemptRunner,
         claims: ClaimWriter,
         suspects: Arc<NodeSuspects>,
-        reports: RunReports,
+        reports: RunListeners,
     ) -> Arc<Self> {
         let settings = shared.settings.requests;
         Arc::new(Self {
@@ -92,8 +92,8 @@
             claims,
             suspects,
             reports,
-            keys: Arc::new(Mutex::new(ClaimBook::open(settings.keys, KEY_MEMORY))),
-            budget: Mutex::new(RetryBudget::open(
+            keys: Arc::new(Mutex::new(ClaimCache::new(settings.keys, KEY_MEMORY))),
+            budget: Mutex::new(RetryBudget::new(
                 settings.retry_permille,
                 settings.retry_burst,
             )),
@@ -109,7 +109,7 @@
     }
 
     /// Returns what is held of requests under which targets have ended.
-    pub fn suspects(&self) -> &SuspectBoard {
+    pub fn suspects(&self) -> &SuspectLedger {
         self.suspects.suspects()
     }
 
@@ -117,12 +117,12 @@
     pub fn open_run(&self, run: &RunSubject, target: &Target) -> TargetRun {
         let fleet = self.shared.fleet.read();
         let domain = fleet.vms.get(&target.vm).map(|vm| vm.domain.clone());
-        let facts = RunFacts {
+        let facts = RunInfo {
             request: run.request.clone(),
-            print: run.print,
+            fingerprint: run.print,
             organisation: run.organisation.clone(),
-            life: TargetLife {
-                target: target.vm.clone(),
+            target: TargetIncarnation {
+                id: target.vm.clone(),
                 incarnation: target.address.incarnation,
             },
             address: target.address.address.clone(),
@@ -130,12 +130,12 @@
             group: String::new(),
             sent: BootClock::now(),
         };
-        TargetRun::open(facts, self.reports.clone())
+        TargetRun::start(facts, self.reports.clone())
     }
 
     /// Returns the refusal of a request that is not to run now.
-    fn quarantined(&self, print: &RequestPrint) -> Option<CallerFailure> {
-        let left = self.suspects().quarantine(print)?;
+    fn quarantined(&self, print: &RequestFingerprint) -> Option<CallerFailure> {
+        let left = self.suspects().quarantine_left(print)?;
         let failure = CallerFailure::at(FailurePoint::Quarantined);
         Some(failure.retry_after(left))
     }
@@ -207,9 +207,9 @@
         let mut rates = self.rates.lock().unwrap_or_else(PoisonError::into_inner);
         let entry = rates
             .entry(organisation.to_owned())
-            .or_insert_with(|| (limit, RateShare::open(limit, nodes, now)));
+            .or_insert_with(|| (limit, RateShare::new(limit, nodes, now)));
         if entry.0 != limit {
-            *entry = (limit, RateShare::open(limit, nodes, now));
+            *entry = (limit, RateShare::new(limit, nodes, now));
         }
         entry.1.take(now).map_err(|seconds| {
             let failure = CallerFailure::refused(
@@ -262,7 +262,7 @@
         }
     }
 
-    fn lock_keys(&self) -> std::sync::MutexGuard<'_, ClaimBook> {
+    fn lock_keys(&self) -> std::sync::MutexGuard<'_, ClaimCache> {
         self.keys.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -314,7 +314,7 @@
             };
             broken += usize::from(breaks_run(point));
             let may_retry = point.allows_retry(matched.ask.is_repeatable)
-                && self.suspects().may_go_on(&matched.print, broken);
+                && self.suspects().may_retry(&matched.print, broken);
             let point = worst(last, point);
             last = Some(point);
             if !may_retry || !self.spend_retry(&trace) {
@@ -330,7 +330,7 @@
             .budget
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .spend();
+            .withdraw();
         if is_left {
             self.shared.metrics.count_retry(&trace.deployment);
         }
@@ -383,7 +383,7 @@
         self.budget
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .earn();
+            .deposit();
     }
 
     fn whole(&self, head: &http::response::Parts, bytes: Bytes, trace: &RequestTrace) -> Response {
@@ -485,7 +485,7 @@
 #[derive(Clone, Debug)]
 pub struct RunSubject {
     request: RequestId,
-    print: RequestPrint,
+    print: RequestFingerprint,
     organisation: OrganisationId,
 }
 
@@ -499,7 +499,7 @@
     }
 
     /// Returns the request's fingerprint.
-    pub fn print(&self) -> &RequestPrint {
+    pub fn print(&self) -> &RequestFingerprint {
         &self.print
     }
 }
@@ -515,9 +515,9 @@
 /// Notes how a run ended that failed; one that nobody waits for any more is left to its watch.
 pub fn end_run(run: &mut TargetRun, point: FailurePoint) {
     if breaks_run(point) {
-        run.broke(point.code());
+        run.report_broken(point.code());
     } else if point != FailurePoint::AnswerDeadline {
-        run.settle();
+        run.end_unreported();
     }
 }
 
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -132,7 +132,7 @@
                 }
                 // A clean end of the body without the end mark is no end of the answer.
                 RelayStep::End | RelayStep::Broken => {
-                    self.run.run.broke("stream_broken");
+                    self.run.run.report_broken("stream_broken");
                     self.broken += 1;
                     if !self.resume().await {
                         return Some(Ok(self.give_up()));
@@ -174,7 +174,7 @@
     fn take_piece(&mut self, piece: &Bytes) -> Option<Bytes> {
         let before = self.scanner.events();
         let (held, scanned) = self.scanner.scan(piece);
-        let fresh = piece.slice(..scanned.whole);
+        let fresh = piece.slice(..scanned.complete_bytes);
         let events = self.scanner.events();
         if before == 0 && events > 0 {
             self.trace.note_first_token(&self.permit);
@@ -206,9 +206,9 @@
     /// Asks the target to go on after the events already passed on.
     async fn resume(&mut self) -> bool {
         self.body = None;
-        self.scanner.drop_tail();
+        self.scanner.discard_partial();
         let print = self.run.subject.print();
-        let may_go_on = self.dispatcher.suspects().may_go_on(print, self.broken);
+        let may_go_on = self.dispatcher.suspects().may_retry(print, self.broken);
         if self.resumes >= RESUMES || !may_go_on {
             return false;
         }
--- a/crates/node/src/suspects.rs
+++ b/crates/node/src/suspects.rs
@@ -4,16 +4,16 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
+use briarswitch_core::fingerprint::RequestFingerprint;
 use briarswitch_core::prelude::*;
-use briarswitch_core::print::RequestPrint;
 use briarswitch_fleet::ports::{
-    FeedAnswer, FeedMark, FeedRow, ReportError, SourceError, SourceFuture, StoreClock,
+    FeedMark, FeedResponse, FeedRow, ReportError, SourceError, SourceFuture, StoreClock,
     SuspectChange, SuspectKey, SuspectRegistry, SuspectRow,
 };
-use briarswitch_fleet::run_facts::{RunFacts, TargetLife};
-use briarswitch_fleet::suspect_host::{EndCount, LifeSign, SuspectEvent, SuspectHost};
-use briarswitch_fleet::suspect_record::{key_text, SuspectRecord, SuspectValue};
-use briarswitch_fleet::suspects::SuspectBoard;
+use briarswitch_fleet::run_info::{RunInfo, TargetIncarnation};
+use briarswitch_fleet::suspect_host::{CrashCount, Liveness, SuspectEvent, SuspectHost};
+use briarswitch_fleet::suspect_ledger::SuspectLedger;
+use briarswitch_fleet::suspect_record::{format_key, SuspectRecord, SuspectValue};
 use briarswitch_kernel::{BootClock, Mailbox};
 use briarswitch_membership::ThingHolders;
 use briarswitch_platform::{StoreError, TransactBuilder};
@@ -46,7 +46,7 @@
 
 impl TableSuspects {
     /// Reads all rows.
-    async fn read(&self) -> Result<FeedAnswer, SourceError> {
+    async fn read(&self) -> Result<FeedResponse, SourceError> {
         let request = ReadRequest {
             keys: Vec::new(),
             prefixes: vec![PREFIX.to_owned()],
@@ -57,10 +57,10 @@
             key: row.key,
             value: Some(row.value.to_string().into_bytes()),
         });
-        Ok(FeedAnswer {
+        Ok(FeedResponse {
             rows: rows.collect(),
-            is_whole: true,
-            ..FeedAnswer::default()
+            is_snapshot: true,
+            ..FeedResponse::default()
         })
     }
 }
@@ -70,7 +70,7 @@
         PREFIX
     }
 
-    fn news(&self, answer: &FeedAnswer) -> Vec<SuspectChange> {
+    fn decode(&self, answer: &FeedResponse) -> Vec<SuspectChange> {
         answer.rows.iter().filter_map(change).collect()
     }
 
@@ -82,7 +82,7 @@
                 builder.put(format!("{PREFIX}{key}"), &value)
             });
             let builder = dropped.iter().fold(builder, |builder, key| {
-                builder.delete(format!("{PREFIX}{}", key_text(key)))
+                builder.delete(format!("{PREFIX}{}", format_key(key)))
             });
             let written = self.shared.platform.table.transact(builder.build()).await;
             written.map(|_| ()).map_err(|error| source_error(&error))
@@ -107,7 +107,7 @@
 /// What this node remembers, and how it finds out whether targets live.
 pub struct NodeSuspects {
     shared: Arc<NodeShared>,
-    board: SuspectBoard,
+    board: SuspectLedger,
     rows: TableSuspects,
     watch: Mailbox<WatchMessage>,
     ends_seen: AtomicU64,
@@ -117,7 +117,7 @@
     /// Opens a memory of nothing that tells `watch` of targets that have ended.
     pub fn open(shared: Arc<NodeShared>, watch: Mailbox<WatchMessage>) -> Arc<Self> {
         Arc::new(Self {
-            board: SuspectBoard::open(Arc::new(DayClock)),
+            board: SuspectLedger::new(Arc::new(DayClock)),
             rows: TableSuspects {
                 shared: Arc::clone(&shared),
             },
@@ -129,7 +129,7 @@
 }
 
 impl SuspectHost for NodeSuspects {
-    fn suspects(&self) -> &SuspectBoard {
+    fn suspects(&self) -> &SuspectLedger {
         &self.board
     }
 
@@ -142,7 +142,7 @@
         self: Arc<Self>,
         mark: Option<FeedMark>,
         _wait: Duration,
-    ) -> SourceFuture<'static, FeedAnswer> {
+    ) -> SourceFuture<'static, FeedResponse> {
         Box::pin(async move {
             if mark.is_some() {
                 tokio::time::sleep(self.shared.settings.control.config_poll).await;
@@ -152,42 +152,42 @@
     }
 
     /// Names nobody: each node writes what it sees to the table, which all follow.
-    fn holders_of(&self, _print: &RequestPrint, _count: usize) -> ThingHolders {
+    fn holders_of(&self, _print: &RequestFingerprint, _count: usize) -> ThingHolders {
         ThingHolders {
             others: Vec::new(),
             own_place: Some(0),
         }
     }
 
-    fn life_sign<'a>(
+    fn probe<'a>(
         &'a self,
-        facts: &'a RunFacts,
+        facts: &'a RunInfo,
         limit: Duration,
-    ) -> BoxFuture<'a, Result<LifeSign, ReportError>> {
+    ) -> BoxFuture<'a, Result<Liveness, ReportError>> {
         Box::pin(async move {
             match tokio::time::timeout(limit, TcpStream::connect(&facts.address)).await {
-                Ok(Ok(_)) => Ok(LifeSign::Listens),
+                Ok(Ok(_)) => Ok(Liveness::Listening),
                 Ok(Err(_)) => Err(ReportError::Refused),
-                Err(_) => Err(ReportError::Silent),
+                Err(_) => Err(ReportError::NoResponse),
             }
         })
     }
 
     /// Returns whether the list names a life; of machines of other zones it says nothing.
-    fn is_listed(&self, life: &TargetLife) -> bool {
+    fn is_listed(&self, life: &TargetIncarnation) -> bool {
         let fleet = self.shared.fleet.read();
-        let vm = fleet.vms.get(&life.target);
+        let vm = fleet.vms.get(&life.id);
         vm.is_none_or(|vm| vm.incarnation == life.incarnation)
     }
 
-    fn end_count(&self) -> EndCount {
-        EndCount {
-            ends: self.ends_seen.load(Ordering::Relaxed),
+    fn crash_count(&self) -> CrashCount {
+        CrashCount {
+            crashes: self.ends_seen.load(Ordering::Relaxed),
             targets: self.shared.fleet.read().vms.len(),
         }
     }
 
-    fn keep_away(&self, target: &VmId, _until: Moment) {
+    fn exclude_target(&self, target: &VmId, _until: Moment) {
         let failed = WatchMessage::Failed {
             vm: target.clone(),
             at: BootClock::now(),
@@ -197,8 +197,8 @@
         }
     }
 
-    fn note(&self, event: SuspectEvent) {
-        if matches!(event, SuspectEvent::TargetEnded(_)) {
+    fn count(&self, event: SuspectEvent) {
+        if matches!(event, SuspectEvent::TargetCrashed(_)) {
             self.ends_seen.fetch_add(1, Ordering::Relaxed);
         }
     }
