--- a/crates/http/tests/target.rs
+++ b/crates/http/tests/target.rs
@@ -18,7 +18,7 @@
 /// Idle connections that a small target takes from one node.
 const FEW: usize = 3;
 /// Looks at the connections before a test gives up.
-const MAX_DOMAIN_EVALUATIONS: usize = 500;
+const LOOKS: usize = 500;
 
 struct SlowAnswer;
 
@@ -60,7 +60,7 @@
     });
     let few = client.keeping(FEW);
     join_all((0..CALLS).map(|_| call(&few, &target))).await;
-    for _ in 0..MAX_DOMAIN_EVALUATIONS {
+    for _ in 0..LOOKS {
         if few.idle(&target) == FEW {
             break;
         }
