--- a/crates/fleet/tests/crashes.rs
+++ b/crates/fleet/tests/crashes.rs
@@ -252,6 +252,10 @@
         le(QUARANTINE_CRASHES + fleet.nodes.len())
     );
     expect_that!(fleet.platform.keys(SUSPECT_TABLE), is_empty());
+    fleet
+        .nodes
+        .iter()
+        .for_each(|node| node.link.set_blocked(false));
     fleet
         .wait_until("the crashes are written to the store", || async {
             fleet.platform.keys(SUSPECT_TABLE).len() >= QUARANTINE_CRASHES
