--- a/crates/node/src/account.rs
+++ b/crates/node/src/account.rs
@@ -5,8 +5,8 @@
 use briarswitch_core::prelude::*;
 use indexmap::{IndexMap, IndexSet};
 
-use crate::reign::ControllerReign;
 use crate::shared::NodeShared;
+use crate::term::ControllerTerm;
 
 /// The measures of one zone since this process began to control it.
 #[derive(Clone, Debug, Default)]
@@ -25,7 +25,7 @@
     }
 
     /// Counts the time since the last call.
-    pub fn count(&mut self, shared: &NodeShared, reign: &ControllerReign, now: Moment) {
+    pub fn count(&mut self, shared: &NodeShared, reign: &ControllerTerm, now: Moment) {
         let elapsed = self.counted.map_or(Duration::ZERO, |at| now - at);
         self.counted = Some(now);
         let routes = shared.routes.read();
--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -28,7 +28,7 @@
     /// The key was claimed before, here or elsewhere.
     Taken,
     /// The table gave no answer; the key must not be used.
-    Unsettled,
+    Unknown,
 }
 
 #[derive(Debug)]
@@ -48,7 +48,7 @@
     /// Starts the writer on the present runtime.
     pub fn spawn(shared: Arc<NodeShared>) -> Self {
         let (jobs, receiver) = mpsc::channel(BACKLOG);
-        tokio::spawn(gather(Arc::clone(&shared), receiver));
+        tokio::spawn(run_batcher(Arc::clone(&shared), receiver));
         Self { jobs, shared }
     }
 
@@ -57,9 +57,9 @@
         let (reply, verdict) = oneshot::channel();
         let job = ClaimJob { key, reply };
         if self.jobs.try_send(job).is_err() {
-            return ClaimVerdict::Unsettled;
+            return ClaimVerdict::Unknown;
         }
-        verdict.await.unwrap_or(ClaimVerdict::Unsettled)
+        verdict.await.unwrap_or(ClaimVerdict::Unknown)
     }
 
     /// Gives back a key under which certainly nothing ran, so that the caller may use it again.
@@ -94,7 +94,7 @@
     format!("{}-{}-", shared.settings.node, shared.incarnation)
 }
 
-async fn gather(shared: Arc<NodeShared>, mut jobs: mpsc::Receiver<ClaimJob>) {
+async fn run_batcher(shared: Arc<NodeShared>, mut jobs: mpsc::Receiver<ClaimJob>) {
     let slots = Arc::new(tokio::sync::Semaphore::new(BATCHES_IN_FLIGHT));
     let mut sequence = 0_u64;
     let mut batch = Vec::with_capacity(BATCH);
@@ -123,7 +123,7 @@
 
 /// Writes claims together; those that were taken fall out and the rest are written again.
 async fn write_batch(shared: &NodeShared, mut jobs: Vec<ClaimJob>, write: String) {
-    drop_repeated(&mut jobs);
+    reject_duplicates(&mut jobs);
     while !jobs.is_empty() {
         let claim = KeyClaimDoc {
             write: write.clone(),
@@ -136,24 +136,24 @@
             });
         match shared.platform.table.transact(builder.build()).await {
             Ok(TransactReply::Committed { .. }) => {
-                answer_all(jobs, ClaimVerdict::Won);
+                reply_all(jobs, ClaimVerdict::Won);
                 return;
             }
             Ok(TransactReply::Conflict { key }) => {
                 let place = jobs.iter().position(|job| job.key == key);
                 let Some(place) = place else {
-                    answer_all(jobs, ClaimVerdict::Unsettled);
+                    reply_all(jobs, ClaimVerdict::Unknown);
                     return;
                 };
                 let job = jobs.swap_remove(place);
                 let _ = job.reply.send(ClaimVerdict::Taken);
             }
             Err(StoreError::Refused(_)) => {
-                answer_all(jobs, ClaimVerdict::Unsettled);
+                reply_all(jobs, ClaimVerdict::Unknown);
                 return;
             }
             Err(StoreError::Lost) => {
-                settle_batch(shared, jobs, &write).await;
+                resolve_batch(shared, jobs, &write).await;
                 return;
             }
         }
@@ -161,13 +161,13 @@
 }
 
 /// Reads back a batch whose answer was lost: only rows that carry its write id are won.
-async fn settle_batch(shared: &NodeShared, jobs: Vec<ClaimJob>, write: &str) {
+async fn resolve_batch(shared: &NodeShared, jobs: Vec<ClaimJob>, write: &str) {
     let request = ReadRequest {
         keys: jobs.iter().map(|job| job.key.clone()).collect(),
         prefixes: Vec::new(),
     };
     let Ok(reply) = shared.platform.table.read(request).await else {
-        answer_all(jobs, ClaimVerdict::Unsettled);
+        reply_all(jobs, ClaimVerdict::Unknown);
         return;
     };
     for job in jobs {
@@ -177,13 +177,13 @@
             Some(claim) if claim.write == write => ClaimVerdict::Won,
             Some(_) => ClaimVerdict::Taken,
             // The write may still arrive, so nothing may run under the key now.
-            None => ClaimVerdict::Unsettled,
+            None => ClaimVerdict::Unknown,
         };
         let _ = job.reply.send(verdict);
     }
 }
 
-fn drop_repeated(jobs: &mut Vec<ClaimJob>) {
+fn reject_duplicates(jobs: &mut Vec<ClaimJob>) {
     let mut seen = std::collections::HashSet::new();
     let mut kept = Vec::with_capacity(jobs.len());
     for job in jobs.drain(..) {
@@ -196,7 +196,7 @@
     *jobs = kept;
 }
 
-fn answer_all(jobs: Vec<ClaimJob>, verdict: ClaimVerdict) {
+fn reply_all(jobs: Vec<ClaimJob>, verdict: ClaimVerdict) {
     for job in jobs {
         let _ = job.reply.send(verdict);
     }
--- a/crates/node/src/controller.rs
+++ b/crates/node/src/controller.rs
@@ -16,12 +16,12 @@
 
 use crate::account::FleetAccount;
 use crate::keys::{epoch_key, group_prefix, vm_prefix};
-use crate::lease::{LeaseCall, LeaseTender};
+use crate::lease::{LeaseCall, LeaseDriver};
 use crate::orders::{orders_due, DueOrder};
 use crate::progress::finished_changes;
-use crate::reign::{ControllerReign, ReignCounts, RowChanges};
 use crate::shared::{ControlView, FleetView, NodeShared};
-use crate::steps::{describe_step, loads_of};
+use crate::steps::{describe_step, load_count};
+use crate::term::{ControllerTerm, RowChanges, TermCounters};
 use crate::watch::{ProbeResult, WatchMessage, WATCH_SERVICE};
 
 /// Name of the service.
@@ -48,9 +48,9 @@
         rows: Result<ReadReply, StoreError>,
     },
     /// Loads that may begin.
-    Permitted(usize),
+    LoadsGranted(usize),
     /// What became of a change.
-    Changed {
+    RowsWritten {
         /// Epoch it was made in.
         epoch: Epoch,
         /// Rows changed.
@@ -59,16 +59,16 @@
         result: Result<TransactReply, StoreError>,
     },
     /// What an engine said to an order.
-    Ordered {
+    OrderAnswered {
         /// Machine.
         vm: VmId,
         /// Its report after the order.
         result: Result<ReportDoc, CallError>,
         /// Local time before the order was sent.
-        asked: Moment,
+        requested_at: Moment,
     },
     /// An order that was not answered has arrived or died by now.
-    OrderDied(VmId),
+    OrderExpired(VmId),
     /// The process ends: give the lease up.
     Release(oneshot::Sender<()>),
 }
@@ -77,33 +77,33 @@
 pub struct ZoneController {
     shared: Arc<NodeShared>,
     client: CallerClient,
-    lease: LeaseTender,
+    lease: LeaseDriver,
     planner: GroupPlanner,
-    reign: Option<ControllerReign>,
-    counts: ReignCounts,
-    is_table_busy: bool,
+    term: Option<ControllerTerm>,
+    counters: TermCounters,
+    is_change_pending: bool,
     is_loading: bool,
-    lost: IndexMap<VmId, Moment>,
-    ordering: IndexSet<VmId>,
+    lost_since: IndexMap<VmId, Moment>,
+    pending_orders: IndexSet<VmId>,
     account: FleetAccount,
     plan: Vec<String>,
 }
 
 impl ZoneController {
     /// Opens a controller that holds nothing.
-    pub fn open(shared: Arc<NodeShared>) -> Self {
+    pub fn new(shared: Arc<NodeShared>) -> Self {
         let settings = &shared.settings;
         let control = settings.control;
         Self {
-            lease: LeaseTender::open(settings, shared.incarnation),
+            lease: LeaseDriver::new(settings, shared.incarnation),
             planner: GroupPlanner::new(control.load_time, control.member_grace),
             client: CallerClient::open(Codec::Json, None),
-            reign: None,
-            counts: ReignCounts::default(),
-            is_table_busy: false,
+            term: None,
+            counters: TermCounters::default(),
+            is_change_pending: false,
             is_loading: false,
-            lost: IndexMap::new(),
-            ordering: IndexSet::new(),
+            lost_since: IndexMap::new(),
+            pending_orders: IndexSet::new(),
             account: FleetAccount::default(),
             plan: Vec::new(),
             shared,
@@ -112,10 +112,10 @@
 
     fn tick(&mut self, link: &ServiceLink<ControllerMessage>) {
         let now = link.now();
-        self.tend_lease(now, link);
-        self.tend_reign(now, link);
-        if self.is_reigning(now) {
-            if let Some(reign) = &self.reign {
+        self.start_lease_call(now, link);
+        self.update_term(now, link);
+        if self.is_in_control(now) {
+            if let Some(reign) = &self.term {
                 self.account.count(&self.shared, reign, now);
             }
             self.send_orders(now, link);
@@ -131,13 +131,13 @@
     }
 
     /// Returns whether this node holds the lease now and knows the zone's rows.
-    fn is_reigning(&self, now: Moment) -> bool {
+    fn is_in_control(&self, now: Moment) -> bool {
         let held = self.lease.epoch(now);
-        held.is_some() && self.reign.as_ref().map(|reign| reign.epoch) == held
+        held.is_some() && self.term.as_ref().map(|reign| reign.epoch) == held
     }
 
     /// Reads or writes the lease's row when that is due.
-    fn tend_lease(&mut self, now: Moment, link: &ServiceLink<ControllerMessage>) {
+    fn start_lease_call(&mut self, now: Moment, link: &ServiceLink<ControllerMessage>) {
         let Some(call) = self.lease.next_call(now) else {
             return;
         };
@@ -154,31 +154,31 @@
     }
 
     /// Begins a reign when the lease was won, and ends it when the lease is over.
-    fn tend_reign(&mut self, now: Moment, link: &ServiceLink<ControllerMessage>) {
+    fn update_term(&mut self, now: Moment, link: &ServiceLink<ControllerMessage>) {
         let held = self.lease.epoch(now);
-        let reigned = self.reign.as_ref().map(|reign| reign.epoch);
+        let reigned = self.term.as_ref().map(|reign| reign.epoch);
         if reigned.is_some() && reigned != held {
             log::warn!(epoch = reigned; "lease_lost");
-            self.end_reign();
+            self.end_term();
         }
         let Some(epoch) = held else {
             return;
         };
-        if self.reign.is_none() && !self.is_loading {
+        if self.term.is_none() && !self.is_loading {
             self.is_loading = true;
             self.load(epoch, link);
         }
     }
 
-    fn end_reign(&mut self) {
-        self.drop_reign();
-        self.lost.clear();
+    fn end_term(&mut self) {
+        self.discard_term();
+        self.lost_since.clear();
         self.plan.clear();
     }
 
-    fn drop_reign(&mut self) {
-        if let Some(reign) = self.reign.take() {
-            self.counts = reign.counts();
+    fn discard_term(&mut self) {
+        if let Some(reign) = self.term.take() {
+            self.counters = reign.counters();
         }
     }
 
@@ -195,7 +195,7 @@
         });
     }
 
-    fn take_loaded(
+    fn handle_loaded(
         &mut self,
         epoch: Epoch,
         rows: Result<ReadReply, StoreError>,
@@ -210,11 +210,12 @@
             return;
         }
         let orders_from = now + self.order_wait();
-        self.reign = ControllerReign::open(self.zone(), epoch, &rows, orders_from, self.counts);
-        if let Some(reign) = &self.reign {
+        self.term =
+            ControllerTerm::from_rows(self.zone(), epoch, &rows, orders_from, self.counters);
+        if let Some(reign) = &self.term {
             log::info!(epoch = epoch, groups = reign.groups.len(); "lease_won");
         }
-        self.spread_view(link);
+        self.send_view(link);
     }
 
     /// Returns how long a new holder waits before its first order.
@@ -242,8 +243,8 @@
         }
     }
 
-    fn spread_view(&self, link: &ServiceLink<ControllerMessage>) {
-        let Some(reign) = &self.reign else {
+    fn send_view(&self, link: &ServiceLink<ControllerMessage>) {
+        let Some(reign) = &self.term else {
             return;
         };
         if let Some(watch) = link.kernel().find(WATCH_SERVICE) {
@@ -255,7 +256,7 @@
     fn fleet(&mut self, now: Moment, load_budget: usize) -> FleetState {
         let view = self.shared.fleet.load();
         let ttl = self.shared.settings.gate.evidence_ttl;
-        let Some(reign) = self.reign.take() else {
+        let Some(reign) = self.term.take() else {
             return FleetState::default();
         };
         let mut vms = IndexMap::new();
@@ -267,22 +268,22 @@
                 .filter(|claim| claim.incarnation == vm.incarnation)
                 .map(|claim| claim.group.clone());
             if claimed.is_some() {
-                self.note_presence(&vm.id, report.is_some(), now);
+                self.record_presence(&vm.id, report.is_some(), now);
             }
             // An unanswered order may still put the machine into a group.
-            let is_settled = claimed.is_some() || !self.ordering.contains(&vm.id);
+            let is_settled = claimed.is_some() || !self.pending_orders.contains(&vm.id);
             let report = report.filter(|_| is_settled);
             let facts = VmFacts {
                 vm: vm.clone(),
                 claimed,
                 report,
-                lost_since: self.lost.get(&vm.id).copied(),
+                lost_since: self.lost_since.get(&vm.id).copied(),
             };
             vms.insert(vm.id.clone(), facts);
         }
         let config = self.shared.config.load();
         let groups = reign.records();
-        self.reign = Some(reign);
+        self.term = Some(reign);
         FleetState {
             vms,
             groups,
@@ -291,12 +292,12 @@
         }
     }
 
-    fn note_presence(&mut self, vm: &VmId, is_seen: bool, now: Moment) {
+    fn record_presence(&mut self, vm: &VmId, is_seen: bool, now: Moment) {
         if !is_seen {
-            self.lost.entry(vm.clone()).or_insert(now);
+            self.lost_since.entry(vm.clone()).or_insert(now);
             return;
         }
-        if let Some(since) = self.lost.swap_remove(vm) {
+        if let Some(since) = self.lost_since.swap_remove(vm) {
             // What counts is when its group could serve again, which is after it has loaded anew.
             let absence = now.saturating_sub(since) + self.planner.load_time;
             self.planner.history.record(absence);
@@ -306,16 +307,16 @@
     /// Takes the next change: groups that are complete or empty first, then the plan.
     fn advance(&mut self, now: Moment, link: &ServiceLink<ControllerMessage>) {
         let is_listed = self.shared.fleet.read().is_listed;
-        if self.is_table_busy || !is_listed {
+        if self.is_change_pending || !is_listed {
             return;
         }
         let fleet = self.fleet(now, UNLIMITED_LOADS);
-        let finished = match &self.reign {
+        let finished = match &self.term {
             Some(reign) => finished_changes(reign, &fleet),
             None => return,
         };
         if !finished.rows.is_empty() {
-            self.change(finished, link);
+            self.write_changes(finished, link);
             return;
         }
         let steps = self.planner.plan(&fleet, now);
@@ -323,23 +324,23 @@
         if steps.is_empty() {
             return;
         }
-        let loads = steps.iter().map(loads_of).sum::<usize>();
-        self.is_table_busy = true;
+        let loads = steps.iter().map(load_count).sum::<usize>();
+        self.is_change_pending = true;
         let shared = Arc::clone(&self.shared);
         link.spawn(async move {
             let granted = match loads {
                 0 => 0,
                 _ => shared.platform.weights.permit(loads).await.unwrap_or(0),
             };
-            ControllerMessage::Permitted(granted)
+            ControllerMessage::LoadsGranted(granted)
         });
     }
 
     /// Plans again within the loads granted, and writes the first steps.
-    fn take_permit(&mut self, granted: usize, link: &ServiceLink<ControllerMessage>) {
-        self.is_table_busy = false;
+    fn handle_grant(&mut self, granted: usize, link: &ServiceLink<ControllerMessage>) {
+        self.is_change_pending = false;
         let now = link.now();
-        if !self.is_reigning(now) {
+        if !self.is_in_control(now) {
             return;
         }
         let fleet = self.fleet(now, granted);
@@ -352,28 +353,28 @@
                     self.preload(vm, deployment, &fleet, link);
                 }
                 _ => {
-                    if let Some(reign) = self.reign.as_mut() {
+                    if let Some(reign) = self.term.as_mut() {
                         reign.add_step(step, &mut changes);
                     }
                 }
             }
         }
         if !changes.rows.is_empty() {
-            self.change(changes, link);
+            self.write_changes(changes, link);
         }
     }
 
-    fn change(&mut self, changes: RowChanges, link: &ServiceLink<ControllerMessage>) {
-        let Some(reign) = &self.reign else {
+    fn write_changes(&mut self, changes: RowChanges, link: &ServiceLink<ControllerMessage>) {
+        let Some(reign) = &self.term else {
             return;
         };
-        self.is_table_busy = true;
+        self.is_change_pending = true;
         let request = reign.transaction(&changes);
         let epoch = reign.epoch;
         let shared = Arc::clone(&self.shared);
         link.spawn(async move {
             let result = shared.platform.table.transact(request).await;
-            ControllerMessage::Changed {
+            ControllerMessage::RowsWritten {
                 epoch,
                 changes,
                 result,
@@ -381,27 +382,27 @@
         });
     }
 
-    fn take_changed(
+    fn handle_written(
         &mut self,
         epoch: Epoch,
         changes: RowChanges,
         result: Result<TransactReply, StoreError>,
         link: &ServiceLink<ControllerMessage>,
     ) {
-        self.is_table_busy = false;
-        let Some(reign) = self.reign.as_mut().filter(|reign| reign.epoch == epoch) else {
+        self.is_change_pending = false;
+        let Some(reign) = self.term.as_mut().filter(|reign| reign.epoch == epoch) else {
             return;
         };
         match result {
             Ok(TransactReply::Committed { versions }) => {
                 reign.apply(changes, &versions);
-                self.spread_view(link);
+                self.send_view(link);
             }
             // The rows are not what this reign believed, or nobody can say: they are read anew
             // before anything else is changed or ordered.
             Ok(TransactReply::Conflict { .. }) | Err(_) => {
                 log::warn!(epoch = epoch; "change_unsettled");
-                self.drop_reign();
+                self.discard_term();
             }
         }
     }
@@ -429,7 +430,7 @@
     fn send_orders(&mut self, now: Moment, link: &ServiceLink<ControllerMessage>) {
         let view = self.shared.fleet.load();
         let ttl = self.shared.settings.gate.evidence_ttl;
-        let Some(reign) = self.reign.as_ref() else {
+        let Some(reign) = self.term.as_ref() else {
             return;
         };
         let reports = |vm: &str| fresh_report(&view, vm, now, ttl);
@@ -443,27 +444,27 @@
     fn send_order(&mut self, order: DueOrder, link: &ServiceLink<ControllerMessage>) {
         let now = link.now();
         let deadline = self.shared.settings.control.order_deadline;
-        let is_held = self.is_reigning(now);
-        let Some(reign) = self.reign.as_mut() else {
+        let is_held = self.is_in_control(now);
+        let Some(reign) = self.term.as_mut() else {
             return;
         };
         let is_due = is_held && now >= reign.orders_from;
-        if is_due && self.ordering.insert(order.vm.clone()) {
+        if is_due && self.pending_orders.insert(order.vm.clone()) {
             let doc = OrderDoc {
                 fence: reign.next_fence(),
                 action: order.action,
             };
             log::info!(vm = order.vm.as_str(), fence = doc.fence, order = order.reason; "order_sent");
-            reign.note_left(&order.vm, false);
+            reign.set_left(&order.vm, false);
             let client = self.client.clone();
             link.spawn(async move {
                 let asked = BootClock::now();
                 let url = format!("http://{}/order", order.address);
                 let result = client.call(Method::POST, &url, Some(&doc), deadline).await;
-                ControllerMessage::Ordered {
+                ControllerMessage::OrderAnswered {
                     vm: order.vm,
                     result,
-                    asked,
+                    requested_at: asked,
                 }
             });
         }
@@ -471,7 +472,7 @@
 
     /// Passes an engine's answer on as evidence, so that it is not ordered again before its next
     /// probe.
-    fn take_ordered(
+    fn handle_order_answer(
         &mut self,
         vm: VmId,
         report: Result<ReportDoc, CallError>,
@@ -480,14 +481,18 @@
     ) {
         match report {
             Ok(report) => {
-                self.ordering.swap_remove(&vm);
+                self.pending_orders.swap_remove(&vm);
                 let is_idle = report.state == StateDoc::Idle;
-                if let (true, Some(reign)) = (is_idle, self.reign.as_mut()) {
-                    reign.note_left(&vm, true);
+                if let (true, Some(reign)) = (is_idle, self.term.as_mut()) {
+                    reign.set_left(&vm, true);
                 }
                 if let Some(watch) = link.kernel().find(WATCH_SERVICE) {
                     let report = Ok(report);
-                    let _ = watch.post(WatchMessage::Probed(ProbeResult { vm, report, asked }));
+                    let _ = watch.post(WatchMessage::Probed(ProbeResult {
+                        vm,
+                        report,
+                        requested_at: asked,
+                    }));
                 }
             }
             Err(error) => {
@@ -495,7 +500,7 @@
                 // The order may still arrive; an engine that ignores fencing numbers would take it
                 // after the next one, so that one waits until it has arrived or died.
                 let bound = self.shared.settings.control.transport_bound;
-                link.later(bound, ControllerMessage::OrderDied(vm));
+                link.later(bound, ControllerMessage::OrderExpired(vm));
             }
         }
     }
@@ -507,7 +512,7 @@
         self.shared.metrics.set_lease(seen, epoch.is_some());
         self.shared.control.publish(ControlView {
             record,
-            epoch: epoch.filter(|_| self.reign.is_some()),
+            epoch: epoch.filter(|_| self.term.is_some()),
             stranded: self.account.stranded,
             downtime: self.account.downtime,
             plan: self.plan.clone(),
@@ -515,7 +520,7 @@
     }
 
     fn release(&mut self, reply: oneshot::Sender<()>, link: &ServiceLink<ControllerMessage>) {
-        self.end_reign();
+        self.end_term();
         let Some(request) = self.lease.release(link.now()) else {
             let _ = reply.send(());
             return;
@@ -548,23 +553,27 @@
                 link.later(interval, ControllerMessage::Tick);
             }
             ControllerMessage::LeaseRead(result) => {
-                self.lease.take_read(result, link.now());
+                self.lease.handle_read(result, link.now());
             }
             ControllerMessage::LeaseWritten(result) => {
-                self.lease.take_written(result, link.now());
+                self.lease.handle_written(result, link.now());
             }
-            ControllerMessage::Loaded { epoch, rows } => self.take_loaded(epoch, rows, link),
-            ControllerMessage::Permitted(granted) => self.take_permit(granted, link),
-            ControllerMessage::Changed {
+            ControllerMessage::Loaded { epoch, rows } => self.handle_loaded(epoch, rows, link),
+            ControllerMessage::LoadsGranted(granted) => self.handle_grant(granted, link),
+            ControllerMessage::RowsWritten {
                 epoch,
                 changes,
                 result,
-            } => self.take_changed(epoch, changes, result, link),
-            ControllerMessage::Ordered { vm, result, asked } => {
-                self.take_ordered(vm, result, asked, link);
+            } => self.handle_written(epoch, changes, result, link),
+            ControllerMessage::OrderAnswered {
+                vm,
+                result,
+                requested_at: asked,
+            } => {
+                self.handle_order_answer(vm, result, asked, link);
             }
-            ControllerMessage::OrderDied(vm) => {
-                self.ordering.swap_remove(&vm);
+            ControllerMessage::OrderExpired(vm) => {
+                self.pending_orders.swap_remove(&vm);
             }
             ControllerMessage::Release(reply) => self.release(reply, link),
         }
@@ -578,8 +587,8 @@
             "epoch": record.map(|record| record.epoch),
             "held_epoch": self.lease.epoch(now),
             "lease_remaining_ms": self.lease.remaining(now).as_millis(),
-            "groups": self.reign.as_ref().map_or(0, |reign| reign.groups.len()),
-            "claimed_vms": self.reign.as_ref().map_or(0, |reign| reign.claims.len()),
+            "groups": self.term.as_ref().map_or(0, |reign| reign.groups.len()),
+            "claimed_vms": self.term.as_ref().map_or(0, |reign| reign.claims.len()),
             "plan": self.plan,
             "group_downtime_s": self.account.downtime.as_secs_f64(),
             "stranded_accelerators": self.account.stranded,
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -28,7 +28,7 @@
 use crate::reply::{mark_reply, set_header, CallerFailure};
 use crate::routes::{Target, TargetId};
 use crate::shared::NodeShared;
-use crate::suspects::NodeSuspects;
+use crate::suspect_host::NodeSuspectHost;
 use crate::trace::RequestTrace;
 
 /// Time a key that settled is remembered.
@@ -57,7 +57,7 @@
     shared: Arc<NodeShared>,
     runner: AttemptRunner,
     claims: ClaimWriter,
-    suspects: Arc<NodeSuspects>,
+    suspects: Arc<NodeSuspectHost>,
     reports: RunListeners,
     keys: Arc<Mutex<ClaimCache>>,
     budget: Mutex<RetryBudget>,
@@ -83,7 +83,7 @@
         shared: Arc<NodeShared>,
         runner: AttemptRunner,
         claims: ClaimWriter,
-        suspects: Arc<NodeSuspects>,
+        suspects: Arc<NodeSuspectHost>,
         reports: RunListeners,
     ) -> Arc<Self> {
         let settings = shared.settings.requests;
@@ -254,7 +254,7 @@
                 keys.settle(row, Outcome::Unknown, now);
                 Err(CallerFailure::at(FailurePoint::KeyClaimed))
             }
-            ClaimVerdict::Unsettled => {
+            ClaimVerdict::Unknown => {
                 self.lock_keys().forget(row);
                 let failure = CallerFailure::at(FailurePoint::ClaimStore);
                 Err(failure.retry_after(std::time::Duration::from_secs(1)))
--- a/crates/node/src/board.rs
+++ b/crates/node/src/evidence_feed.rs
@@ -9,35 +9,35 @@
 
 /// What stands of a machine's evidence.
 #[derive(Clone, Debug)]
-enum BoardState {
-    Stands(MemberReport),
+enum EvidenceState {
+    Valid(MemberReport),
     Lost,
     Dropped,
 }
 
 #[derive(Clone, Debug)]
-struct BoardEntry {
-    state: BoardState,
-    asked: Moment,
-    changed: u64,
+struct EvidenceEntry {
+    state: EvidenceState,
+    requested_at: Moment,
+    change_sequence: u64,
 }
 
 /// What one node knows of machines, for others to ask.
 #[derive(Clone, Debug)]
-pub struct EvidenceBoard {
+pub struct EvidenceFeed {
     mark: EvidenceMark,
-    entries: IndexMap<VmId, BoardEntry>,
+    entries: IndexMap<VmId, EvidenceEntry>,
 }
 
-impl EvidenceBoard {
+impl EvidenceFeed {
     /// Opens an empty board of one life of a node.
     ///
     /// ```
-    /// use briarswitch_node::board::EvidenceBoard;
+    /// use briarswitch_node::evidence_feed::EvidenceFeed;
     ///
-    /// assert_eq!(EvidenceBoard::open(7).mark().incarnation, 7);
+    /// assert_eq!(EvidenceFeed::open(7).mark().incarnation, 7);
     /// ```
-    pub fn open(incarnation: Incarnation) -> Self {
+    pub fn new(incarnation: Incarnation) -> Self {
         Self {
             mark: EvidenceMark {
                 incarnation,
@@ -56,77 +56,77 @@
     pub fn record(&mut self, report: &MemberReport, asked: Moment) {
         let is_same = match self.entries.get_mut(&report.vm) {
             Some(entry) => {
-                entry.asked = asked;
-                matches!(&entry.state, BoardState::Stands(held) if is_alike(held, report))
+                entry.requested_at = asked;
+                matches!(&entry.state, EvidenceState::Valid(held) if is_equivalent(held, report))
             }
             None => false,
         };
         if is_same {
             return;
         }
-        let entry = BoardEntry {
-            state: BoardState::Stands(report.clone()),
-            asked,
-            changed: self.mark.sequence + 1,
+        let entry = EvidenceEntry {
+            state: EvidenceState::Valid(report.clone()),
+            requested_at: asked,
+            change_sequence: self.mark.sequence + 1,
         };
         self.entries.insert(report.vm.clone(), entry);
         self.mark.sequence += 1;
     }
 
     /// Notes that a machine was found gone.
-    pub fn lose(&mut self, vm: &str) {
-        self.change(vm, BoardState::Lost);
+    pub fn mark_lost(&mut self, vm: &str) {
+        self.set_state(vm, EvidenceState::Lost);
     }
 
     /// Notes that this node no longer vouches for a machine.
-    pub fn drop_vm(&mut self, vm: &str) {
-        self.change(vm, BoardState::Dropped);
+    pub fn mark_dropped(&mut self, vm: &str) {
+        self.set_state(vm, EvidenceState::Dropped);
     }
 
     /// Drops every machine whose evidence has run out at `now`.
     pub fn expire(&mut self, now: Moment, ttl: Duration) {
         let stale: Vec<VmId> = self
-            .standing()
-            .filter(|(_, entry)| now >= entry.asked + ttl)
+            .valid_entries()
+            .filter(|(_, entry)| now >= entry.requested_at + ttl)
             .map(|(vm, _)| vm.clone())
             .collect();
         for vm in stale {
-            self.drop_vm(&vm);
+            self.mark_dropped(&vm);
         }
     }
 
     /// Drops machines that are no longer watched.
     pub fn retain(&mut self, keep: impl Fn(&VmId) -> bool) {
         let gone: Vec<VmId> = self
-            .standing()
+            .valid_entries()
             .map(|(vm, _)| vm)
             .filter(|vm| !keep(vm))
             .cloned()
             .collect();
         for vm in gone {
-            self.drop_vm(&vm);
+            self.mark_dropped(&vm);
         }
     }
 
-    fn standing(&self) -> impl Iterator<Item = (&VmId, &BoardEntry)> {
+    fn valid_entries(&self) -> impl Iterator<Item = (&VmId, &EvidenceEntry)> {
         self.entries
             .iter()
-            .filter(|(_, entry)| matches!(entry.state, BoardState::Stands(_)))
+            .filter(|(_, entry)| matches!(entry.state, EvidenceState::Valid(_)))
     }
 
-    fn change(&mut self, vm: &str, state: BoardState) {
+    fn set_state(&mut self, vm: &str, state: EvidenceState) {
         let Some(entry) = self.entries.get_mut(vm) else {
             return;
         };
-        if matches!(entry.state, BoardState::Stands(_)) {
+        if matches!(entry.state, EvidenceState::Valid(_)) {
             self.mark.sequence += 1;
-            entry.changed = self.mark.sequence;
+            entry.change_sequence = self.mark.sequence;
             entry.state = state;
         }
     }
 
     /// Answers an asker that holds everything up to `mark`.
-    pub fn answer(&self, mark: EvidenceMark, now: Moment) -> EvidenceDoc {
+    pub fn changes_since(&self, mark: EvidenceMark, now: Moment) -> EvidenceDoc {
         let is_whole = mark.incarnation != self.mark.incarnation || mark.sequence == 0;
         let since = if is_whole { 0 } else { mark.sequence };
         let mut doc = EvidenceDoc {
@@ -136,16 +136,16 @@
         };
         let mut oldest = now;
         for (vm, entry) in &self.entries {
-            let is_new = entry.changed > since;
+            let is_new = entry.change_sequence > since;
             match &entry.state {
-                BoardState::Stands(report) => {
-                    oldest = oldest.min(entry.asked);
+                EvidenceState::Valid(report) => {
+                    oldest = oldest.min(entry.requested_at);
                     if is_new {
                         doc.changed.push(ReportDoc::from(report.clone()));
                     }
                 }
-                BoardState::Lost if is_new => doc.lost.push(vm.clone()),
-                BoardState::Dropped if is_new => doc.dropped.push(vm.clone()),
+                EvidenceState::Lost if is_new => doc.lost.push(vm.clone()),
+                EvidenceState::Dropped if is_new => doc.dropped.push(vm.clone()),
                 _ => {}
             }
         }
@@ -155,7 +155,7 @@
 }
 
 /// Returns whether two reports differ in nothing worth sending.
-fn is_alike(left: &MemberReport, right: &MemberReport) -> bool {
+fn is_equivalent(left: &MemberReport, right: &MemberReport) -> bool {
     let bucket = |report: &MemberReport| (report.running + report.queued).max(1).ilog2();
     left.has_same_state(right) && bucket(left) == bucket(right)
 }
--- a/crates/node/src/lease.rs
+++ b/crates/node/src/lease.rs
@@ -25,28 +25,28 @@
 
 /// One node's dealings with its zone's lease row, one call at a time.
 #[derive(Clone, Debug)]
-pub struct LeaseTender {
-    keeper: LeaseClient,
+pub struct LeaseDriver {
+    client: LeaseClient,
     node: NodeId,
     zone: ZoneId,
     incarnation: Incarnation,
     timing: LeaseTiming,
-    is_busy: bool,
+    is_call_pending: bool,
     is_leaving: bool,
     last_read: Moment,
     writes: u64,
 }
 
-impl LeaseTender {
+impl LeaseDriver {
     /// Opens a tender that holds nothing.
-    pub fn open(settings: &NodeSettings, incarnation: Incarnation) -> Self {
+    pub fn new(settings: &NodeSettings, incarnation: Incarnation) -> Self {
         Self {
-            keeper: LeaseClient::new(settings.node.clone(), incarnation, settings.lease),
+            client: LeaseClient::new(settings.node.clone(), incarnation, settings.lease),
             node: settings.node.clone(),
             zone: settings.zone.clone(),
             incarnation,
             timing: settings.lease,
-            is_busy: false,
+            is_call_pending: false,
             is_leaving: false,
             last_read: Moment::ZERO,
             writes: 0,
@@ -55,35 +55,35 @@
 
     /// Returns the epoch held at `now`, or `None`.
     pub fn epoch(&self, now: Moment) -> Option<Epoch> {
-        self.keeper.epoch(now)
+        self.client.epoch(now)
     }
 
     /// Returns how long the lease is still held at `now`.
     pub fn remaining(&self, now: Moment) -> std::time::Duration {
-        self.keeper.remaining(now)
+        self.client.remaining(now)
     }
 
     /// Returns the row as last read.
     pub fn record(&self) -> Option<&LeaseRecord> {
-        self.keeper.record()
+        self.client.record()
     }
 
     /// Returns the call that is due at `now`; its answer has to be taken before the next one.
     pub fn next_call(&mut self, now: Moment) -> Option<LeaseCall> {
-        if self.is_busy || self.is_leaving {
+        if self.is_call_pending || self.is_leaving {
             return None;
         }
         let write = self.write_id();
-        if let Some(proposal) = self.keeper.propose(write, now) {
-            self.is_busy = true;
+        if let Some(proposal) = self.client.propose(write, now) {
+            self.is_call_pending = true;
             return Some(LeaseCall::Write(self.transaction(&proposal)));
         }
         let pause = self.timing.duration / READS_PER_LEASE;
-        let is_due = self.keeper.epoch(now).is_none() && now >= self.last_read + pause;
-        if !is_due && !self.keeper.needs_read() {
+        let is_due = self.client.epoch(now).is_none() && now >= self.last_read + pause;
+        if !is_due && !self.client.needs_read() {
             return None;
         }
-        self.is_busy = true;
+        self.is_call_pending = true;
         self.last_read = now;
         Some(LeaseCall::Read(ReadRequest {
             keys: vec![lease_key(&self.zone)],
@@ -92,8 +92,8 @@
     }
 
     /// Takes in what was read.
-    pub fn take_read(&mut self, result: Result<ReadReply, StoreError>, now: Moment) {
-        self.is_busy = false;
+    pub fn handle_read(&mut self, result: Result<ReadReply, StoreError>, now: Moment) {
+        self.is_call_pending = false;
         let Ok(reply) = result else {
             return;
         };
@@ -102,12 +102,12 @@
             .and_then(|row| row_value::<LeaseDoc>(&row.value))
             .map(LeaseRecord::from);
         let version = row.map_or(0, |row| row.version);
-        self.keeper.observe(record, version, now);
+        self.client.observe(record, version, now);
     }
 
     /// Takes in what became of a write.
-    pub fn take_written(&mut self, result: Result<TransactReply, StoreError>, now: Moment) {
-        self.is_busy = false;
+    pub fn handle_written(&mut self, result: Result<TransactReply, StoreError>, now: Moment) {
+        self.is_call_pending = false;
         let answer = match result {
             Ok(TransactReply::Committed { versions }) => {
                 LeaseWriteResult::Written(versions.first().copied().unwrap_or_default())
@@ -115,14 +115,14 @@
             Ok(TransactReply::Conflict { .. }) => LeaseWriteResult::Conflict,
             Err(_) => LeaseWriteResult::Lost,
         };
-        self.keeper.record_result(answer, now);
+        self.client.record_result(answer, now);
     }
 
     /// Gives the lease up for good and returns the write that tells the others, if it was held.
     pub fn release(&mut self, now: Moment) -> Option<TransactRequest> {
         self.is_leaving = true;
         let write = self.write_id();
-        let write = self.keeper.release(write, now)?;
+        let write = self.client.release(write, now)?;
         Some(self.transaction(&write))
     }
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -16,7 +16,6 @@
 use briarswitch_platform::HttpPlatform;
 use tokio::sync::{oneshot, watch};
 
-use crate::answer::PeerSurface;
 use crate::attempt::AttemptRunner;
 use crate::caller::CallerSurface;
 use crate::claims::ClaimWriter;
@@ -24,11 +23,12 @@
 use crate::controller::{ControllerMessage, ZoneController};
 use crate::dispatch::RequestDispatcher;
 use crate::health::HealthSurface;
-use crate::operator::OperatorSurface;
+use crate::operator_api::OperatorApi;
+use crate::peer_api::PeerApi;
 use crate::peers::PeerExchange;
 use crate::settings::NodeSettings;
 use crate::shared::{NodeShared, Phase};
-use crate::suspects::NodeSuspects;
+use crate::suspect_host::NodeSuspectHost;
 use crate::usage::{UsageMessage, UsageWriter};
 use crate::watch::FleetWatcher;
 
@@ -103,16 +103,16 @@
         };
         let kernel = Kernel::spawn()?;
         kernel.mount(ConfigKeeper::open(Arc::clone(&shared)))?;
-        let watcher = kernel.mount(FleetWatcher::open(Arc::clone(&shared)))?;
-        let controller = kernel.mount(ZoneController::open(Arc::clone(&shared)))?;
-        let usage = kernel.mount(UsageWriter::open(Arc::clone(&shared)))?;
+        let watcher = kernel.mount(FleetWatcher::new(Arc::clone(&shared)))?;
+        let controller = kernel.mount(ZoneController::new(Arc::clone(&shared)))?;
+        let usage = kernel.mount(UsageWriter::new(Arc::clone(&shared)))?;
         kernel.mount(PeerExchange::open(Arc::clone(&shared)))?;
 
         let client = TargetClient::open(TargetLimits {
             connect: shared.settings.requests.connect_timeout,
             idle: IDLE_CONNECTIONS,
         });
-        let suspects = NodeSuspects::open(Arc::clone(&shared), watcher.clone());
+        let suspects = NodeSuspectHost::new(Arc::clone(&shared), watcher.clone());
         let host: Arc<dyn SuspectHost> = Arc::clone(&suspects) as Arc<dyn SuspectHost>;
         let keeper = kernel.mount(SuspectSync::new(Arc::clone(&host)))?;
         let reports = RunListeners {
@@ -125,11 +125,11 @@
             RequestDispatcher::open(Arc::clone(&shared), runner, claims, suspects, reports);
         let (stop, stopped) = watch::channel(false);
         let surface = CallerSurface::open(Arc::clone(&shared), Arc::clone(&dispatcher));
-        let peer_surface = PeerSurface::open(Arc::clone(&shared), Arc::clone(&surface));
+        let peer_surface = PeerApi::new(Arc::clone(&shared), Arc::clone(&surface));
         let servers = [
             callers.spawn(surface, stopped.clone()),
             operators.spawn(
-                OperatorSurface::open(Arc::clone(&shared), kernel.clone(), dispatcher),
+                OperatorApi::new(Arc::clone(&shared), kernel.clone(), dispatcher),
                 stopped.clone(),
             ),
             peers.spawn(peer_surface, stopped.clone()),
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator_api.rs
@@ -30,16 +30,16 @@
 const BODY_LIMIT: usize = 4 << 20;
 
 /// Answers operators.
-pub struct OperatorSurface {
+pub struct OperatorApi {
     shared: Arc<NodeShared>,
     kernel: Kernel,
     editor: ConfigEditor,
     dispatcher: Arc<RequestDispatcher>,
 }
 
-impl OperatorSurface {
+impl OperatorApi {
     /// Opens the surface.
-    pub fn open(
+    pub fn new(
         shared: Arc<NodeShared>,
         kernel: Kernel,
         dispatcher: Arc<RequestDispatcher>,
@@ -52,7 +52,7 @@
         })
     }
 
-    async fn answer(&self, request: Request) -> Response {
+    async fn respond(&self, request: Request) -> Response {
         let (head, body) = request.into_parts();
         if !is_bearer(&head.headers, &self.shared.settings.operator_token) {
             return reply_text(StatusCode::UNAUTHORIZED, "unknown operator credential");
@@ -113,7 +113,7 @@
             Err(reply) => return *reply,
         };
         let config = self.shared.config.load();
-        let facts = self.facts(request);
+        let facts = self.request_facts(request);
         let mut passed_over = Vec::new();
         let mut found = None;
         for rule in config.book.rules() {
@@ -137,7 +137,7 @@
         reply_json(StatusCode::OK, &reply)
     }
 
-    fn facts(&self, request: TryRequest) -> RequestFacts {
+    fn request_facts(&self, request: TryRequest) -> RequestFacts {
         let headers = request
             .headers
             .into_iter()
@@ -270,9 +270,9 @@
     }
 }
 
-impl Handler for OperatorSurface {
+impl Handler for OperatorApi {
     fn handle(&self, request: Request) -> BoxFuture<'_, Response> {
-        Box::pin(self.answer(request))
+        Box::pin(self.respond(request))
     }
 }
 
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -3,8 +3,8 @@
 use briarswitch_core::prelude::*;
 use briarswitch_wire::engine::{JoinDoc, OrderAction};
 
-use crate::reign::ControllerReign;
 use crate::shared::FleetView;
+use crate::term::ControllerTerm;
 
 /// An order that one machine needs.
 #[derive(Clone, Debug, PartialEq)]
@@ -24,7 +24,7 @@
 /// Orders follow from the table and the reports alone, never from what this node remembers having
 /// ordered: a member that returns after it was given up on is told what the table says of it now.
 pub fn orders_due(
-    reign: &ControllerReign,
+    reign: &ControllerTerm,
     fleet: &FleetView,
     report_of: &dyn Fn(&str) -> Option<MemberReport>,
 ) -> Vec<DueOrder> {
@@ -34,7 +34,7 @@
 }
 
 fn join_orders(
-    reign: &ControllerReign,
+    reign: &ControllerTerm,
     report_of: &dyn Fn(&str) -> Option<MemberReport>,
 ) -> Vec<DueOrder> {
     let mut orders = Vec::new();
@@ -56,7 +56,7 @@
 }
 
 fn leave_orders(
-    reign: &ControllerReign,
+    reign: &ControllerTerm,
     fleet: &FleetView,
     report_of: &dyn Fn(&str) -> Option<MemberReport>,
 ) -> Vec<DueOrder> {
@@ -89,7 +89,7 @@
 /// A report that it is idle is not enough for the latter: it may be older than an order to join that
 /// is still on its way, and the machine would be let go while it joins. The order to leave carries
 /// a higher fencing number, so once it is acknowledged the earlier one is refused.
-fn needs_leave(reign: &ControllerReign, report: &MemberReport) -> bool {
+fn needs_leave(reign: &ControllerTerm, report: &MemberReport) -> bool {
     let claim = reign.claims.get(&report.vm).map(|row| &row.value);
     let is_in_group = report.group.is_some();
     let Some(claim) = claim else {
--- a/crates/node/src/answer.rs
+++ b/crates/node/src/peer_api.rs
@@ -20,19 +20,19 @@
 const BODY_LIMIT: usize = 1 << 20;
 
 /// Answers other nodes.
-pub struct PeerSurface {
+pub struct PeerApi {
     shared: Arc<NodeShared>,
     callers: Arc<CallerSurface>,
 }
 
-impl PeerSurface {
+impl PeerApi {
     /// Opens the surface.
-    pub fn open(shared: Arc<NodeShared>, callers: Arc<CallerSurface>) -> Arc<Self> {
+    pub fn new(shared: Arc<NodeShared>, callers: Arc<CallerSurface>) -> Arc<Self> {
         Arc::new(Self { shared, callers })
     }
 
     /// Carries out a caller's request that another node passed on.
-    async fn forwarded(&self, mut request: Request) -> Response {
+    async fn handle_forwarded(&self, mut request: Request) -> Response {
         let token = request.headers_mut().remove(FORWARD_TOKEN_HEADER);
         let token = token.as_ref().and_then(|token| token.to_str().ok());
         if !token.is_some_and(|token| is_token(token, &self.shared.settings.peer_token)) {
@@ -47,7 +47,7 @@
         self.callers.handle(request).await
     }
 
-    fn answer(&self, request: ExchangeRequest) -> ExchangeReply {
+    fn respond(&self, request: ExchangeRequest) -> ExchangeReply {
         let settings = &self.shared.settings;
         let config = self.shared.config.load();
         let (entries, snapshot) = missing_config(&config, request.config);
@@ -63,12 +63,12 @@
             self.shared
                 .own_evidence
                 .read()
-                .answer(request.evidence, now)
+                .changes_since(request.evidence, now)
         } else {
             self.shared
                 .zone_evidence
                 .read()
-                .answer(request.evidence, now)
+                .changes_since(request.evidence, now)
         };
         ExchangeReply {
             node: settings.node.clone(),
@@ -98,11 +98,11 @@
     (entries.cloned().collect(), None)
 }
 
-impl Handler for PeerSurface {
+impl Handler for PeerApi {
     fn handle(&self, request: Request) -> BoxFuture<'_, Response> {
         Box::pin(async move {
             if request.uri().path().starts_with(FORWARD_PREFIX) {
-                return self.forwarded(request).await;
+                return self.handle_forwarded(request).await;
             }
             let (head, body) = request.into_parts();
             if !is_bearer(&head.headers, &self.shared.settings.peer_token) {
@@ -115,14 +115,14 @@
                 return reply_text(StatusCode::BAD_REQUEST, "unreadable body");
             };
             self.shared.metrics.add_peer_bytes(bytes.len());
-            match rmp_from(&bytes) {
-                Some(request) => reply_packed(StatusCode::OK, &self.answer(request)),
+            match unpack_request(&bytes) {
+                Some(request) => reply_packed(StatusCode::OK, &self.respond(request)),
                 None => reply_text(StatusCode::BAD_REQUEST, "unreadable request"),
             }
         })
     }
 }
 
-fn rmp_from(bytes: &[u8]) -> Option<ExchangeRequest> {
+fn unpack_request(bytes: &[u8]) -> Option<ExchangeRequest> {
     briarswitch_http::unpack(bytes).ok()
 }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -166,7 +166,7 @@
         let _ = watch.post(WatchMessage::PeerEvidence {
             node: reply.node,
             evidence: reply.evidence,
-            asked,
+            requested_at: asked,
         });
     }
 
--- a/crates/node/src/progress.rs
+++ b/crates/node/src/progress.rs
@@ -2,11 +2,11 @@
 
 use briarswitch_core::prelude::*;
 
-use crate::reign::{ControllerReign, RowChange, RowChanges};
+use crate::term::{ControllerTerm, RowChange, RowChanges};
 
 /// Returns the changes that have become due: groups that became whole, and machines of dissolved
 /// groups that acknowledged that they left, or that were replaced.
-pub fn finished_changes(reign: &ControllerReign, fleet: &FleetState) -> RowChanges {
+pub fn finished_changes(reign: &ControllerTerm, fleet: &FleetState) -> RowChanges {
     let mut changes = RowChanges::default();
     for group in fleet.groups.values() {
         match group.state {
@@ -23,7 +23,7 @@
 }
 
 fn release_members(
-    reign: &ControllerReign,
+    reign: &ControllerTerm,
     group: &GroupRecord,
     fleet: &FleetState,
     changes: &mut RowChanges,
@@ -41,10 +41,10 @@
         is_gone(facts, member.incarnation) || reign.has_left(&member.vm)
     });
     for member in left {
-        changes.rows.push(RowChange::DropClaim(member.vm.clone()));
+        changes.rows.push(RowChange::DeleteClaim(member.vm.clone()));
     }
     if stays.is_empty() {
-        changes.rows.push(RowChange::DropGroup(group.id.clone()));
+        changes.rows.push(RowChange::DeleteGroup(group.id.clone()));
     }
 }
 
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -10,7 +10,7 @@
 use briarswitch_wire::config::EntryDoc;
 use indexmap::IndexMap;
 
-use crate::board::EvidenceBoard;
+use crate::evidence_feed::EvidenceFeed;
 use crate::metrics::NodeMetrics;
 use crate::routes::RouteTable;
 use crate::settings::NodeSettings;
@@ -119,9 +119,9 @@
     /// Zones' groups.
     pub views: Snapshot<ViewBook>,
     /// Evidence gathered by this node's own probes.
-    pub own_evidence: Snapshot<EvidenceBoard>,
+    pub own_evidence: Snapshot<EvidenceFeed>,
     /// Evidence for the whole zone.
-    pub zone_evidence: Snapshot<EvidenceBoard>,
+    pub zone_evidence: Snapshot<EvidenceFeed>,
     /// Other nodes.
     pub roster: Snapshot<PeerRoster>,
     /// Machines of the zone.
@@ -148,8 +148,8 @@
             config: Snapshot::open(ConfigView::default()),
             routes: Snapshot::open(RouteTable::default()),
             views: Snapshot::open(ViewBook::default()),
-            own_evidence: Snapshot::open(EvidenceBoard::open(incarnation)),
-            zone_evidence: Snapshot::open(EvidenceBoard::open(incarnation)),
+            own_evidence: Snapshot::open(EvidenceFeed::new(incarnation)),
+            zone_evidence: Snapshot::open(EvidenceFeed::new(incarnation)),
             roster: Snapshot::open(PeerRoster::default()),
             fleet: Snapshot::open(FleetView::default()),
             control: Snapshot::open(ControlView::default()),
--- a/crates/node/src/steps.rs
+++ b/crates/node/src/steps.rs
@@ -4,7 +4,7 @@
 use briarswitch_core::prelude::*;
 
 /// Returns the loads of weights that a step may begin.
-pub fn loads_of(step: &PlanStep) -> usize {
+pub fn load_count(step: &PlanStep) -> usize {
     match step {
         PlanStep::Form { members, .. } | PlanStep::Repair { members, .. } => members.len(),
         PlanStep::Preload { .. } => 1,
--- a/crates/node/src/suspects.rs
+++ b/crates/node/src/suspect_host.rs
@@ -30,9 +30,9 @@
 /// Dates ends by the time of day, which differs little between nodes.
 ///
 /// An end counts for ten minutes; seconds by which clocks differ do not matter.
-struct DayClock;
+struct WallClock;
 
-impl StoreClock for DayClock {
+impl StoreClock for WallClock {
     fn millis(&self) -> u64 {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         u64::try_from(since.unwrap_or_default().as_millis()).unwrap_or(u64::MAX)
@@ -40,11 +40,11 @@
 }
 
 /// Keeps a row for each end of a target by each request.
-struct TableSuspects {
+struct TableSuspectRegistry {
     shared: Arc<NodeShared>,
 }
 
-impl TableSuspects {
+impl TableSuspectRegistry {
     /// Reads all rows.
     async fn read(&self) -> Result<FeedResponse, SourceError> {
         let request = ReadRequest {
@@ -65,13 +65,13 @@
     }
 }
 
-impl SuspectRegistry for TableSuspects {
+impl SuspectRegistry for TableSuspectRegistry {
     fn table(&self) -> &'static str {
         PREFIX
     }
 
     fn decode(&self, answer: &FeedResponse) -> Vec<SuspectChange> {
-        answer.rows.iter().filter_map(change).collect()
+        answer.rows.iter().filter_map(parse_change).collect()
     }
 
     fn write(&self, rows: Vec<SuspectRow>, dropped: Vec<SuspectKey>) -> SourceFuture<'_, ()> {
@@ -94,7 +94,7 @@
     SourceError::Unavailable(error.to_string())
 }
 
-fn change(row: &FeedRow) -> Option<SuspectChange> {
+fn parse_change(row: &FeedRow) -> Option<SuspectChange> {
     let key = row.key.strip_prefix(PREFIX)?.to_owned();
     let value = serde_json::from_slice::<SuspectValue>(row.value.as_ref()?).ok();
     let row_read = value.and_then(|value| SuspectRow::try_from(SuspectRecord { key, value }).ok());
@@ -105,36 +105,36 @@
 }
 
 /// What this node remembers, and how it finds out whether targets live.
-pub struct NodeSuspects {
+pub struct NodeSuspectHost {
     shared: Arc<NodeShared>,
-    board: SuspectLedger,
-    rows: TableSuspects,
+    ledger: SuspectLedger,
+    registry: TableSuspectRegistry,
     watch: Mailbox<WatchMessage>,
-    ends_seen: AtomicU64,
+    crashes_seen: AtomicU64,
 }
 
-impl NodeSuspects {
+impl NodeSuspectHost {
     /// Opens a memory of nothing that tells `watch` of targets that have ended.
-    pub fn open(shared: Arc<NodeShared>, watch: Mailbox<WatchMessage>) -> Arc<Self> {
+    pub fn new(shared: Arc<NodeShared>, watch: Mailbox<WatchMessage>) -> Arc<Self> {
         Arc::new(Self {
-            board: SuspectLedger::new(Arc::new(DayClock)),
-            rows: TableSuspects {
+            ledger: SuspectLedger::new(Arc::new(WallClock)),
+            registry: TableSuspectRegistry {
                 shared: Arc::clone(&shared),
             },
             shared,
             watch,
-            ends_seen: AtomicU64::new(0),
+            crashes_seen: AtomicU64::new(0),
         })
     }
 }
 
-impl SuspectHost for NodeSuspects {
+impl SuspectHost for NodeSuspectHost {
     fn suspects(&self) -> &SuspectLedger {
-        &self.board
+        &self.ledger
     }
 
     fn registry(&self) -> &dyn SuspectRegistry {
-        &self.rows
+        &self.registry
     }
 
     /// Reads the whole table each time, as often as the configuration is looked at.
@@ -147,7 +147,7 @@
             if mark.is_some() {
                 tokio::time::sleep(self.shared.settings.control.config_poll).await;
             }
-            self.rows.read().await
+            self.registry.read().await
         })
     }
 
@@ -182,7 +182,7 @@
 
     fn crash_count(&self) -> CrashCount {
         CrashCount {
-            crashes: self.ends_seen.load(Ordering::Relaxed),
+            crashes: self.crashes_seen.load(Ordering::Relaxed),
             targets: self.shared.fleet.read().vms.len(),
         }
     }
@@ -199,7 +199,7 @@
 
     fn count(&self, event: SuspectEvent) {
         if matches!(event, SuspectEvent::TargetCrashed(_)) {
-            self.ends_seen.fetch_add(1, Ordering::Relaxed);
+            self.crashes_seen.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
--- a/crates/node/src/reign.rs
+++ b/crates/node/src/term.rs
@@ -15,7 +15,7 @@
 
 /// A row and its version.
 #[derive(Clone, Debug)]
-pub struct HeldRow<T> {
+pub struct VersionedRow<T> {
     /// Value of the row.
     pub value: T,
     /// Version of the row.
@@ -28,11 +28,11 @@
     /// A group's row.
     Group(GroupRecord),
     /// A group's row is deleted.
-    DropGroup(GroupId),
+    DeleteGroup(GroupId),
     /// A machine is claimed.
     Claim(VmId, VmClaimDoc),
     /// A machine's claim is deleted.
-    DropClaim(VmId),
+    DeleteClaim(VmId),
 }
 
 /// Rows that change together.
@@ -57,40 +57,40 @@
 /// anew would repeat fencing numbers, views and group names of the same epoch: engines would refuse
 /// the orders and nodes ignore the views.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ReignCounts {
-    sequence: u64,
-    orders: u64,
-    formed: u64,
+pub struct TermCounters {
+    view_sequence: u64,
+    orders_sent: u64,
+    groups_formed: u64,
 }
 
 /// The zone's rows as the holder of one epoch knows them.
 #[derive(Clone, Debug)]
-pub struct ControllerReign {
+pub struct ControllerTerm {
     /// Zone.
     pub zone: ZoneId,
     /// Epoch held.
     pub epoch: Epoch,
     /// Version of the row that changes only with the holder.
-    pub epoch_row: RowVersion,
+    pub epoch_row_version: RowVersion,
     /// Groups by name.
-    pub groups: IndexMap<GroupId, HeldRow<GroupRecord>>,
+    pub groups: IndexMap<GroupId, VersionedRow<GroupRecord>>,
     /// Claimed machines by name.
-    pub claims: IndexMap<VmId, HeldRow<VmClaimDoc>>,
+    pub claims: IndexMap<VmId, VersionedRow<VmClaimDoc>>,
     /// Local time before which no order is sent.
     pub orders_from: Moment,
     /// Machines that acknowledged an order to leave and were not ordered to join since.
-    left: IndexSet<VmId>,
-    counts: ReignCounts,
+    left_vms: IndexSet<VmId>,
+    counters: TermCounters,
 }
 
-impl ControllerReign {
+impl ControllerTerm {
     /// Opens a reign from the zone's rows, or returns `None` when they show another holder.
-    pub fn open(
+    pub fn from_rows(
         zone: &str,
         epoch: Epoch,
         reply: &ReadReply,
         orders_from: Moment,
-        counts: ReignCounts,
+        counts: TermCounters,
     ) -> Option<Self> {
         let epoch_row = reply.rows.iter().find(|row| row.key == epoch_key(zone))?;
         let holder: briarswitch_wire::platform::EpochDoc = row_value(&epoch_row.value)?;
@@ -100,13 +100,13 @@
         let mut reign = Self {
             zone: zone.to_owned(),
             epoch,
-            epoch_row: epoch_row.version,
+            epoch_row_version: epoch_row.version,
             groups: IndexMap::new(),
             claims: IndexMap::new(),
             orders_from,
-            left: IndexSet::new(),
-            counts: ReignCounts {
-                sequence: counts.sequence + 1,
+            left_vms: IndexSet::new(),
+            counters: TermCounters {
+                view_sequence: counts.view_sequence + 1,
                 ..counts
             },
         };
@@ -117,41 +117,41 @@
                 let value = GroupRecord::from(row_value::<GroupDoc>(&row.value)?);
                 reign
                     .groups
-                    .insert(id.to_owned(), HeldRow { value, version });
+                    .insert(id.to_owned(), VersionedRow { value, version });
             } else if let Some(id) = row.key.strip_prefix(&vms) {
                 let value = row_value::<VmClaimDoc>(&row.value)?;
                 reign
                     .claims
-                    .insert(id.to_owned(), HeldRow { value, version });
+                    .insert(id.to_owned(), VersionedRow { value, version });
             }
         }
         Some(reign)
     }
 
     /// Returns the counts, for the next reign of this process.
-    pub fn counts(&self) -> ReignCounts {
-        self.counts
+    pub fn counters(&self) -> TermCounters {
+        self.counters
     }
 
     /// Returns the next fencing number: it rises with each order, so that an order held up on its
     /// way is refused once a later one of the same epoch has arrived.
     pub fn next_fence(&mut self) -> Epoch {
-        self.counts.orders += 1;
-        (self.epoch << ORDER_BITS) | self.counts.orders
+        self.counters.orders_sent += 1;
+        (self.epoch << ORDER_BITS) | self.counters.orders_sent
     }
 
     /// Notes that a machine acknowledged an order to leave, or is about to be ordered to join.
-    pub fn note_left(&mut self, vm: &str, has_left: bool) {
+    pub fn set_left(&mut self, vm: &str, has_left: bool) {
         if has_left {
-            self.left.insert(vm.to_owned());
+            self.left_vms.insert(vm.to_owned());
         } else {
-            self.left.swap_remove(vm);
+            self.left_vms.swap_remove(vm);
         }
     }
 
     /// Returns whether a machine acknowledged an order to leave and was not ordered to join since.
     pub fn has_left(&self, vm: &str) -> bool {
-        self.left.contains(vm)
+        self.left_vms.contains(vm)
     }
 
     /// Returns the groups without their row versions.
@@ -167,7 +167,7 @@
         ZoneView {
             zone: self.zone.clone(),
             epoch: self.epoch,
-            sequence: self.counts.sequence,
+            sequence: self.counters.view_sequence,
             groups: self.records(),
         }
     }
@@ -180,10 +180,10 @@
                 members,
                 ..
             } => {
-                self.counts.formed += 1;
+                self.counters.groups_formed += 1;
                 let id = format!(
                     "{}-{deployment}-{}-{}",
-                    self.zone, self.epoch, self.counts.formed
+                    self.zone, self.epoch, self.counters.groups_formed
                 );
                 let deployment = deployment.clone();
                 let group = GroupRecord::forming(id, deployment, members.clone(), self.epoch);
@@ -193,7 +193,7 @@
             PlanStep::Repair { group, members, .. } => {
                 if let Some(row) = self.groups.get(group) {
                     let group = row.value.clone();
-                    self.mend(&group, members, changes);
+                    self.repair(&group, members, changes);
                 }
             }
             // Weights are loaded by an order alone.
@@ -212,14 +212,15 @@
     /// Builds the transaction for some changes, on the condition that the epoch still stands and
     /// that every row touched is as this reign knows it.
     pub fn transaction(&self, changes: &RowChanges) -> TransactRequest {
-        let mut builder = TransactBuilder::default().check(epoch_key(&self.zone), self.epoch_row);
+        let mut builder =
+            TransactBuilder::default().check(epoch_key(&self.zone), self.epoch_row_version);
         for change in &changes.rows {
             let key = self.key_of(change);
             builder = builder.check(&key, self.version_of(change));
             builder = match change {
                 RowChange::Group(group) => builder.put(key, &GroupDoc::from(group)),
                 RowChange::Claim(_, claim) => builder.put(key, claim),
-                RowChange::DropGroup(_) | RowChange::DropClaim(_) => builder.delete(key),
+                RowChange::DeleteGroup(_) | RowChange::DeleteClaim(_) => builder.delete(key),
             };
         }
         builder.build()
@@ -232,31 +233,31 @@
             match change {
                 RowChange::Group(value) => {
                     self.groups
-                        .insert(value.id.clone(), HeldRow { value, version });
+                        .insert(value.id.clone(), VersionedRow { value, version });
                 }
-                RowChange::DropGroup(id) => {
+                RowChange::DeleteGroup(id) => {
                     self.groups.shift_remove(&id);
                 }
                 RowChange::Claim(vm, value) => {
-                    self.claims.insert(vm, HeldRow { value, version });
+                    self.claims.insert(vm, VersionedRow { value, version });
                 }
-                RowChange::DropClaim(vm) => {
+                RowChange::DeleteClaim(vm) => {
                     self.claims.shift_remove(&vm);
                 }
             }
         }
-        self.counts.sequence += 1;
+        self.counters.view_sequence += 1;
     }
 
     /// Gives a group new members. A machine that leaves it is free only once it reports itself
     /// idle, and its claim is dropped only if it is still this group's.
-    fn mend(&self, group: &GroupRecord, members: &[GroupMember], changes: &mut RowChanges) {
+    fn repair(&self, group: &GroupRecord, members: &[GroupMember], changes: &mut RowChanges) {
         for old in &group.members {
             let stays = members.iter().any(|member| member.vm == old.vm);
             let claim = self.claims.get(&old.vm);
             let is_held = claim.is_some_and(|row| row.value.group == group.id);
             if !stays && is_held && !changes.claims(&old.vm) {
-                changes.rows.push(RowChange::DropClaim(old.vm.clone()));
+                changes.rows.push(RowChange::DeleteClaim(old.vm.clone()));
             }
         }
         let mended = GroupRecord {
@@ -273,16 +274,16 @@
     fn key_of(&self, change: &RowChange) -> String {
         match change {
             RowChange::Group(group) => group_key(&self.zone, &group.id),
-            RowChange::DropGroup(id) => group_key(&self.zone, id),
-            RowChange::Claim(vm, _) | RowChange::DropClaim(vm) => vm_key(&self.zone, vm),
+            RowChange::DeleteGroup(id) => group_key(&self.zone, id),
+            RowChange::Claim(vm, _) | RowChange::DeleteClaim(vm) => vm_key(&self.zone, vm),
         }
     }
 
     fn version_of(&self, change: &RowChange) -> RowVersion {
         match change {
             RowChange::Group(group) => self.groups.get(&group.id).map_or(0, |row| row.version),
-            RowChange::DropGroup(id) => self.groups.get(id).map_or(0, |row| row.version),
-            RowChange::Claim(vm, _) | RowChange::DropClaim(vm) => {
+            RowChange::DeleteGroup(id) => self.groups.get(id).map_or(0, |row| row.version),
+            RowChange::Claim(vm, _) | RowChange::DeleteClaim(vm) => {
                 self.claims.get(vm).map_or(0, |row| row.version)
             }
         }
--- a/crates/node/src/usage.rs
+++ b/crates/node/src/usage.rs
@@ -85,7 +85,7 @@
 
 impl UsageWriter {
     /// Opens a writer that has written nothing.
-    pub fn open(shared: Arc<NodeShared>) -> Self {
+    pub fn new(shared: Arc<NodeShared>) -> Self {
         Self {
             shared,
             sequence: 0,
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -14,7 +14,7 @@
 use indexmap::{IndexMap, IndexSet};
 use serde_json::{json, Value};
 
-use crate::board::EvidenceBoard;
+use crate::evidence_feed::EvidenceFeed;
 use crate::routes::RouteTable;
 use crate::shared::{FleetView, NodeShared, ViewBook};
 
@@ -31,7 +31,7 @@
     /// The list of machines.
     Listed(Result<Vec<Vm>, StoreError>),
     /// Time to probe the machines this node watches.
-    Round,
+    ProbeRound,
     /// What one machine said.
     Probed(ProbeResult),
     /// What a peer knows.
@@ -41,7 +41,7 @@
         /// What it said.
         evidence: EvidenceDoc,
         /// Local time before the peer was asked.
-        asked: Moment,
+        requested_at: Moment,
     },
     /// A zone's groups, from its controller or a peer.
     View(ZoneView),
@@ -71,12 +71,12 @@
     /// Its report, or why there is none.
     pub report: Result<ReportDoc, CallError>,
     /// Local time before the probe was sent.
-    pub asked: Moment,
+    pub requested_at: Moment,
 }
 
 /// Machines one peer vouches for.
 #[derive(Default)]
-struct PeerBoard {
+struct PeerReports {
     reports: IndexMap<VmId, MemberReport>,
 }
 
@@ -84,21 +84,21 @@
 pub struct FleetWatcher {
     shared: Arc<NodeShared>,
     client: CallerClient,
-    ledger: EvidenceCache,
+    evidence: EvidenceCache,
     fleet: FleetView,
     /// Machines of other zones that peers vouch for are routed to through the views alone.
     views: ViewBook,
-    own: EvidenceBoard,
-    zone: EvidenceBoard,
-    peers: IndexMap<NodeId, PeerBoard>,
+    own_feed: EvidenceFeed,
+    zone_feed: EvidenceFeed,
+    peers: IndexMap<NodeId, PeerReports>,
     leaving: IndexSet<(VmId, Incarnation)>,
     probing: IndexSet<VmId>,
-    news: WatchNews,
+    pending_update: PendingUpdate,
 }
 
 /// What has to be published.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-enum WatchNews {
+enum PendingUpdate {
     None,
     /// Evidence was renewed, which may wait a little: publishing is work for every machine, and
     /// done for each report it would grow with their square.
@@ -109,19 +109,19 @@
 
 impl FleetWatcher {
     /// Opens a watcher that has seen nothing.
-    pub fn open(shared: Arc<NodeShared>) -> Self {
+    pub fn new(shared: Arc<NodeShared>) -> Self {
         let incarnation = shared.incarnation;
         Self {
-            ledger: EvidenceCache::new(shared.settings.gate.evidence_ttl),
+            evidence: EvidenceCache::new(shared.settings.gate.evidence_ttl),
             client: CallerClient::open(Codec::Json, None),
             fleet: FleetView::default(),
             views: ViewBook::default(),
-            own: EvidenceBoard::open(incarnation),
-            zone: EvidenceBoard::open(incarnation),
+            own_feed: EvidenceFeed::new(incarnation),
+            zone_feed: EvidenceFeed::new(incarnation),
             peers: IndexMap::new(),
             leaving: IndexSet::new(),
             probing: IndexSet::new(),
-            news: WatchNews::None,
+            pending_update: PendingUpdate::None,
             shared,
         }
     }
@@ -134,7 +134,7 @@
         });
     }
 
-    fn take_list(&mut self, vms: Vec<Vm>) {
+    fn apply_list(&mut self, vms: Vec<Vm>) {
         for vm in &vms {
             if vm.status == VmStatus::Leaving {
                 self.mark_leaving(&vm.id, vm.incarnation);
@@ -150,7 +150,7 @@
         };
         self.leaving
             .retain(|(vm, _)| fleet.vms.contains_key(vm) || is_member(vm));
-        self.note(WatchNews::Changed);
+        self.mark_pending(PendingUpdate::Changed);
     }
 
     /// Marks a machine as leaving for the rest of its life.
@@ -160,7 +160,7 @@
     fn mark_leaving(&mut self, vm: &str, incarnation: Incarnation) {
         if self.leaving.insert((vm.to_owned(), incarnation)) {
             log::info!(vm = vm, incarnation = incarnation; "vm_leaving");
-            self.note(WatchNews::Changed);
+            self.mark_pending(PendingUpdate::Changed);
         }
     }
 
@@ -185,10 +185,10 @@
             .collect()
     }
 
-    fn start_round(&mut self, link: &ServiceLink<WatchMessage>) {
+    fn start_probe_round(&mut self, link: &ServiceLink<WatchMessage>) {
         let now = link.now();
         let watched = self.watched(now);
-        self.own
+        self.own_feed
             .retain(|vm| watched.iter().any(|(other, _)| other == vm));
         let interval = self.shared.settings.gate.probe_interval;
         let timeout = self.shared.settings.gate.probe_timeout;
@@ -207,63 +207,66 @@
             });
         }
         self.expire(now);
-        link.later(interval, WatchMessage::Round);
+        link.later(interval, WatchMessage::ProbeRound);
     }
 
     fn expire(&mut self, now: Moment) {
         let ttl = self.shared.settings.gate.evidence_ttl;
-        self.ledger.prune(now);
-        self.own.expire(now, ttl);
-        self.zone.expire(now, ttl);
-        self.note(WatchNews::Renewed);
+        self.evidence.prune(now);
+        self.own_feed.expire(now, ttl);
+        self.zone_feed.expire(now, ttl);
+        self.mark_pending(PendingUpdate::Renewed);
     }
 
-    fn take_probe(&mut self, result: ProbeResult) {
+    fn handle_probe(&mut self, result: ProbeResult) {
         self.probing.swap_remove(&result.vm);
         match result.report {
             Ok(doc) if doc.vm == result.vm => {
                 let report = MemberReport::from(doc);
-                self.own.record(&report, result.asked);
-                self.learn(report, result.asked);
+                self.own_feed.record(&report, result.requested_at);
+                self.record_report(report, result.requested_at);
             }
             // Another machine answers at the address: the one asked for is not there any more.
-            Ok(_) => self.lose(&result.vm, result.asked),
+            Ok(_) => self.mark_lost(&result.vm, result.requested_at),
             Err(CallError::Lost(text)) if is_refusal(&text) => {
-                self.lose(&result.vm, result.asked);
+                self.mark_lost(&result.vm, result.requested_at);
             }
             Err(_) => {}
         }
     }
 
-    fn learn(&mut self, report: MemberReport, asked: Moment) {
+    fn record_report(&mut self, report: MemberReport, asked: Moment) {
         let now = BootClock::now();
-        let held = self.ledger.fresh(&report.vm, now).map(|held| &held.report);
+        let held = self
+            .evidence
+            .fresh(&report.vm, now)
+            .map(|held| &held.report);
         let is_same = held.is_some_and(|held| held.has_same_state(&report));
-        self.note(if is_same {
-            WatchNews::Renewed
+        self.mark_pending(if is_same {
+            PendingUpdate::Renewed
         } else {
-            WatchNews::Changed
+            PendingUpdate::Changed
         });
         let is_local = self.fleet.vms.contains_key(&report.vm);
         if is_local {
-            self.zone.record(&report, asked);
+            self.zone_feed.record(&report, asked);
         }
-        self.ledger.record(report, asked);
+        self.evidence.record(report, asked);
     }
 
-    fn note(&mut self, news: WatchNews) {
-        self.news = self.news.max(news);
+    fn mark_pending(&mut self, news: PendingUpdate) {
+        self.pending_update = self.pending_update.max(news);
     }
 
-    fn lose(&mut self, vm: &str, at: Moment) {
+    fn mark_lost(&mut self, vm: &str, at: Moment) {
         log::debug!(vm = vm; "evidence_lost");
-        self.own.lose(vm);
-        self.zone.lose(vm);
-        self.ledger.revoke(vm, at);
-        self.note(WatchNews::Changed);
+        self.own_feed.mark_lost(vm);
+        self.zone_feed.mark_lost(vm);
+        self.evidence.revoke(vm, at);
+        self.mark_pending(PendingUpdate::Changed);
     }
 
-    fn take_peer(&mut self, node: NodeId, evidence: EvidenceDoc, asked: Moment) {
+    fn apply_peer_evidence(&mut self, node: NodeId, evidence: EvidenceDoc, asked: Moment) {
         let age = Duration::from_millis(u64::from(evidence.age_ms));
         let true_at = asked.saturating_sub(age);
         let board = self.peers.entry(node).or_default();
@@ -281,24 +284,24 @@
         for vm in evidence.lost {
             // The peer had found it gone by the time it answered, which was after it was asked;
             // only evidence that is newer than that stands.
-            self.ledger.revoke(&vm, asked);
+            self.evidence.revoke(&vm, asked);
         }
         for report in reports {
-            self.learn(report, true_at);
+            self.record_report(report, true_at);
         }
     }
 
-    fn take_view(&mut self, view: ZoneView) {
+    fn apply_view(&mut self, view: ZoneView) {
         let held = self.views.entry(view.zone.clone()).or_default();
         if !held.adopt(view) {
             return;
         }
-        self.note(WatchNews::Changed);
+        self.mark_pending(PendingUpdate::Changed);
         self.shared.views.publish(self.views.clone());
     }
 
     fn publish(&mut self, now: Moment) {
-        self.news = WatchNews::None;
+        self.pending_update = PendingUpdate::None;
         let config = self.shared.config.load();
         let leaving = &self.leaving;
         let is_leaving =
@@ -307,13 +310,13 @@
             &config.book,
             &self.views,
             &self.fleet.vms,
-            &self.ledger,
+            &self.evidence,
             &is_leaving,
             now,
         );
         self.shared.routes.publish(routes);
         self.fleet.reports = self
-            .ledger
+            .evidence
             .fresh_entries(now)
             .map(|held| {
                 (
@@ -329,8 +332,8 @@
             }
         }
         self.shared.fleet.publish(fleet);
-        self.shared.own_evidence.publish(self.own.clone());
-        self.shared.zone_evidence.publish(self.zone.clone());
+        self.shared.own_evidence.publish(self.own_feed.clone());
+        self.shared.zone_evidence.publish(self.zone_feed.clone());
     }
 }
 
@@ -343,7 +346,7 @@
 
     fn start(&mut self, link: &ServiceLink<WatchMessage>) {
         self.list(link);
-        link.later(Duration::ZERO, WatchMessage::Round);
+        link.later(Duration::ZERO, WatchMessage::ProbeRound);
         link.later(PUBLISH_INTERVAL, WatchMessage::Publish);
     }
 
@@ -352,28 +355,28 @@
             WatchMessage::List => self.list(link),
             WatchMessage::Listed(result) => {
                 if let Ok(vms) = result {
-                    self.take_list(vms);
+                    self.apply_list(vms);
                 }
                 link.later(self.shared.settings.control.list_poll, WatchMessage::List);
             }
-            WatchMessage::Round => self.start_round(link),
-            WatchMessage::Probed(result) => self.take_probe(result),
+            WatchMessage::ProbeRound => self.start_probe_round(link),
+            WatchMessage::Probed(result) => self.handle_probe(result),
             WatchMessage::PeerEvidence {
                 node,
                 evidence,
-                asked,
-            } => self.take_peer(node, evidence, asked),
-            WatchMessage::View(view) => self.take_view(view),
-            WatchMessage::Failed { vm, at } => self.lose(&vm, at),
+                requested_at: asked,
+            } => self.apply_peer_evidence(node, evidence, asked),
+            WatchMessage::View(view) => self.apply_view(view),
+            WatchMessage::Failed { vm, at } => self.mark_lost(&vm, at),
             WatchMessage::Leaving { vm, incarnation } => self.mark_leaving(&vm, incarnation),
             WatchMessage::Publish => {
-                if self.news > WatchNews::None {
+                if self.pending_update > PendingUpdate::None {
                     self.publish(link.now());
                 }
                 link.later(PUBLISH_INTERVAL, WatchMessage::Publish);
             }
         }
-        if self.news == WatchNews::Changed {
+        if self.pending_update == PendingUpdate::Changed {
             self.publish(link.now());
         }
     }
@@ -381,7 +384,7 @@
     fn dump(&self) -> Value {
         let now = BootClock::now();
         let evidence: IndexMap<&VmId, u128> = self
-            .ledger
+            .evidence
             .fresh_entries(now)
             .map(|held| (&held.report.vm, (now - held.requested_at).as_millis()))
             .collect();
@@ -389,7 +392,7 @@
             .views
             .values()
             .flat_map(|view| view.groups.values().map(move |group| (view, group)))
-            .map(|(view, group)| dump_group(view, group, &self.ledger, now))
+            .map(|(view, group)| dump_group(view, group, &self.evidence, now))
             .collect();
         json!({
             "listed": self.fleet.is_listed,
@@ -418,7 +421,11 @@
     let asked = BootClock::now();
     let url = format!("http://{address}/report");
     let report = client.call(Method::GET, &url, None::<&()>, timeout).await;
-    WatchMessage::Probed(ProbeResult { vm, report, asked })
+    WatchMessage::Probed(ProbeResult {
+        vm,
+        report,
+        requested_at: asked,
+    })
 }
 
 /// Returns whether an error shows that nothing listens at the address, as opposed to silence.
