--- a/crates/node/src/controller.rs
+++ b/crates/node/src/controller.rs
@@ -1,4 +1,4 @@
-//! The service that holds the zone's lease, plans its groups and orders its engines.
+//! Zone controller service: holds the zone's lease, plans its groups and sends orders to its engines.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,56 +24,56 @@
 use crate::term::{ControllerTerm, RowChanges, TermCounters};
 use crate::watch::{ProbeResult, WatchMessage, WATCH_SERVICE};
 
-/// Name of the service.
+/// Name under which the service is registered in the kernel.
 pub const CONTROLLER_SERVICE: &str = "controller";
-/// Steps of a plan carried out in one transaction.
-const STEPS_PER_WRITE: usize = 8;
-/// Loads assumed possible when the planner is only asked what it would do.
+/// Maximum number of plan steps written in one transaction.
+const MAX_STEPS_PER_WRITE: usize = 8;
+/// Load budget of the planning run that finds out how many loads to request.
 const UNLIMITED_LOADS: usize = usize::MAX;
 
-/// What the service is sent.
+/// Messages handled by [`ZoneController`].
 #[derive(Debug)]
 pub enum ControllerMessage {
-    /// Time for the next round.
+    /// Runs one control round; scheduled every `control.plan_interval_ms`.
     Tick,
-    /// What was read of the lease.
+    /// Result of reading the lease row.
     LeaseRead(Result<ReadReply, StoreError>),
-    /// What became of a write of the lease.
+    /// Result of writing the lease row.
     LeaseWritten(Result<TransactReply, StoreError>),
-    /// The zone's rows.
+    /// Result of reading the zone's group and claim rows.
     Loaded {
-        /// Epoch they were read for.
+        /// Epoch held when the read was started.
         epoch: Epoch,
-        /// Rows.
+        /// Group and claim rows, with the epoch row.
         rows: Result<ReadReply, StoreError>,
     },
-    /// Loads that may begin.
+    /// Number of weight loads that the platform permits to start.
     LoadsGranted(usize),
-    /// What became of a change.
+    /// Result of a transaction on group and claim rows.
     RowsWritten {
-        /// Epoch it was made in.
+        /// Epoch in which the transaction was built.
         epoch: Epoch,
-        /// Rows changed.
+        /// Changes in the transaction.
         changes: RowChanges,
-        /// What the table said.
+        /// Reply of the table.
         result: Result<TransactReply, StoreError>,
     },
-    /// What an engine said to an order.
+    /// Result of an order sent to an engine.
     OrderAnswered {
-        /// Machine.
+        /// VM that the order was sent to.
         vm: VmId,
-        /// Its report after the order.
+        /// Report of the engine after the order.
         result: Result<ReportDoc, CallError>,
         /// Local time before the order was sent.
         requested_at: Moment,
     },
-    /// An order that was not answered has arrived or died by now.
+    /// The transport bound has passed since an order failed, so it can no longer arrive.
     OrderExpired(VmId),
-    /// The process ends: give the lease up.
+    /// Releases the lease because the process is shutting down.
     Release(oneshot::Sender<()>),
 }
 
-/// Controls one zone while it holds the lease.
+/// Controls one zone while this node holds the zone's lease.
 pub struct ZoneController {
     shared: Arc<NodeShared>,
     client: CallerClient,
@@ -90,7 +90,7 @@
 }
 
 impl ZoneController {
-    /// Opens a controller that holds nothing.
+    /// Creates a controller that does not hold the lease.
     pub fn new(shared: Arc<NodeShared>) -> Self {
         let settings = &shared.settings;
         let control = settings.control;
@@ -115,8 +115,8 @@
         self.start_lease_call(now, link);
         self.update_term(now, link);
         if self.is_in_control(now) {
-            if let Some(reign) = &self.term {
-                self.account.count(&self.shared, reign, now);
+            if let Some(term) = &self.term {
+                self.account.count(&self.shared, term, now);
             }
             self.send_orders(now, link);
             self.advance(now, link);
@@ -130,13 +130,13 @@
         &self.shared.settings.zone
     }
 
-    /// Returns whether this node holds the lease now and knows the zone's rows.
+    /// Returns whether this node holds the lease at `now` and has loaded the zone's rows.
     fn is_in_control(&self, now: Moment) -> bool {
         let held = self.lease.epoch(now);
-        held.is_some() && self.term.as_ref().map(|reign| reign.epoch) == held
+        held.is_some() && self.term.as_ref().map(|term| term.epoch) == held
     }
 
-    /// Reads or writes the lease's row when that is due.
+    /// Starts the read or write of the lease row that is due, if any.
     fn start_lease_call(&mut self, now: Moment, link: &ServiceLink<ControllerMessage>) {
         let Some(call) = self.lease.next_call(now) else {
             return;
@@ -153,12 +153,12 @@
         });
     }
 
-    /// Begins a reign when the lease was won, and ends it when the lease is over.
+    /// Starts a term after the lease was acquired, and ends it when the lease is lost.
     fn update_term(&mut self, now: Moment, link: &ServiceLink<ControllerMessage>) {
         let held = self.lease.epoch(now);
-        let reigned = self.term.as_ref().map(|reign| reign.epoch);
-        if reigned.is_some() && reigned != held {
-            log::warn!(epoch = reigned; "lease_lost");
+        let term_epoch = self.term.as_ref().map(|term| term.epoch);
+        if term_epoch.is_some() && term_epoch != held {
+            log::warn!(epoch = term_epoch; "lease_lost");
             self.end_term();
         }
         let Some(epoch) = held else {
@@ -177,8 +177,8 @@
     }
 
     fn discard_term(&mut self) {
-        if let Some(reign) = self.term.take() {
-            self.counters = reign.counters();
+        if let Some(term) = self.term.take() {
+            self.counters = term.counters();
         }
     }
 
@@ -212,17 +212,17 @@
         let orders_from = now + self.order_wait();
         self.term =
             ControllerTerm::from_rows(self.zone(), epoch, &rows, orders_from, self.counters);
-        if let Some(reign) = &self.term {
-            log::info!(epoch = epoch, groups = reign.groups.len(); "lease_won");
+        if let Some(term) = &self.term {
+            log::info!(epoch = epoch, groups = term.groups.len(); "lease_won");
         }
         self.send_view(link);
     }
 
-    /// Returns how long a new holder waits before its first order.
+    /// Returns how long a new holder waits before it sends its first order.
     ///
-    /// Engines that ignore fencing numbers would take an order that the last holder sent just
-    /// before its lease ended, so that one has to have arrived or died first. Where every engine
-    /// checks, nothing needs waiting for.
+    /// An engine that does not check fencing numbers would accept an order that the previous holder
+    /// sent just before its lease expired. The new holder therefore waits until such an order has
+    /// arrived or can no longer arrive. If all engines check fencing numbers, no wait is needed.
     fn order_wait(&self) -> Duration {
         let config = self.shared.config.read();
         let all_check = config.book.deployments().values().all(|deployment| {
@@ -244,33 +244,33 @@
     }
 
     fn send_view(&self, link: &ServiceLink<ControllerMessage>) {
-        let Some(reign) = &self.term else {
+        let Some(term) = &self.term else {
             return;
         };
         if let Some(watch) = link.kernel().find(WATCH_SERVICE) {
-            let _ = watch.post(WatchMessage::View(reign.view()));
+            let _ = watch.post(WatchMessage::View(term.view()));
         }
     }
 
-    /// Returns the zone's fleet as the planner sees it, and learns from who came back.
+    /// Builds the planner's input, and records the outages of claimed VMs that have returned.
     fn fleet(&mut self, now: Moment, load_budget: usize) -> FleetState {
         let view = self.shared.fleet.load();
         let ttl = self.shared.settings.gate.evidence_ttl;
-        let Some(reign) = self.term.take() else {
+        let Some(term) = self.term.take() else {
             return FleetState::default();
         };
         let mut vms = IndexMap::new();
         for vm in view.vms.values() {
             let report = fresh_report(&view, &vm.id, now, ttl);
-            // A claim of an earlier life says nothing of the machine that took its name.
-            let claim = reign.claims.get(&vm.id).map(|row| &row.value);
+            // A claim made for another incarnation does not apply to the VM that has the name now.
+            let claim = term.claims.get(&vm.id).map(|row| &row.value);
             let claimed = claim
                 .filter(|claim| claim.incarnation == vm.incarnation)
                 .map(|claim| claim.group.clone());
             if claimed.is_some() {
                 self.record_presence(&vm.id, report.is_some(), now);
             }
-            // An unanswered order may still put the machine into a group.
+            // A pending order may still make the VM join a group.
             let is_settled = claimed.is_some() || !self.pending_orders.contains(&vm.id);
             let report = report.filter(|_| is_settled);
             let facts = VmFacts {
@@ -282,8 +282,8 @@
             vms.insert(vm.id.clone(), facts);
         }
         let config = self.shared.config.load();
-        let groups = reign.records();
-        self.term = Some(reign);
+        let groups = term.records();
+        self.term = Some(term);
         FleetState {
             vms,
             groups,
@@ -298,13 +298,13 @@
             return;
         }
         if let Some(since) = self.lost_since.swap_remove(vm) {
-            // What counts is when its group could serve again, which is after it has loaded anew.
+            // The group can serve again only after the VM has reloaded the weights.
             let absence = now.saturating_sub(since) + self.planner.load_time;
             self.planner.history.record(absence);
         }
     }
 
-    /// Takes the next change: groups that are complete or empty first, then the plan.
+    /// Starts the next change: first completed or emptied groups, then the steps of a new plan.
     fn advance(&mut self, now: Moment, link: &ServiceLink<ControllerMessage>) {
         let is_listed = self.shared.fleet.read().is_listed;
         if self.is_change_pending || !is_listed {
@@ -312,7 +312,7 @@
         }
         let fleet = self.fleet(now, UNLIMITED_LOADS);
         let finished = match &self.term {
-            Some(reign) => finished_changes(reign, &fleet),
+            Some(term) => finished_changes(term, &fleet),
             None => return,
         };
         if !finished.rows.is_empty() {
@@ -336,7 +336,7 @@
         });
     }
 
-    /// Plans again within the loads granted, and writes the first steps.
+    /// Plans again within the granted number of loads, and writes the first steps.
     fn handle_grant(&mut self, granted: usize, link: &ServiceLink<ControllerMessage>) {
         self.is_change_pending = false;
         let now = link.now();
@@ -346,15 +346,15 @@
         let fleet = self.fleet(now, granted);
         let steps = self.planner.plan(&fleet, now);
         let mut changes = RowChanges::default();
-        for step in steps.iter().take(STEPS_PER_WRITE) {
+        for step in steps.iter().take(MAX_STEPS_PER_WRITE) {
             log::info!(step = describe_step(step).as_str(); "plan_step");
             match step {
                 PlanStep::Preload { vm, deployment, .. } => {
                     self.preload(vm, deployment, &fleet, link);
                 }
                 _ => {
-                    if let Some(reign) = self.term.as_mut() {
-                        reign.add_step(step, &mut changes);
+                    if let Some(term) = self.term.as_mut() {
+                        term.add_step(step, &mut changes);
                     }
                 }
             }
@@ -365,12 +365,12 @@
     }
 
     fn write_changes(&mut self, changes: RowChanges, link: &ServiceLink<ControllerMessage>) {
-        let Some(reign) = &self.term else {
+        let Some(term) = &self.term else {
             return;
         };
         self.is_change_pending = true;
-        let request = reign.transaction(&changes);
-        let epoch = reign.epoch;
+        let request = term.transaction(&changes);
+        let epoch = term.epoch;
         let shared = Arc::clone(&self.shared);
         link.spawn(async move {
             let result = shared.platform.table.transact(request).await;
@@ -390,16 +390,16 @@
         link: &ServiceLink<ControllerMessage>,
     ) {
         self.is_change_pending = false;
-        let Some(reign) = self.term.as_mut().filter(|reign| reign.epoch == epoch) else {
+        let Some(term) = self.term.as_mut().filter(|term| term.epoch == epoch) else {
             return;
         };
         match result {
             Ok(TransactReply::Committed { versions }) => {
-                reign.apply(changes, &versions);
+                term.apply(changes, &versions);
                 self.send_view(link);
             }
-            // The rows are not what this reign believed, or nobody can say: they are read anew
-            // before anything else is changed or ordered.
+            // The rows differ from this term's copy, or the outcome is unknown. The term is discarded
+            // so that the rows are read again before any other change or order.
             Ok(TransactReply::Conflict { .. }) | Err(_) => {
                 log::warn!(epoch = epoch; "change_unsettled");
                 self.discard_term();
@@ -407,7 +407,7 @@
         }
     }
 
-    /// Orders a free machine to load weights. It stays free: the table is not changed.
+    /// Orders an unclaimed VM to load weights. The VM stays unclaimed: the table is not changed.
     fn preload(
         &mut self,
         vm: &VmId,
@@ -430,75 +430,76 @@
     fn send_orders(&mut self, now: Moment, link: &ServiceLink<ControllerMessage>) {
         let view = self.shared.fleet.load();
         let ttl = self.shared.settings.gate.evidence_ttl;
-        let Some(reign) = self.term.as_ref() else {
+        let Some(term) = self.term.as_ref() else {
             return;
         };
         let reports = |vm: &str| fresh_report(&view, vm, now, ttl);
-        for order in orders_due(reign, &view, &reports) {
+        for order in orders_due(term, &view, &reports) {
             self.send_order(order, link);
         }
     }
 
-    /// Sends an order unless the lease is over, it is too early, or another one to the machine is
-    /// not settled.
+    /// Sends an order unless the lease has expired, the initial wait is not over, or another order to
+    /// the VM is pending.
     fn send_order(&mut self, order: DueOrder, link: &ServiceLink<ControllerMessage>) {
         let now = link.now();
         let deadline = self.shared.settings.control.order_deadline;
         let is_held = self.is_in_control(now);
-        let Some(reign) = self.term.as_mut() else {
+        let Some(term) = self.term.as_mut() else {
             return;
         };
-        let is_due = is_held && now >= reign.orders_from;
+        let is_due = is_held && now >= term.orders_from;
         if is_due && self.pending_orders.insert(order.vm.clone()) {
             let doc = OrderDoc {
-                fence: reign.next_fence(),
+                fence: term.next_fence(),
                 action: order.action,
             };
             log::info!(vm = order.vm.as_str(), fence = doc.fence, order = order.reason; "order_sent");
-            reign.set_left(&order.vm, false);
+            term.set_left(&order.vm, false);
             let client = self.client.clone();
             link.spawn(async move {
-                let asked = BootClock::now();
+                let requested_at = BootClock::now();
                 let url = format!("http://{}/order", order.address);
                 let result = client.call(Method::POST, &url, Some(&doc), deadline).await;
                 ControllerMessage::OrderAnswered {
                     vm: order.vm,
                     result,
-                    requested_at: asked,
+                    requested_at,
                 }
             });
         }
     }
 
-    /// Passes an engine's answer on as evidence, so that it is not ordered again before its next
-    /// probe.
+    /// Forwards the engine's report to the watch service as evidence, so that the order is not sent
+    /// again before the next probe.
     fn handle_order_answer(
         &mut self,
         vm: VmId,
         report: Result<ReportDoc, CallError>,
-        asked: Moment,
+        requested_at: Moment,
         link: &ServiceLink<ControllerMessage>,
     ) {
         match report {
             Ok(report) => {
                 self.pending_orders.swap_remove(&vm);
                 let is_idle = report.state == StateDoc::Idle;
-                if let (true, Some(reign)) = (is_idle, self.term.as_mut()) {
-                    reign.set_left(&vm, true);
+                if let (true, Some(term)) = (is_idle, self.term.as_mut()) {
+                    term.set_left(&vm, true);
                 }
                 if let Some(watch) = link.kernel().find(WATCH_SERVICE) {
                     let report = Ok(report);
                     let _ = watch.post(WatchMessage::Probed(ProbeResult {
                         vm,
                         report,
-                        requested_at: asked,
+                        requested_at,
                     }));
                 }
             }
             Err(error) => {
                 log::warn!(vm = vm.as_str(), error:% = error; "order_failed");
-                // The order may still arrive; an engine that ignores fencing numbers would take it
-                // after the next one, so that one waits until it has arrived or died.
+                // The order may still arrive, and an engine that does not check fencing numbers would
+                // accept it after a later order. The next order to this VM therefore waits for the
+                // transport bound.
                 let bound = self.shared.settings.control.transport_bound;
                 link.later(bound, ControllerMessage::OrderExpired(vm));
             }
@@ -568,9 +569,9 @@
             ControllerMessage::OrderAnswered {
                 vm,
                 result,
-                requested_at: asked,
+                requested_at,
             } => {
-                self.handle_order_answer(vm, result, asked, link);
+                self.handle_order_answer(vm, result, requested_at, link);
             }
             ControllerMessage::OrderExpired(vm) => {
                 self.pending_orders.swap_remove(&vm);
@@ -587,8 +588,8 @@
             "epoch": record.map(|record| record.epoch),
             "held_epoch": self.lease.epoch(now),
             "lease_remaining_ms": self.lease.remaining(now).as_millis(),
-            "groups": self.term.as_ref().map_or(0, |reign| reign.groups.len()),
-            "claimed_vms": self.term.as_ref().map_or(0, |reign| reign.claims.len()),
+            "groups": self.term.as_ref().map_or(0, |term| term.groups.len()),
+            "claimed_vms": self.term.as_ref().map_or(0, |term| term.claims.len()),
             "plan": self.plan,
             "group_downtime_s": self.account.downtime.as_secs_f64(),
             "stranded_accelerators": self.account.stranded,
@@ -597,6 +598,6 @@
 }
 
 fn fresh_report(view: &FleetView, vm: &str, now: Moment, ttl: Duration) -> Option<MemberReport> {
-    let (report, asked) = view.reports.get(vm)?;
-    (now < *asked + ttl).then(|| report.clone())
+    let (report, requested_at) = view.reports.get(vm)?;
+    (now < *requested_at + ttl).then(|| report.clone())
 }
--- a/crates/node/src/evidence_feed.rs
+++ b/crates/node/src/evidence_feed.rs
@@ -53,10 +53,10 @@
     }
 
     /// Takes in a report.
-    pub fn record(&mut self, report: &MemberReport, asked: Moment) {
+    pub fn record(&mut self, report: &MemberReport, requested_at: Moment) {
         let is_same = match self.entries.get_mut(&report.vm) {
             Some(entry) => {
-                entry.requested_at = asked;
+                entry.requested_at = requested_at;
                 matches!(&entry.state, EvidenceState::Valid(held) if is_equivalent(held, report))
             }
             None => false,
@@ -66,7 +66,7 @@
         }
         let entry = EvidenceEntry {
             state: EvidenceState::Valid(report.clone()),
-            requested_at: asked,
+            requested_at,
             change_sequence: self.mark.sequence + 1,
         };
         self.entries.insert(report.vm.clone(), entry);
--- a/crates/node/src/lease.rs
+++ b/crates/node/src/lease.rs
@@ -1,4 +1,4 @@
-//! Keeps the zone's lease row: which call to the table is due, and what its answer means.
+//! Drives the zone's lease row: determines which table call is due and applies its result.
 
 use briarswitch_core::lease::{LeaseWrite, LeaseWriteResult};
 use briarswitch_core::prelude::*;
@@ -11,19 +11,19 @@
 use crate::keys::{epoch_key, lease_key};
 use crate::settings::NodeSettings;
 
-/// Reads of the row by a challenger in the time of one lease.
+/// Number of times that a node without the lease reads the row per lease duration.
 const READS_PER_LEASE: u32 = 6;
 
-/// A call to the table that is due.
+/// A table call for the lease row.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeaseCall {
-    /// The row has to be read.
+    /// Reads the lease row.
     Read(ReadRequest),
-    /// The row has to be written.
+    /// Writes the lease row.
     Write(TransactRequest),
 }
 
-/// One node's dealings with its zone's lease row, one call at a time.
+/// Issues one node's calls on its zone's lease row, one at a time.
 #[derive(Clone, Debug)]
 pub struct LeaseDriver {
     client: LeaseClient,
@@ -38,7 +38,7 @@
 }
 
 impl LeaseDriver {
-    /// Opens a tender that holds nothing.
+    /// Creates a driver that does not hold the lease.
     pub fn new(settings: &NodeSettings, incarnation: Incarnation) -> Self {
         Self {
             client: LeaseClient::new(settings.node.clone(), incarnation, settings.lease),
@@ -58,17 +58,18 @@
         self.client.epoch(now)
     }
 
-    /// Returns how long the lease is still held at `now`.
+    /// Returns the remaining time of the lease at `now`.
     pub fn remaining(&self, now: Moment) -> std::time::Duration {
         self.client.remaining(now)
     }
 
-    /// Returns the row as last read.
+    /// Returns the lease row as last read.
     pub fn record(&self) -> Option<&LeaseRecord> {
         self.client.record()
     }
 
-    /// Returns the call that is due at `now`; its answer has to be taken before the next one.
+    /// Returns the call that is due at `now`. No further call is returned until its result has been
+    /// handled.
     pub fn next_call(&mut self, now: Moment) -> Option<LeaseCall> {
         if self.is_call_pending || self.is_leaving {
             return None;
@@ -91,7 +92,7 @@
         }))
     }
 
-    /// Takes in what was read.
+    /// Handles the result of a read.
     pub fn handle_read(&mut self, result: Result<ReadReply, StoreError>, now: Moment) {
         self.is_call_pending = false;
         let Ok(reply) = result else {
@@ -105,20 +106,21 @@
         self.client.observe(record, version, now);
     }
 
-    /// Takes in what became of a write.
+    /// Handles the result of a write.
     pub fn handle_written(&mut self, result: Result<TransactReply, StoreError>, now: Moment) {
         self.is_call_pending = false;
-        let answer = match result {
+        let outcome = match result {
             Ok(TransactReply::Committed { versions }) => {
                 LeaseWriteResult::Written(versions.first().copied().unwrap_or_default())
             }
             Ok(TransactReply::Conflict { .. }) => LeaseWriteResult::Conflict,
             Err(_) => LeaseWriteResult::Lost,
         };
-        self.client.record_result(answer, now);
+        self.client.record_result(outcome, now);
     }
 
-    /// Gives the lease up for good and returns the write that tells the others, if it was held.
+    /// Releases the lease permanently, and returns the write that publishes the release if the lease
+    /// was held.
     pub fn release(&mut self, now: Moment) -> Option<TransactRequest> {
         self.is_leaving = true;
         let write = self.write_id();
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -1,4 +1,4 @@
-//! Which orders are due, from the difference between the table and the engines' reports.
+//! Derives the orders to send from the difference between the table and the engines' reports.
 
 use briarswitch_core::prelude::*;
 use briarswitch_wire::engine::{JoinDoc, OrderAction};
@@ -6,39 +6,39 @@
 use crate::shared::FleetView;
 use crate::term::ControllerTerm;
 
-/// An order that one machine needs.
+/// An order to send to one VM.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DueOrder {
-    /// Machine.
+    /// VM that receives the order.
     pub vm: VmId,
-    /// Address as `ip:port`.
+    /// Address of the engine, as `ip:port`.
     pub address: String,
-    /// What to do.
+    /// Action to perform.
     pub action: OrderAction,
-    /// Why, for the log.
+    /// Reason written to the log.
     pub reason: &'static str,
 }
 
 /// Returns every order that is due.
 ///
-/// Orders follow from the table and the reports alone, never from what this node remembers having
-/// ordered: a member that returns after it was given up on is told what the table says of it now.
+/// Orders are derived from the table and the reports only, not from orders sent before. A member that
+/// returns after it was replaced is therefore sent the order that matches its current row.
 pub fn orders_due(
-    reign: &ControllerTerm,
+    term: &ControllerTerm,
     fleet: &FleetView,
     report_of: &dyn Fn(&str) -> Option<MemberReport>,
 ) -> Vec<DueOrder> {
-    let mut orders = join_orders(reign, report_of);
-    orders.extend(leave_orders(reign, fleet, report_of));
+    let mut orders = join_orders(term, report_of);
+    orders.extend(leave_orders(term, fleet, report_of));
     orders
 }
 
 fn join_orders(
-    reign: &ControllerTerm,
+    term: &ControllerTerm,
     report_of: &dyn Fn(&str) -> Option<MemberReport>,
 ) -> Vec<DueOrder> {
     let mut orders = Vec::new();
-    for row in reign.groups.values() {
+    for row in term.groups.values() {
         let group = &row.value;
         if group.state == GroupState::Dissolving {
             continue;
@@ -56,7 +56,7 @@
 }
 
 fn leave_orders(
-    reign: &ControllerTerm,
+    term: &ControllerTerm,
     fleet: &FleetView,
     report_of: &dyn Fn(&str) -> Option<MemberReport>,
 ) -> Vec<DueOrder> {
@@ -65,7 +65,7 @@
         let Some(report) = report_of(&vm.id) else {
             continue;
         };
-        if needs_leave(reign, &report) {
+        if needs_leave(term, &report) {
             orders.push(DueOrder {
                 vm: vm.id.clone(),
                 address: vm.address.clone(),
@@ -78,27 +78,28 @@
 }
 
 fn needs_join(group: &GroupRecord, report: &MemberReport) -> bool {
-    let is_there =
+    let is_member =
         report.group.as_deref() == Some(group.id.as_str()) && report.generation == group.generation;
-    !is_there || report.state == MemberState::Idle
+    !is_member || report.state == MemberState::Idle
 }
 
-/// Returns whether a machine has to be told to leave: it is in a group that the table does not have
-/// it in, or its group is being dissolved and it has not acknowledged an order to leave.
+/// Returns whether a VM needs an order to leave: it reports a group but has no claim in the table, or
+/// its group is being dissolved and it has not acknowledged an order to leave.
 ///
-/// A report that it is idle is not enough for the latter: it may be older than an order to join that
-/// is still on its way, and the machine would be let go while it joins. The order to leave carries
-/// a higher fencing number, so once it is acknowledged the earlier one is refused.
-fn needs_leave(reign: &ControllerTerm, report: &MemberReport) -> bool {
-    let claim = reign.claims.get(&report.vm).map(|row| &row.value);
+/// In the second case, a report of the idle state is not sufficient: it may be older than an order to
+/// join that is still in transit, and the claim would be deleted while the VM joins. The order to
+/// leave has a higher fencing number, so the engine refuses the earlier order once it has
+/// acknowledged this one.
+fn needs_leave(term: &ControllerTerm, report: &MemberReport) -> bool {
+    let claim = term.claims.get(&report.vm).map(|row| &row.value);
     let is_in_group = report.group.is_some();
     let Some(claim) = claim else {
         return is_in_group;
     };
-    let row = reign.groups.get(&claim.group);
+    let row = term.groups.get(&claim.group);
     let is_dissolving = row.is_none_or(|row| row.value.state == GroupState::Dissolving);
-    let is_same_life = claim.incarnation == report.incarnation;
-    is_dissolving && is_same_life && !reign.has_left(&report.vm)
+    let is_same_incarnation = claim.incarnation == report.incarnation;
+    is_dissolving && is_same_incarnation && !term.has_left(&report.vm)
 }
 
 fn join_order(group: &GroupRecord, rank: usize) -> DueOrder {
--- a/crates/node/src/steps.rs
+++ b/crates/node/src/steps.rs
@@ -1,9 +1,9 @@
-//! Steps of a plan: what they load, and how operators read them.
+//! Plan steps: the number of loads they need, and their description for operators.
 
 use briarswitch_core::group::GroupMember;
 use briarswitch_core::prelude::*;
 
-/// Returns the loads of weights that a step may begin.
+/// Returns the number of weight loads that a step may start.
 pub fn load_count(step: &PlanStep) -> usize {
     match step {
         PlanStep::Form { members, .. } | PlanStep::Repair { members, .. } => members.len(),
@@ -12,7 +12,7 @@
     }
 }
 
-/// Returns a step as operators read it.
+/// Returns the description of a step for operators and the log.
 pub fn describe_step(step: &PlanStep) -> String {
     let names = |members: &[GroupMember]| {
         let names: Vec<&str> = members.iter().map(|member| member.vm.as_str()).collect();
--- a/crates/node/src/term.rs
+++ b/crates/node/src/term.rs
@@ -1,4 +1,4 @@
-//! What a controller holds while it holds the lease: the zone's rows and the changes to them.
+//! State of a controller during one term: its copy of the zone's rows and the changes to them.
 
 use briarswitch_core::group::GroupMember;
 use briarswitch_core::prelude::*;
@@ -10,40 +10,40 @@
 use crate::config::row_value;
 use crate::keys::{epoch_key, group_key, group_prefix, vm_key, vm_prefix};
 
-/// Bits of a fencing number that count the orders of one epoch.
+/// Number of low bits of a fencing number that count orders; the bits above hold the epoch.
 const ORDER_BITS: u32 = 32;
 
-/// A row and its version.
+/// A row of the table with its version.
 #[derive(Clone, Debug)]
 pub struct VersionedRow<T> {
-    /// Value of the row.
+    /// Parsed content of the row.
     pub value: T,
-    /// Version of the row.
+    /// Version at which the row was read or written; checked by the next write.
     pub version: RowVersion,
 }
 
 /// The new value of one row, or its deletion.
 #[derive(Clone, Debug)]
 pub enum RowChange {
-    /// A group's row.
+    /// Puts a group's row.
     Group(GroupRecord),
-    /// A group's row is deleted.
+    /// Deletes a group's row.
     DeleteGroup(GroupId),
-    /// A machine is claimed.
+    /// Puts the claim of a VM.
     Claim(VmId, VmClaimDoc),
-    /// A machine's claim is deleted.
+    /// Deletes the claim of a VM.
     DeleteClaim(VmId),
 }
 
-/// Rows that change together.
+/// Row changes that are written in one transaction.
 #[derive(Clone, Debug, Default)]
 pub struct RowChanges {
-    /// Changes in the order they are written.
+    /// Changes in write order.
     pub rows: Vec<RowChange>,
 }
 
 impl RowChanges {
-    /// Returns whether a machine is claimed by one of the changes.
+    /// Returns whether one of the changes claims a VM.
     fn claims(&self, vm: &str) -> bool {
         self.rows
             .iter()
@@ -51,11 +51,11 @@
     }
 }
 
-/// Counts that never go back while the process lives.
+/// Counters that increase monotonically for the lifetime of the process.
 ///
-/// A lease that lapsed and was won again by the same holder keeps its epoch, so counts that began
-/// anew would repeat fencing numbers, views and group names of the same epoch: engines would refuse
-/// the orders and nodes ignore the views.
+/// A lease that expires and is acquired again by the same holder keeps its epoch. If the counters
+/// restarted, the new term would reuse fencing numbers, view sequence numbers and group names of that
+/// epoch: engines would refuse the orders and nodes would ignore the views.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TermCounters {
     view_sequence: u64,
@@ -63,41 +63,42 @@
     groups_formed: u64,
 }
 
-/// The zone's rows as the holder of one epoch knows them.
+/// The lease holder's copy of the zone's rows in one epoch.
 #[derive(Clone, Debug)]
 pub struct ControllerTerm {
-    /// Zone.
+    /// Controlled zone.
     pub zone: ZoneId,
-    /// Epoch held.
+    /// Epoch of the lease.
     pub epoch: Epoch,
-    /// Version of the row that changes only with the holder.
+    /// Version of the epoch row, which changes only when the lease changes its holder.
     pub epoch_row_version: RowVersion,
-    /// Groups by name.
+    /// Groups by id.
     pub groups: IndexMap<GroupId, VersionedRow<GroupRecord>>,
-    /// Claimed machines by name.
+    /// Claims by VM.
     pub claims: IndexMap<VmId, VersionedRow<VmClaimDoc>>,
-    /// Local time before which no order is sent.
+    /// Local time from which orders may be sent.
     pub orders_from: Moment,
-    /// Machines that acknowledged an order to leave and were not ordered to join since.
+    /// VMs that acknowledged an order to leave and have not been ordered to join since.
     left_vms: IndexSet<VmId>,
     counters: TermCounters,
 }
 
 impl ControllerTerm {
-    /// Opens a reign from the zone's rows, or returns `None` when they show another holder.
+    /// Creates a term from the zone's rows. Returns `None` if the epoch row is missing or has another
+    /// epoch, or if a row cannot be parsed.
     pub fn from_rows(
         zone: &str,
         epoch: Epoch,
         reply: &ReadReply,
         orders_from: Moment,
-        counts: TermCounters,
+        counters: TermCounters,
     ) -> Option<Self> {
         let epoch_row = reply.rows.iter().find(|row| row.key == epoch_key(zone))?;
         let holder: briarswitch_wire::platform::EpochDoc = row_value(&epoch_row.value)?;
         if holder.epoch != epoch {
             return None;
         }
-        let mut reign = Self {
+        let mut term = Self {
             zone: zone.to_owned(),
             epoch,
             epoch_row_version: epoch_row.version,
@@ -106,8 +107,8 @@
             orders_from,
             left_vms: IndexSet::new(),
             counters: TermCounters {
-                view_sequence: counts.view_sequence + 1,
-                ..counts
+                view_sequence: counters.view_sequence + 1,
+                ..counters
             },
         };
         let (groups, vms) = (group_prefix(zone), vm_prefix(zone));
@@ -115,32 +116,30 @@
             let version = row.version;
             if let Some(id) = row.key.strip_prefix(&groups) {
                 let value = GroupRecord::from(row_value::<GroupDoc>(&row.value)?);
-                reign
-                    .groups
+                term.groups
                     .insert(id.to_owned(), VersionedRow { value, version });
             } else if let Some(id) = row.key.strip_prefix(&vms) {
                 let value = row_value::<VmClaimDoc>(&row.value)?;
-                reign
-                    .claims
+                term.claims
                     .insert(id.to_owned(), VersionedRow { value, version });
             }
         }
-        Some(reign)
+        Some(term)
     }
 
-    /// Returns the counts, for the next reign of this process.
+    /// Returns the counters, to be passed to the next term of this process.
     pub fn counters(&self) -> TermCounters {
         self.counters
     }
 
-    /// Returns the next fencing number: it rises with each order, so that an order held up on its
-    /// way is refused once a later one of the same epoch has arrived.
+    /// Returns the next fencing number. It increases with each order, so that an engine refuses a
+    /// delayed order after it has received a later one of the same epoch.
     pub fn next_fence(&mut self) -> Epoch {
         self.counters.orders_sent += 1;
         (self.epoch << ORDER_BITS) | self.counters.orders_sent
     }
 
-    /// Notes that a machine acknowledged an order to leave, or is about to be ordered to join.
+    /// Records whether a VM has acknowledged an order to leave; a new order to the VM resets this.
     pub fn set_left(&mut self, vm: &str, has_left: bool) {
         if has_left {
             self.left_vms.insert(vm.to_owned());
@@ -149,7 +148,7 @@
         }
     }
 
-    /// Returns whether a machine acknowledged an order to leave and was not ordered to join since.
+    /// Returns whether a VM has acknowledged an order to leave and has not been ordered to join since.
     pub fn has_left(&self, vm: &str) -> bool {
         self.left_vms.contains(vm)
     }
@@ -162,7 +161,7 @@
             .collect()
     }
 
-    /// Returns the view that other nodes are given.
+    /// Returns the zone's view, as distributed to other nodes.
     pub fn view(&self) -> ZoneView {
         ZoneView {
             zone: self.zone.clone(),
@@ -172,7 +171,7 @@
         }
     }
 
-    /// Adds the rows that carry out a step of the plan.
+    /// Adds the row changes for a step of the plan.
     pub fn add_step(&mut self, step: &PlanStep, changes: &mut RowChanges) {
         match step {
             PlanStep::Form {
@@ -196,7 +195,7 @@
                     self.repair(&group, members, changes);
                 }
             }
-            // Weights are loaded by an order alone.
+            // Preloading needs only an order to the engine, no row change.
             PlanStep::Preload { .. } => {}
             PlanStep::Dissolve { group, .. } => {
                 if let Some(row) = self.groups.get(group) {
@@ -209,8 +208,8 @@
         }
     }
 
-    /// Builds the transaction for some changes, on the condition that the epoch still stands and
-    /// that every row touched is as this reign knows it.
+    /// Builds the transaction for `changes`. It commits only if the epoch row and all changed rows
+    /// still have the versions known to this term.
     pub fn transaction(&self, changes: &RowChanges) -> TransactRequest {
         let mut builder =
             TransactBuilder::default().check(epoch_key(&self.zone), self.epoch_row_version);
@@ -226,7 +225,7 @@
         builder.build()
     }
 
-    /// Takes over changes that took effect.
+    /// Applies committed changes to the copy of the rows.
     pub fn apply(&mut self, changes: RowChanges, versions: &[RowVersion]) {
         for (change, version) in changes.rows.into_iter().zip(versions) {
             let version = *version;
@@ -249,8 +248,8 @@
         self.counters.view_sequence += 1;
     }
 
-    /// Gives a group new members. A machine that leaves it is free only once it reports itself
-    /// idle, and its claim is dropped only if it is still this group's.
+    /// Replaces the members of a group. The claim of a VM that leaves is deleted only if it still
+    /// belongs to this group. The VM becomes available only after it reports the idle state.
     fn repair(&self, group: &GroupRecord, members: &[GroupMember], changes: &mut RowChanges) {
         for old in &group.members {
             let stays = members.iter().any(|member| member.vm == old.vm);
@@ -260,15 +259,15 @@
                 changes.rows.push(RowChange::DeleteClaim(old.vm.clone()));
             }
         }
-        let mended = GroupRecord {
+        let repaired = GroupRecord {
             generation: group.generation + 1,
             members: members.to_vec(),
             state: GroupState::Forming,
             epoch: self.epoch,
             ..group.clone()
         };
-        claim_members(&mended, members, changes);
-        changes.rows.push(RowChange::Group(mended));
+        claim_members(&repaired, members, changes);
+        changes.rows.push(RowChange::Group(repaired));
     }
 
     fn key_of(&self, change: &RowChange) -> String {
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -40,7 +40,7 @@
         node: NodeId,
         /// What it said.
         evidence: EvidenceDoc,
-        /// Local time before the peer was asked.
+        /// Local time before the peer was requested_at.
         requested_at: Moment,
     },
     /// A zone's groups, from its controller or a peer.
@@ -226,7 +226,7 @@
                 self.own_feed.record(&report, result.requested_at);
                 self.record_report(report, result.requested_at);
             }
-            // Another machine answers at the address: the one asked for is not there any more.
+            // Another machine answers at the address: the one requested_at for is not there any more.
             Ok(_) => self.mark_lost(&result.vm, result.requested_at),
             Err(CallError::Lost(text)) if is_refusal(&text) => {
                 self.mark_lost(&result.vm, result.requested_at);
@@ -235,7 +235,7 @@
         }
     }
 
-    fn record_report(&mut self, report: MemberReport, asked: Moment) {
+    fn record_report(&mut self, report: MemberReport, requested_at: Moment) {
         let now = BootClock::now();
         let held = self
             .evidence
@@ -249,9 +249,9 @@
         });
         let is_local = self.fleet.vms.contains_key(&report.vm);
         if is_local {
-            self.zone_feed.record(&report, asked);
+            self.zone_feed.record(&report, requested_at);
         }
-        self.evidence.record(report, asked);
+        self.evidence.record(report, requested_at);
     }
 
     fn mark_pending(&mut self, news: PendingUpdate) {
@@ -266,9 +266,9 @@
         self.mark_pending(PendingUpdate::Changed);
     }
 
-    fn apply_peer_evidence(&mut self, node: NodeId, evidence: EvidenceDoc, asked: Moment) {
+    fn apply_peer_evidence(&mut self, node: NodeId, evidence: EvidenceDoc, requested_at: Moment) {
         let age = Duration::from_millis(u64::from(evidence.age_ms));
-        let true_at = asked.saturating_sub(age);
+        let true_at = requested_at.saturating_sub(age);
         let board = self.peers.entry(node).or_default();
         if evidence.is_whole {
             board.reports.clear();
@@ -282,9 +282,9 @@
         }
         let reports: Vec<MemberReport> = board.reports.values().cloned().collect();
         for vm in evidence.lost {
-            // The peer had found it gone by the time it answered, which was after it was asked;
+            // The peer had found it gone by the time it answered, which was after it was requested_at;
             // only evidence that is newer than that stands.
-            self.evidence.revoke(&vm, asked);
+            self.evidence.revoke(&vm, requested_at);
         }
         for report in reports {
             self.record_report(report, true_at);
@@ -364,8 +364,8 @@
             WatchMessage::PeerEvidence {
                 node,
                 evidence,
-                requested_at: asked,
-            } => self.apply_peer_evidence(node, evidence, asked),
+                requested_at,
+            } => self.apply_peer_evidence(node, evidence, requested_at),
             WatchMessage::View(view) => self.apply_view(view),
             WatchMessage::Failed { vm, at } => self.mark_lost(&vm, at),
             WatchMessage::Leaving { vm, incarnation } => self.mark_leaving(&vm, incarnation),
@@ -418,13 +418,13 @@
 }
 
 async fn probe(client: CallerClient, vm: VmId, address: String, timeout: Duration) -> WatchMessage {
-    let asked = BootClock::now();
+    let requested_at = BootClock::now();
     let url = format!("http://{address}/report");
     let report = client.call(Method::GET, &url, None::<&()>, timeout).await;
     WatchMessage::Probed(ProbeResult {
         vm,
         report,
-        requested_at: asked,
+        requested_at,
     })
 }
 
