--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of callers' idempotency keys in the table, many in one transaction.
+//! Claims callers' idempotency keys in the table, several per transaction.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,23 +11,23 @@
 use crate::config::row_value;
 use crate::shared::NodeShared;
 
-/// Claims written in one transaction at most.
-const BATCH: usize = 64;
-/// Claims waiting to be written.
-const BACKLOG: usize = 16_384;
-/// Time in which claims are gathered into one transaction.
-const GATHER: Duration = Duration::from_millis(2);
-/// Batches under way at one time.
-const BATCHES_IN_FLIGHT: usize = 4;
+/// Maximum number of claims in one transaction.
+const MAX_BATCH_SIZE: usize = 64;
+/// Maximum number of claims waiting to be written.
+const QUEUE_CAPACITY: usize = 16_384;
+/// Time during which claims are collected into one transaction.
+const BATCH_WINDOW: Duration = Duration::from_millis(2);
+/// Maximum number of batches being written at the same time.
+const MAX_CONCURRENT_BATCHES: usize = 4;
 
-/// What became of a claim.
+/// Result of a claim.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ClaimVerdict {
-    /// The key is this request's.
+    /// The key was claimed for this request.
     Won,
-    /// The key was claimed before, here or elsewhere.
+    /// The key had already been claimed, by this node or another.
     Taken,
-    /// The table gave no answer; the key must not be used.
+    /// It is not known whether the claim was written; nothing may run under the key.
     Unknown,
 }
 
@@ -37,7 +37,7 @@
     reply: oneshot::Sender<ClaimVerdict>,
 }
 
-/// Claims keys in the table.
+/// Writes claims of idempotency keys to the table, in batches.
 #[derive(Clone)]
 pub struct ClaimWriter {
     jobs: mpsc::Sender<ClaimJob>,
@@ -45,14 +45,14 @@
 }
 
 impl ClaimWriter {
-    /// Starts the writer on the present runtime.
+    /// Spawns the writer's task on the current runtime.
     pub fn spawn(shared: Arc<NodeShared>) -> Self {
-        let (jobs, receiver) = mpsc::channel(BACKLOG);
+        let (jobs, receiver) = mpsc::channel(QUEUE_CAPACITY);
         tokio::spawn(run_batcher(Arc::clone(&shared), receiver));
         Self { jobs, shared }
     }
 
-    /// Claims a key; no byte of the request may leave before this returns [`ClaimVerdict::Won`].
+    /// Claims a key. No byte of the request may be sent before this returns [`ClaimVerdict::Won`].
     pub async fn claim(&self, key: String) -> ClaimVerdict {
         let (reply, verdict) = oneshot::channel();
         let job = ClaimJob { key, reply };
@@ -62,10 +62,10 @@
         verdict.await.unwrap_or(ClaimVerdict::Unknown)
     }
 
-    /// Gives back a key under which certainly nothing ran, so that the caller may use it again.
+    /// Deletes the claim of a key under which nothing can have run, so that the caller may reuse it.
     ///
-    /// When that fails the key stays claimed, and later requests with it are told "unknown": less
-    /// useful to the caller, but never untrue.
+    /// If this fails, the key stays claimed and later requests with it get the outcome "unknown". That
+    /// is less precise for the caller, but still correct.
     pub async fn release(&self, key: &str) {
         let request = ReadRequest {
             keys: vec![key.to_owned()],
@@ -95,13 +95,13 @@
 }
 
 async fn run_batcher(shared: Arc<NodeShared>, mut jobs: mpsc::Receiver<ClaimJob>) {
-    let slots = Arc::new(tokio::sync::Semaphore::new(BATCHES_IN_FLIGHT));
+    let slots = Arc::new(tokio::sync::Semaphore::new(MAX_CONCURRENT_BATCHES));
     let mut sequence = 0_u64;
-    let mut batch = Vec::with_capacity(BATCH);
+    let mut batch = Vec::with_capacity(MAX_BATCH_SIZE);
     while let Some(first) = jobs.recv().await {
         batch.push(first);
-        tokio::time::sleep(GATHER).await;
-        while batch.len() < BATCH {
+        tokio::time::sleep(BATCH_WINDOW).await;
+        while batch.len() < MAX_BATCH_SIZE {
             match jobs.try_recv() {
                 Ok(job) => batch.push(job),
                 Err(_) => break,
@@ -113,7 +113,7 @@
         sequence += 1;
         let write = format!("{}{sequence}", write_prefix(&shared));
         let shared = Arc::clone(&shared);
-        let jobs = std::mem::replace(&mut batch, Vec::with_capacity(BATCH));
+        let jobs = std::mem::replace(&mut batch, Vec::with_capacity(MAX_BATCH_SIZE));
         tokio::spawn(async move {
             write_batch(&shared, jobs, write).await;
             drop(slot);
@@ -121,7 +121,8 @@
     }
 }
 
-/// Writes claims together; those that were taken fall out and the rest are written again.
+/// Writes claims in one transaction. On a conflict, the key that was already taken is removed and the
+/// rest are written again.
 async fn write_batch(shared: &NodeShared, mut jobs: Vec<ClaimJob>, write: String) {
     reject_duplicates(&mut jobs);
     while !jobs.is_empty() {
@@ -140,12 +141,12 @@
                 return;
             }
             Ok(TransactReply::Conflict { key }) => {
-                let place = jobs.iter().position(|job| job.key == key);
-                let Some(place) = place else {
+                let index = jobs.iter().position(|job| job.key == key);
+                let Some(index) = index else {
                     reply_all(jobs, ClaimVerdict::Unknown);
                     return;
                 };
-                let job = jobs.swap_remove(place);
+                let job = jobs.swap_remove(index);
                 let _ = job.reply.send(ClaimVerdict::Taken);
             }
             Err(StoreError::Refused(_)) => {
@@ -160,7 +161,7 @@
     }
 }
 
-/// Reads back a batch whose answer was lost: only rows that carry its write id are won.
+/// Reads a batch back after the reply to its write was lost. Only rows with its write id are won.
 async fn resolve_batch(shared: &NodeShared, jobs: Vec<ClaimJob>, write: &str) {
     let request = ReadRequest {
         keys: jobs.iter().map(|job| job.key.clone()).collect(),
@@ -176,7 +177,7 @@
         let verdict = match claim {
             Some(claim) if claim.write == write => ClaimVerdict::Won,
             Some(_) => ClaimVerdict::Taken,
-            // The write may still arrive, so nothing may run under the key now.
+            // The write may still take effect later, so nothing may run under the key.
             None => ClaimVerdict::Unknown,
         };
         let _ = job.reply.send(verdict);
@@ -185,15 +186,15 @@
 
 fn reject_duplicates(jobs: &mut Vec<ClaimJob>) {
     let mut seen = std::collections::HashSet::new();
-    let mut kept = Vec::with_capacity(jobs.len());
+    let mut unique = Vec::with_capacity(jobs.len());
     for job in jobs.drain(..) {
         if seen.insert(job.key.clone()) {
-            kept.push(job);
+            unique.push(job);
         } else {
             let _ = job.reply.send(ClaimVerdict::Taken);
         }
     }
-    *jobs = kept;
+    *jobs = unique;
 }
 
 fn reply_all(jobs: Vec<ClaimJob>, verdict: ClaimVerdict) {
@@ -202,7 +203,7 @@
     }
 }
 
-/// Returns what a caller may be told of a key whose work ended so, to the next request with it.
+/// Returns the outcome to report to a repeated request with a key in `state`.
 pub fn outcome_of(state: ClaimState) -> Outcome {
     match state {
         ClaimState::Settled(Outcome::Answered) => Outcome::Answered,
--- a/crates/node/src/evidence_feed.rs
+++ b/crates/node/src/evidence_feed.rs
@@ -1,4 +1,4 @@
-//! Evidence as it is offered to other nodes: numbered changes and one age.
+//! Feed of evidence for other nodes: changes with sequence numbers, and the age of the oldest evidence.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use briarswitch_wire::peer::{age_ms, EvidenceDoc, EvidenceMark};
 use indexmap::IndexMap;
 
-/// What stands of a machine's evidence.
+/// State of the evidence on a VM.
 #[derive(Clone, Debug)]
 enum EvidenceState {
     Valid(MemberReport),
@@ -22,7 +22,7 @@
     change_sequence: u64,
 }
 
-/// What one node knows of machines, for others to ask.
+/// One node's evidence on VMs, with a change history that peers poll.
 #[derive(Clone, Debug)]
 pub struct EvidenceFeed {
     mark: EvidenceMark,
@@ -30,12 +30,12 @@
 }
 
 impl EvidenceFeed {
-    /// Opens an empty board of one life of a node.
+    /// Creates an empty feed for one incarnation of a node.
     ///
     /// ```
     /// use briarswitch_node::evidence_feed::EvidenceFeed;
     ///
-    /// assert_eq!(EvidenceFeed::open(7).mark().incarnation, 7);
+    /// assert_eq!(EvidenceFeed::new(7).mark().incarnation, 7);
     /// ```
     pub fn new(incarnation: Incarnation) -> Self {
         Self {
@@ -47,17 +47,17 @@
         }
     }
 
-    /// Returns the last change.
+    /// Returns the position of the last change.
     pub fn mark(&self) -> EvidenceMark {
         self.mark
     }
 
-    /// Takes in a report.
+    /// Records a report; a report equivalent to the last one only renews the evidence.
     pub fn record(&mut self, report: &MemberReport, requested_at: Moment) {
         let is_same = match self.entries.get_mut(&report.vm) {
             Some(entry) => {
                 entry.requested_at = requested_at;
-                matches!(&entry.state, EvidenceState::Valid(held) if is_equivalent(held, report))
+                matches!(&entry.state, EvidenceState::Valid(current) if is_equivalent(current, report))
             }
             None => false,
         };
@@ -73,17 +73,17 @@
         self.mark.sequence += 1;
     }
 
-    /// Notes that a machine was found gone.
+    /// Records that a VM was found to be gone.
     pub fn mark_lost(&mut self, vm: &str) {
         self.set_state(vm, EvidenceState::Lost);
     }
 
-    /// Notes that this node no longer vouches for a machine.
+    /// Records that this node no longer has evidence on a VM.
     pub fn mark_dropped(&mut self, vm: &str) {
         self.set_state(vm, EvidenceState::Dropped);
     }
 
-    /// Drops every machine whose evidence has run out at `now`.
+    /// Drops all VMs whose evidence has expired at `now`.
     pub fn expire(&mut self, now: Moment, ttl: Duration) {
         let stale: Vec<VmId> = self
             .valid_entries()
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Drops machines that are no longer watched.
+    /// Drops the VMs for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&VmId) -> bool) {
         let gone: Vec<VmId> = self
             .valid_entries()
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Answers an asker that holds everything up to `mark`.
+    /// Returns the changes after `mark`, or a full snapshot if `mark` is of another incarnation or empty.
     pub fn changes_since(&self, mark: EvidenceMark, now: Moment) -> EvidenceDoc {
         let is_whole = mark.incarnation != self.mark.incarnation || mark.sequence == 0;
         let since = if is_whole { 0 } else { mark.sequence };
@@ -154,7 +154,8 @@
     }
 }
 
-/// Returns whether two reports differ in nothing worth sending.
+/// Returns whether two reports have the same state and the same order of magnitude of load, so that
+/// the difference need not be sent.
 fn is_equivalent(left: &MemberReport, right: &MemberReport) -> bool {
     let bucket = |report: &MemberReport| (report.running + report.queued).max(1).ilog2();
     left.has_same_state(right) && bucket(left) == bucket(right)
--- a/crates/node/src/suspect_host.rs
+++ b/crates/node/src/suspect_host.rs
@@ -1,4 +1,4 @@
-//! The memory of requests under which targets have ended, where settings name everything.
+//! Tracks requests suspected of crashing targets, for a node that is configured by its settings.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -24,12 +24,12 @@
 use crate::shared::NodeShared;
 use crate::watch::WatchMessage;
 
-/// Beginning of the keys of the rows.
-const PREFIX: &str = "suspect/";
+/// Key prefix of the rows.
+const KEY_PREFIX: &str = "suspect/";
 
-/// Dates ends by the time of day, which differs little between nodes.
+/// Timestamps crashes with the wall clock.
 ///
-/// An end counts for ten minutes; seconds by which clocks differ do not matter.
+/// A crash counts for ten minutes, so clock differences of seconds between nodes do not matter.
 struct WallClock;
 
 impl StoreClock for WallClock {
@@ -39,17 +39,17 @@
     }
 }
 
-/// Keeps a row for each end of a target by each request.
+/// Stores one row in the table per crash of a target and suspected request.
 struct TableSuspectRegistry {
     shared: Arc<NodeShared>,
 }
 
 impl TableSuspectRegistry {
-    /// Reads all rows.
+    /// Reads all rows as a snapshot.
     async fn read(&self) -> Result<FeedResponse, SourceError> {
         let request = ReadRequest {
             keys: Vec::new(),
-            prefixes: vec![PREFIX.to_owned()],
+            prefixes: vec![KEY_PREFIX.to_owned()],
         };
         let read = self.shared.platform.table.read(request).await;
         let rows = read.map_err(|error| source_error(&error))?.rows.into_iter();
@@ -67,11 +67,11 @@
 
 impl SuspectRegistry for TableSuspectRegistry {
     fn table(&self) -> &'static str {
-        PREFIX
+        KEY_PREFIX
     }
 
-    fn decode(&self, answer: &FeedResponse) -> Vec<SuspectChange> {
-        answer.rows.iter().filter_map(parse_change).collect()
+    fn decode(&self, response: &FeedResponse) -> Vec<SuspectChange> {
+        response.rows.iter().filter_map(parse_change).collect()
     }
 
     fn write(&self, rows: Vec<SuspectRow>, dropped: Vec<SuspectKey>) -> SourceFuture<'_, ()> {
@@ -79,10 +79,10 @@
             let builder = TransactBuilder::default();
             let builder = rows.iter().fold(builder, |builder, row| {
                 let SuspectRecord { key, value } = SuspectRecord::from(row);
-                builder.put(format!("{PREFIX}{key}"), &value)
+                builder.put(format!("{KEY_PREFIX}{key}"), &value)
             });
             let builder = dropped.iter().fold(builder, |builder, key| {
-                builder.delete(format!("{PREFIX}{}", format_key(key)))
+                builder.delete(format!("{KEY_PREFIX}{}", format_key(key)))
             });
             let written = self.shared.platform.table.transact(builder.build()).await;
             written.map(|_| ()).map_err(|error| source_error(&error))
@@ -95,16 +95,16 @@
 }
 
 fn parse_change(row: &FeedRow) -> Option<SuspectChange> {
-    let key = row.key.strip_prefix(PREFIX)?.to_owned();
+    let key = row.key.strip_prefix(KEY_PREFIX)?.to_owned();
     let value = serde_json::from_slice::<SuspectValue>(row.value.as_ref()?).ok();
-    let row_read = value.and_then(|value| SuspectRow::try_from(SuspectRecord { key, value }).ok());
-    if row_read.is_none() {
+    let parsed = value.and_then(|value| SuspectRow::try_from(SuspectRecord { key, value }).ok());
+    if parsed.is_none() {
         log::warn!(row = row.key.as_str(); "suspect_unreadable");
     }
-    row_read.map(SuspectChange::Put)
+    parsed.map(SuspectChange::Put)
 }
 
-/// What this node remembers, and how it finds out whether targets live.
+/// Suspect ledger of this node, with its table storage and its probes of targets.
 pub struct NodeSuspectHost {
     shared: Arc<NodeShared>,
     ledger: SuspectLedger,
@@ -114,7 +114,7 @@
 }
 
 impl NodeSuspectHost {
-    /// Opens a memory of nothing that tells `watch` of targets that have ended.
+    /// Creates a host with an empty ledger that notifies `watch` of crashed targets.
     pub fn new(shared: Arc<NodeShared>, watch: Mailbox<WatchMessage>) -> Arc<Self> {
         Arc::new(Self {
             ledger: SuspectLedger::new(Arc::new(WallClock)),
@@ -137,7 +137,7 @@
         &self.registry
     }
 
-    /// Reads the whole table each time, as often as the configuration is looked at.
+    /// Reads a snapshot of the table at each call, at most once per `control.config_poll_ms`.
     fn changes(
         self: Arc<Self>,
         mark: Option<FeedMark>,
@@ -151,8 +151,8 @@
         })
     }
 
-    /// Names nobody: each node writes what it sees to the table, which all follow.
-    fn holders_of(&self, _print: &RequestFingerprint, _count: usize) -> ThingHolders {
+    /// Returns no other holders: each node writes its observations to the table, which all nodes poll.
+    fn holders_of(&self, _fingerprint: &RequestFingerprint, _count: usize) -> ThingHolders {
         ThingHolders {
             others: Vec::new(),
             own_place: Some(0),
@@ -161,11 +161,11 @@
 
     fn probe<'a>(
         &'a self,
-        facts: &'a RunInfo,
+        run: &'a RunInfo,
         limit: Duration,
     ) -> BoxFuture<'a, Result<Liveness, ReportError>> {
         Box::pin(async move {
-            match tokio::time::timeout(limit, TcpStream::connect(&facts.address)).await {
+            match tokio::time::timeout(limit, TcpStream::connect(&run.address)).await {
                 Ok(Ok(_)) => Ok(Liveness::Listening),
                 Ok(Err(_)) => Err(ReportError::Refused),
                 Err(_) => Err(ReportError::NoResponse),
@@ -173,11 +173,12 @@
         })
     }
 
-    /// Returns whether the list names a life; of machines of other zones it says nothing.
-    fn is_listed(&self, life: &TargetIncarnation) -> bool {
+    /// Returns whether the VM list has this incarnation. VMs that are not on the list count as listed,
+    /// because the list covers only this zone.
+    fn is_listed(&self, incarnation: &TargetIncarnation) -> bool {
         let fleet = self.shared.fleet.read();
-        let vm = fleet.vms.get(&life.id);
-        vm.is_none_or(|vm| vm.incarnation == life.incarnation)
+        let vm = fleet.vms.get(&incarnation.id);
+        vm.is_none_or(|vm| vm.incarnation == incarnation.incarnation)
     }
 
     fn crash_count(&self) -> CrashCount {
--- a/crates/node/src/usage.rs
+++ b/crates/node/src/usage.rs
@@ -1,4 +1,4 @@
-//! Metered use: counted by traffic, written in numbered batches that charge once.
+//! Usage metering: counted per request, written in numbered batches so that each is charged once.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -13,17 +13,17 @@
 use crate::keys::usage_key;
 use crate::shared::NodeShared;
 
-/// Name of the service.
+/// Name under which the service is registered in the kernel.
 pub const USAGE_SERVICE: &str = "usage";
 
-/// Use since the last batch was cut, by organisation.
+/// Usage since the last batch, by organisation.
 #[derive(Debug, Default)]
 pub struct UsageMeter {
     rows: Mutex<IndexMap<OrganisationId, UsageRow>>,
 }
 
 impl UsageMeter {
-    /// Charges one answered request.
+    /// Charges one answered request to an organisation.
     ///
     /// ```
     /// use briarswitch_node::usage::UsageMeter;
@@ -50,12 +50,12 @@
         }
     }
 
-    /// Cuts a batch.
+    /// Removes and returns the usage charged since the last call.
     pub fn take(&self) -> Vec<UsageRow> {
         std::mem::take(&mut *self.lock()).into_values().collect()
     }
 
-    /// Returns whether nothing was charged since the last batch.
+    /// Returns whether nothing has been charged since the last batch.
     pub fn is_empty(&self) -> bool {
         self.lock().is_empty()
     }
@@ -65,16 +65,16 @@
     }
 }
 
-/// What the service is sent.
+/// Messages handled by [`UsageWriter`].
 #[derive(Debug)]
 pub enum UsageMessage {
-    /// Time to write what was charged.
+    /// Writes the charged usage; scheduled every `control.usage_flush_ms`.
     Flush,
-    /// What became of a batch.
+    /// Result of writing a batch.
     Written(Result<TransactReply, StoreError>),
 }
 
-/// Writes usage, one numbered batch at a time.
+/// Writes usage to the table, one numbered batch at a time.
 pub struct UsageWriter {
     shared: Arc<NodeShared>,
     sequence: u64,
@@ -84,7 +84,7 @@
 }
 
 impl UsageWriter {
-    /// Opens a writer that has written nothing.
+    /// Creates a writer whose next batch has number 0.
     pub fn new(shared: Arc<NodeShared>) -> Self {
         Self {
             shared,
@@ -95,10 +95,10 @@
         }
     }
 
-    /// Writes the pending batch, or cuts a new one.
+    /// Writes the pending batch, or a new one if none is pending.
     ///
-    /// A batch keeps its number until the table has taken it: the row demands its own absence, so
-    /// writing it again after a lost answer meets a conflict instead of charging twice.
+    /// A batch keeps its number until the table has accepted it. The write requires that the row does
+    /// not exist, so a retry after a lost reply gets a conflict instead of charging twice.
     fn flush(&mut self, link: &ServiceLink<UsageMessage>) {
         if self.is_writing {
             return;
@@ -155,7 +155,8 @@
             }
             UsageMessage::Written(result) => {
                 self.is_writing = false;
-                // A conflict means that this very batch was taken before its answer was lost.
+                // A conflict means that an earlier write of this batch took effect and its reply was
+                // lost.
                 if result.is_ok() {
                     self.pending = None;
                     self.sequence += 1;
