--- a/crates/node/src/auth.rs
+++ b/crates/node/src/auth.rs
@@ -1,4 +1,4 @@
-//! Credentials: hashing and comparison that takes the same time whatever differs.
+//! Credentials: hashing and constant-time comparison.
 
 use http::header::AUTHORIZATION;
 use http::HeaderMap;
@@ -11,21 +11,21 @@
     value.strip_prefix("Bearer ")
 }
 
-/// Returns whether a request carries a token, comparing in constant time.
+/// Returns whether the bearer credential of a request equals `token`, comparing in constant time.
 pub fn is_bearer(headers: &HeaderMap, token: &str) -> bool {
     bearer(headers).is_some_and(|found| is_token(found, token))
 }
 
-/// Returns whether a text is a token, comparing in constant time.
+/// Returns whether `found` equals `token`, comparing hashes in constant time.
 pub fn is_token(found: &str, token: &str) -> bool {
     let found = Sha256::digest(found.as_bytes());
-    let wanted = Sha256::digest(token.as_bytes());
-    bool::from(found.ct_eq(&wanted))
+    let expected = Sha256::digest(token.as_bytes());
+    bool::from(found.ct_eq(&expected))
 }
 
 /// Returns the SHA-256 of a key in lower-case hexadecimal, as organisations store it.
 ///
-/// Callers' keys are looked up by this hash, so a comparison reveals nothing of the key itself.
+/// Callers' keys are looked up by this hash, so the lookup time reveals nothing about the key itself.
 ///
 /// ```
 /// use briarswitch_node::auth::key_hash;
--- a/crates/node/src/operator_api.rs
+++ b/crates/node/src/operator_api.rs
@@ -1,4 +1,4 @@
-//! The listener for operators: edits, status, plan, usage and state dumps.
+//! Operator API: configuration edits, status, plan, usage and state dumps.
 
 use std::sync::Arc;
 
@@ -26,10 +26,10 @@
 use crate::keys::usage_prefix;
 use crate::shared::NodeShared;
 
-/// Largest request of an operator, in bytes.
-const BODY_LIMIT: usize = 4 << 20;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// Answers operators.
+/// HTTP handler of the operator API.
 pub struct OperatorApi {
     shared: Arc<NodeShared>,
     kernel: Kernel,
@@ -38,7 +38,7 @@
 }
 
 impl OperatorApi {
-    /// Opens the surface.
+    /// Creates the handler.
     pub fn new(
         shared: Arc<NodeShared>,
         kernel: Kernel,
@@ -57,7 +57,7 @@
         if !is_bearer(&head.headers, &self.shared.settings.operator_token) {
             return reply_text(StatusCode::UNAUTHORIZED, "unknown operator credential");
         }
-        let Ok(bytes) = read_body(body, BODY_LIMIT).await else {
+        let Ok(bytes) = read_body(body, MAX_BODY_BYTES).await else {
             return reply_text(StatusCode::BAD_REQUEST, "unreadable body");
         };
         match (&head.method, head.uri.path()) {
@@ -227,7 +227,7 @@
             prefixes: vec![usage_prefix()],
         };
         let Ok(reply) = self.shared.platform.table.read(request).await else {
-            return reply_text(StatusCode::SERVICE_UNAVAILABLE, "the table gives no answer");
+            return reply_text(StatusCode::SERVICE_UNAVAILABLE, "the table did not respond");
         };
         let mut totals: IndexMap<OrganisationId, UsageRow> = IndexMap::new();
         let batches = reply
--- a/crates/node/src/peer_api.rs
+++ b/crates/node/src/peer_api.rs
@@ -1,4 +1,4 @@
-//! The listener for other nodes: answers exchanges from published state.
+//! Peer API: exchanges published state with other nodes and handles the requests they forward.
 
 use std::sync::Arc;
 
@@ -16,22 +16,22 @@
 use crate::peers::EXCHANGE_PATH;
 use crate::shared::{ConfigView, NodeShared, Phase};
 
-/// Largest request of a peer, in bytes.
-const BODY_LIMIT: usize = 1 << 20;
+/// Maximum size of an exchange request, in bytes.
+const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// Answers other nodes.
+/// HTTP handler of the peer API.
 pub struct PeerApi {
     shared: Arc<NodeShared>,
     callers: Arc<CallerSurface>,
 }
 
 impl PeerApi {
-    /// Opens the surface.
+    /// Creates the handler; forwarded requests are passed to `callers`.
     pub fn new(shared: Arc<NodeShared>, callers: Arc<CallerSurface>) -> Arc<Self> {
         Arc::new(Self { shared, callers })
     }
 
-    /// Carries out a caller's request that another node passed on.
+    /// Handles a caller's request that another node forwarded.
     async fn handle_forwarded(&self, mut request: Request) -> Response {
         let token = request.headers_mut().remove(FORWARD_TOKEN_HEADER);
         let token = token.as_ref().and_then(|token| token.to_str().ok());
@@ -57,8 +57,8 @@
             held.is_none_or(|mark| (view.epoch, view.sequence) > (mark.epoch, mark.sequence))
         });
         let now = BootClock::now();
-        // A node of the same zone gathers its own evidence from each watcher; one of another zone
-        // asks only two nodes, so it is told what this node knows of the whole zone.
+        // A node of the same zone polls every watcher, so it gets only the evidence from this node's own
+        // probes. A node of another zone polls only two nodes, so it gets all evidence on this zone.
         let evidence = if request.zone == settings.zone {
             self.shared
                 .own_evidence
@@ -85,7 +85,8 @@
     }
 }
 
-/// Returns what an asker at `version` lacks: entries where they are still held, else everything.
+/// Returns the configuration that a peer at `version` lacks: the log entries since then, or a snapshot
+/// if the log no longer reaches back that far.
 fn missing_config(config: &ConfigView, version: u64) -> (Vec<EntryDoc>, Option<SnapshotDoc>) {
     if version >= config.book.version() {
         return (Vec::new(), None);
@@ -111,7 +112,7 @@
             if head.uri.path() != EXCHANGE_PATH {
                 return reply_text(StatusCode::NOT_FOUND, "no such path");
             }
-            let Ok(bytes) = read_body(body, BODY_LIMIT).await else {
+            let Ok(bytes) = read_body(body, MAX_BODY_BYTES).await else {
                 return reply_text(StatusCode::BAD_REQUEST, "unreadable body");
             };
             self.shared.metrics.add_peer_bytes(bytes.len());
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -1,4 +1,4 @@
-//! The service that gathers evidence, keeps the zones' views and publishes the routes.
+//! Watch service: collects evidence on VMs, keeps the zones' views and publishes the routes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,75 +18,75 @@
 use crate::routes::RouteTable;
 use crate::shared::{FleetView, NodeShared, ViewBook};
 
-/// Name of the service.
+/// Name under which the service is registered in the kernel.
 pub const WATCH_SERVICE: &str = "watch";
-/// Time between publications of evidence that was merely renewed.
+/// Interval at which renewed but otherwise unchanged evidence is published.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the service is sent.
+/// Messages handled by [`FleetWatcher`].
 #[derive(Debug)]
 pub enum WatchMessage {
-    /// Time to read the list of machines.
+    /// Reads the VM list.
     List,
-    /// The list of machines.
+    /// Result of reading the VM list.
     Listed(Result<Vec<Vm>, StoreError>),
-    /// Time to probe the machines this node watches.
+    /// Starts a probe round of the VMs that this node watches.
     ProbeRound,
-    /// What one machine said.
+    /// Result of a probe.
     Probed(ProbeResult),
-    /// What a peer knows.
+    /// Evidence received from a peer.
     PeerEvidence {
-        /// Peer that said it.
+        /// Peer that sent it.
         node: NodeId,
-        /// What it said.
+        /// Changes of the peer's evidence feed.
         evidence: EvidenceDoc,
-        /// Local time before the peer was requested_at.
+        /// Local time before the request to the peer was sent.
         requested_at: Moment,
     },
-    /// A zone's groups, from its controller or a peer.
+    /// A zone's view, from its controller or a peer.
     View(ZoneView),
-    /// A request found a machine gone.
+    /// A request found that a VM is gone.
     Failed {
-        /// Machine.
+        /// VM that is gone.
         vm: VmId,
         /// Local time before the request was sent.
         at: Moment,
     },
-    /// Time to publish renewed evidence.
+    /// Publishes renewed evidence; scheduled every [`PUBLISH_INTERVAL`].
     Publish,
-    /// A target said that it is leaving.
+    /// A target announced that it is leaving.
     Leaving {
-        /// Machine.
+        /// VM of the target.
         vm: VmId,
-        /// Its life.
+        /// Incarnation of the VM.
         incarnation: Incarnation,
     },
 }
 
-/// What one probe found.
+/// Result of a probe, or of an order that returned a report.
 #[derive(Debug)]
 pub struct ProbeResult {
-    /// Machine probed.
+    /// VM that was probed.
     pub vm: VmId,
-    /// Its report, or why there is none.
+    /// Report of the VM, or the error.
     pub report: Result<ReportDoc, CallError>,
-    /// Local time before the probe was sent.
+    /// Local time before the request was sent.
     pub requested_at: Moment,
 }
 
-/// Machines one peer vouches for.
+/// Reports last received from one peer.
 #[derive(Default)]
 struct PeerReports {
     reports: IndexMap<VmId, MemberReport>,
 }
 
-/// Watches machines and publishes where requests may go.
+/// Watches VMs and publishes the route table.
 pub struct FleetWatcher {
     shared: Arc<NodeShared>,
     client: CallerClient,
     evidence: EvidenceCache,
     fleet: FleetView,
-    /// Machines of other zones that peers vouch for are routed to through the views alone.
+    /// Latest view of each zone. VMs of other zones are routed to only through these.
     views: ViewBook,
     own_feed: EvidenceFeed,
     zone_feed: EvidenceFeed,
@@ -96,19 +96,19 @@
     pending_update: PendingUpdate,
 }
 
-/// What has to be published.
+/// Urgency of the next publication.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum PendingUpdate {
     None,
-    /// Evidence was renewed, which may wait a little: publishing is work for every machine, and
-    /// done for each report it would grow with their square.
+    /// Evidence was renewed; published at the next interval. A publication processes all VMs, so one
+    /// per report would cost quadratic time in the number of VMs.
     Renewed,
-    /// Something was lost, changed or marked, which traffic has to know at once.
+    /// Evidence or a view changed, or a VM was lost or marked as leaving; published immediately.
     Changed,
 }
 
 impl FleetWatcher {
-    /// Opens a watcher that has seen nothing.
+    /// Creates a watcher without evidence or views.
     pub fn new(shared: Arc<NodeShared>) -> Self {
         let incarnation = shared.incarnation;
         Self {
@@ -153,10 +153,11 @@
         self.mark_pending(PendingUpdate::Changed);
     }
 
-    /// Marks a machine as leaving for the rest of its life.
+    /// Marks an incarnation of a VM as leaving. The mark stays as long as the VM is in the VM list or in
+    /// the zone's view.
     ///
-    /// The platform's list lags and nodes read it at different times; a mark that could be taken
-    /// back by an older list would let new work through again.
+    /// The platform's VM list lags, and nodes read it at different times. If an older list could remove
+    /// the mark, new requests would be routed to the VM again.
     fn mark_leaving(&mut self, vm: &str, incarnation: Incarnation) {
         if self.leaving.insert((vm.to_owned(), incarnation)) {
             log::info!(vm = vm, incarnation = incarnation; "vm_leaving");
@@ -164,7 +165,7 @@
         }
     }
 
-    /// Returns the machines of the zone and where they are, by the list and by the view.
+    /// Returns the VMs in the VM list or the zone's view that this node watches, with their addresses.
     fn watched(&self, now: Moment) -> Vec<(VmId, String)> {
         let zone = &self.shared.settings.zone;
         let mut addresses: IndexMap<&VmId, &String> = IndexMap::new();
@@ -197,8 +198,8 @@
             if !self.probing.insert(vm.clone()) {
                 continue;
             }
-            // Probes are spread over the interval, so that a node with many machines neither
-            // bursts nor ages all evidence at once.
+            // Probes are spread over the interval to avoid bursts of requests, and of evidence that
+            // expires at the same time.
             let delay = interval * index as u32 / count;
             let client = self.client.clone();
             link.spawn(async move {
@@ -226,7 +227,7 @@
                 self.own_feed.record(&report, result.requested_at);
                 self.record_report(report, result.requested_at);
             }
-            // Another machine answers at the address: the one requested_at for is not there any more.
+            // Another VM has the address now, so the probed VM is gone.
             Ok(_) => self.mark_lost(&result.vm, result.requested_at),
             Err(CallError::Lost(text)) if is_refusal(&text) => {
                 self.mark_lost(&result.vm, result.requested_at);
@@ -237,11 +238,11 @@
 
     fn record_report(&mut self, report: MemberReport, requested_at: Moment) {
         let now = BootClock::now();
-        let held = self
+        let known = self
             .evidence
             .fresh(&report.vm, now)
-            .map(|held| &held.report);
-        let is_same = held.is_some_and(|held| held.has_same_state(&report));
+            .map(|entry| &entry.report);
+        let is_same = known.is_some_and(|known| known.has_same_state(&report));
         self.mark_pending(if is_same {
             PendingUpdate::Renewed
         } else {
@@ -254,8 +255,8 @@
         self.evidence.record(report, requested_at);
     }
 
-    fn mark_pending(&mut self, news: PendingUpdate) {
-        self.pending_update = self.pending_update.max(news);
+    fn mark_pending(&mut self, update: PendingUpdate) {
+        self.pending_update = self.pending_update.max(update);
     }
 
     fn mark_lost(&mut self, vm: &str, at: Moment) {
@@ -268,32 +269,32 @@
 
     fn apply_peer_evidence(&mut self, node: NodeId, evidence: EvidenceDoc, requested_at: Moment) {
         let age = Duration::from_millis(u64::from(evidence.age_ms));
-        let true_at = requested_at.saturating_sub(age);
-        let board = self.peers.entry(node).or_default();
+        let evidence_at = requested_at.saturating_sub(age);
+        let known = self.peers.entry(node).or_default();
         if evidence.is_whole {
-            board.reports.clear();
+            known.reports.clear();
         }
         for vm in evidence.lost.iter().chain(&evidence.dropped) {
-            board.reports.swap_remove(vm);
+            known.reports.swap_remove(vm);
         }
         for doc in evidence.changed {
             let report = MemberReport::from(doc);
-            board.reports.insert(report.vm.clone(), report);
+            known.reports.insert(report.vm.clone(), report);
         }
-        let reports: Vec<MemberReport> = board.reports.values().cloned().collect();
+        let reports: Vec<MemberReport> = known.reports.values().cloned().collect();
         for vm in evidence.lost {
-            // The peer had found it gone by the time it answered, which was after it was requested_at;
-            // only evidence that is newer than that stands.
+            // The peer found the VM gone before it responded, possibly after `requested_at`. Only
+            // evidence requested later than that remains valid.
             self.evidence.revoke(&vm, requested_at);
         }
         for report in reports {
-            self.record_report(report, true_at);
+            self.record_report(report, evidence_at);
         }
     }
 
     fn apply_view(&mut self, view: ZoneView) {
-        let held = self.views.entry(view.zone.clone()).or_default();
-        if !held.adopt(view) {
+        let current = self.views.entry(view.zone.clone()).or_default();
+        if !current.adopt(view) {
             return;
         }
         self.mark_pending(PendingUpdate::Changed);
@@ -318,10 +319,10 @@
         self.fleet.reports = self
             .evidence
             .fresh_entries(now)
-            .map(|held| {
+            .map(|entry| {
                 (
-                    held.report.vm.clone(),
-                    (held.report.clone(), held.requested_at),
+                    entry.report.vm.clone(),
+                    (entry.report.clone(), entry.requested_at),
                 )
             })
             .collect();
@@ -386,7 +387,7 @@
         let evidence: IndexMap<&VmId, u128> = self
             .evidence
             .fresh_entries(now)
-            .map(|held| (&held.report.vm, (now - held.requested_at).as_millis()))
+            .map(|entry| (&entry.report.vm, (now - entry.requested_at).as_millis()))
             .collect();
         let groups: Vec<Value> = self
             .views
@@ -404,7 +405,12 @@
     }
 }
 
-fn dump_group(view: &ZoneView, group: &GroupRecord, ledger: &EvidenceCache, now: Moment) -> Value {
+fn dump_group(
+    view: &ZoneView,
+    group: &GroupRecord,
+    evidence: &EvidenceCache,
+    now: Moment,
+) -> Value {
     json!({
         "group": group.id,
         "zone": view.zone,
@@ -413,7 +419,7 @@
         "epoch": group.epoch,
         "state": format!("{:?}", group.state).to_lowercase(),
         "members": group.members.iter().map(|member| &member.vm).collect::<Vec<_>>(),
-        "whole": ledger.complete_until(group, now).is_some(),
+        "whole": evidence.complete_until(group, now).is_some(),
     })
 }
 
@@ -428,7 +434,8 @@
     })
 }
 
-/// Returns whether an error shows that nothing listens at the address, as opposed to silence.
+/// Returns whether an error text shows that the connection was refused or reset, as opposed to a
+/// time-out.
 fn is_refusal(text: &str) -> bool {
     text.contains("refused") || text.contains("reset")
 }
