--- a/crates/node/tests/crashes.rs
+++ b/crates/node/tests/crashes.rs
@@ -1,23 +1,22 @@
-//! Requests that end the targets that run them, with settings that name everything.
+//! Requests that crash the targets that run them, on nodes with a static configuration.
 
 mod support;
 
 use googletest::prelude::*;
 use support::{Cluster, Plan};
 
-/// Runs after which a request is not to run any more, and those that may follow until all nodes know.
-const MOST_RUNS: usize = 3 + 3;
-/// Lives of a machine after which nobody waits for a refusal any more; nodes learn of an end within a few of them.
-const MOST_LIVES: u64 = 40;
-/// Times the caller comes again.
-const REPEATS: usize = 9;
+/// Crashes after which a request is quarantined, plus the runs possible until all nodes know of them.
+const MAX_RUNS: usize = 3 + 3;
+/// Incarnations of the VM within which the request must be refused; nodes learn of a crash within a few.
+const MAX_INCARNATIONS: u64 = 40;
+/// Number of times the caller sends the request.
+const ATTEMPTS: usize = 9;
 
-/// Symptom: targets end one after the other, each with the same call under way.
-/// Events: a call ends the machine that runs it; the machine is back in another life; the caller comes again at each node
-/// in turn, with the same path and body.
-/// Cause: nothing remembered what a call did to a target.
+/// Guards against one request crashing targets again and again. The request crashes the VM that runs
+/// it, the VM restarts as another incarnation, and the caller sends the same path and body to each
+/// node in turn. The nodes must stop running it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_that_ends_targets_is_run_no_more() {
+async fn request_that_crashes_targets_is_not_run_again() {
     let mut cluster = Cluster::start(Plan {
         engines_per_zone: 0,
         services_per_zone: 1,
@@ -27,10 +26,10 @@
     let name = cluster.services.keys().next().expect("a service").clone();
     let address = cluster.services[&name].address().to_string();
     let mut runs = 0;
-    for repeat in 0..REPEATS {
-        let node = repeat % cluster.nodes.len();
+    for attempt in 0..ATTEMPTS {
+        let node = attempt % cluster.nodes.len();
         cluster
-            .wait("the machine is in use", async |cluster| {
+            .wait("the VM is in use", async |cluster| {
                 let answer = cluster.call(node, "/look", &[]).await;
                 answer.is_some_and(|answer| answer.outcome() == "answered")
             })
@@ -39,15 +38,16 @@
         cluster.call(node, "/deadly", &[]).await;
         runs += cluster.calls("/deadly");
         cluster.services.get_mut(&name).expect("a service").kill();
-        let life = 2 + repeat as u64;
-        cluster.add_service("kakkanad", &name, life, &address);
+        let incarnation = 2 + attempt as u64;
+        cluster.add_service("kakkanad", &name, incarnation, &address);
     }
-    assert_that!(runs, le(MOST_RUNS));
+    assert_that!(runs, le(MAX_RUNS));
 }
 
-/// Guards against nodes that go on running what another one has seen end targets, and against other calls refused with it.
+/// Guards against nodes that keep running a request that crashed targets at other nodes, and against
+/// refusing other requests along with it.
 #[tokio::test(flavor = "multi_thread")]
-async fn all_nodes_refuse_a_call_that_ends_targets_and_no_other() {
+async fn all_nodes_refuse_only_the_request_that_crashes_targets() {
     let mut cluster = Cluster::start(Plan {
         nodes_per_zone: 3,
         engines_per_zone: 0,
@@ -57,12 +57,12 @@
     .await;
     let name = cluster.services.keys().next().expect("a service").clone();
     let address = cluster.services[&name].address().to_string();
-    let mut life = 1;
+    let mut incarnation = 1;
     let mut refusal = None;
-    while refusal.is_none() && life <= MOST_LIVES {
-        let node = life as usize % cluster.nodes.len();
+    while refusal.is_none() && incarnation <= MAX_INCARNATIONS {
+        let node = incarnation as usize % cluster.nodes.len();
         cluster
-            .wait("the machine is in use", async |cluster| {
+            .wait("the VM is in use", async |cluster| {
                 let answer = cluster.call(node, "/look", &[]).await;
                 answer.is_some_and(|answer| answer.outcome() == "answered")
             })
@@ -71,8 +71,8 @@
         let answer = cluster.call(node, "/deadly", &[]).await;
         refusal = answer.filter(|answer| answer.code() == "quarantined");
         cluster.services.get_mut(&name).expect("a service").kill();
-        life += 1;
-        cluster.add_service("kakkanad", &name, life, &address);
+        incarnation += 1;
+        cluster.add_service("kakkanad", &name, incarnation, &address);
     }
     let refusal = refusal.expect("the call is refused in the end");
     assert_that!(refusal.status, eq(503));
--- a/crates/node/tests/cuts.rs
+++ b/crates/node/tests/cuts.rs
@@ -1,4 +1,4 @@
-//! Zones cut off from each other and from the platform, on real processes.
+//! Network partitions between zones and from the platform, with real processes.
 
 mod support;
 
@@ -7,13 +7,12 @@
 use googletest::prelude::*;
 use support::{check_history, organisation, Cluster, Plan};
 
-/// Symptom: a zone that was cut off stopped serving, sent requests into the other zone, or stayed
-/// behind after the cut.
-/// Sequence: two zones lose each other, and one of them the platform too; edits are accepted on the
-/// other side; a group of the far zone dies during the cut; the cut heals.
-/// Cause: evidence from before the cut was trusted, or the two sides did not ask each other again.
+/// Guards against a partitioned zone that stops serving, sends requests to the other zone on evidence
+/// from before the partition, or stays behind after it because the sides do not reconnect. Two zones
+/// lose each other and one also loses the platform; an edit is accepted on the other side; then the
+/// links are restored.
 #[tokio::test(flavor = "multi_thread")]
-async fn cut_zone_serves_what_it_can_and_converges() {
+async fn partitioned_zone_serves_what_it_can_and_converges() {
     let mut cluster = Cluster::start(Plan {
         zones: 2,
         ..Plan::default()
@@ -52,7 +51,7 @@
     }
     cluster
         .wait(
-            "the cut zone learns the edit from its peer",
+            "the partitioned zone learns the edit from its peer",
             async |cluster| cluster.version(1).await == Some(version),
         )
         .await;
@@ -61,11 +60,11 @@
     check_history(&cluster.platform);
 }
 
-/// Symptom: a node cut in one direction only was taken for gone by nobody, or for gone by all.
-/// Sequence: a node's questions arrive, but no answer comes back to it; the other's exchange works.
-/// Cause: hearing a question was taken for being heard; only an answer counts.
+/// Guards against wrong conclusions from a partition in one direction. One node's requests arrive but
+/// it gets no responses, while the other's exchange works. Receiving a request proves nothing about
+/// the reverse direction, so only the node without responses must drop the remote group.
 #[tokio::test(flavor = "multi_thread")]
-async fn half_cut_is_seen_by_the_side_that_hears_nothing() {
+async fn one_way_partition_is_detected_by_the_side_without_responses() {
     let mut cluster = Cluster::start(Plan {
         zones: 2,
         ..Plan::default()
@@ -79,9 +78,10 @@
 
     links[&(0, 1)].set(LinkMode::CutBack);
     cluster
-        .wait("the deaf node drops the far group", async |cluster| {
-            cluster.routable(0).await == 1
-        })
+        .wait(
+            "the node without responses drops the remote group",
+            async |cluster| cluster.routable(0).await == 1,
+        )
         .await;
     assert_that!(cluster.routable(1).await, eq(2));
 
@@ -89,12 +89,11 @@
     cluster.wait_routable(2).await;
 }
 
-/// Symptom: a slow platform made a zone change its holder again and again.
-/// Sequence: every answer of the platform takes most of a second; nothing else is wrong.
-/// Cause: the lease was counted from the answer, or lost with each late one; renewals begin early
-/// enough for a slow answer.
+/// Guards against a zone's lease changing its holder repeatedly because the platform is slow. Each
+/// response of the platform is delayed, nothing else fails. The lease must not be lost to a late
+/// response: renewals start early enough.
 #[tokio::test(flavor = "multi_thread")]
-async fn slow_platform_keeps_the_holder() {
+async fn slow_platform_does_not_change_the_holder() {
     let cluster = Cluster::start(Plan {
         nodes_per_zone: 2,
         settings: vec![
--- a/crates/node/tests/groups.rs
+++ b/crates/node/tests/groups.rs
@@ -1,4 +1,4 @@
-//! Groups and leases under kills, freezes, pauses and platform outages, on real processes.
+//! Groups and leases under kills, freezes, pauses and platform outages, with real processes.
 
 mod support;
 
@@ -8,12 +8,11 @@
 use nix::sys::signal::Signal;
 use support::{check_history, Cluster, Plan, ZONES};
 
-/// Bits of a fencing number that count orders; what is above them is the epoch.
+/// Number of low bits of a fencing number that count orders; the bits above hold the epoch.
 const ORDER_BITS: u32 = 32;
 
-/// Symptom: a caller's request was sent to a group that had lost a machine.
-/// Sequence: the machine that does not take requests dies; the leader still accepts them.
-/// Cause: only the leader was looked at; every member needs evidence of its own.
+/// Guards against sending requests to a group that has lost a member. A member other than the leader
+/// dies and the leader still accepts requests, so checking only the leader is not enough.
 #[tokio::test(flavor = "multi_thread")]
 async fn group_stops_serving_when_a_member_dies() {
     let mut cluster = Cluster::start(Plan::default()).await;
@@ -24,7 +23,7 @@
     let other = other_member(&cluster, &leader);
     cluster.engines.get_mut(&other).expect("a member").kill();
     cluster
-        .wait("the group is out", async |cluster| {
+        .wait("the group is not routable", async |cluster| {
             cluster.routable(0).await == 0
         })
         .await;
@@ -36,9 +35,9 @@
     check_history(&cluster.platform);
 }
 
-/// Symptom: a group went on serving while one of its machines was frozen.
-/// Sequence: a machine stops answering without closing a connection, and later goes on.
-/// Cause: only refusals counted as loss; silence has to end the evidence too.
+/// Guards against serving from a group with a frozen member. The member stops responding without
+/// closing connections and later continues. Evidence must expire without responses, not only on
+/// refused connections.
 #[tokio::test(flavor = "multi_thread")]
 async fn group_stops_serving_while_a_member_is_frozen() {
     let cluster = Cluster::start(Plan::default()).await;
@@ -47,7 +46,7 @@
 
     cluster.engines[&other].freeze();
     cluster
-        .wait("the group is out", async |cluster| {
+        .wait("the group is not routable", async |cluster| {
             cluster.routable(0).await == 0
         })
         .await;
@@ -61,9 +60,8 @@
     check_history(&cluster.platform);
 }
 
-/// Symptom: a node that was frozen sent a request to a group that had died meanwhile.
-/// Sequence: the node stops; a member dies; a request arrives at the stopped node; the node goes on.
-/// Cause: evidence gathered before the freeze was trusted after it.
+/// Guards against a node that trusts its evidence from before a freeze. The node is stopped, a member
+/// dies, a request arrives, and the node continues; it must not send the request to the group.
 #[tokio::test(flavor = "multi_thread")]
 async fn frozen_node_does_not_trust_old_evidence() {
     let mut cluster = Cluster::start(Plan {
@@ -87,11 +85,10 @@
     assert_that!(cluster.executions(), eq(before));
 }
 
-/// Symptom: a lost member stayed lost although a spare was free.
-/// Sequence: a member dies for good; a spare stands in the same fabric domain.
-/// Cause: nothing replaced members; the planner mends and raises the generation.
+/// Guards against a lost member not being replaced by an available spare of the same fabric domain.
+/// The planner must repair the group, which increases its generation.
 #[tokio::test(flavor = "multi_thread")]
-async fn group_is_mended_from_a_spare() {
+async fn group_is_repaired_from_a_spare() {
     let mut cluster = Cluster::start(Plan {
         engines_per_zone: 3,
         ..Plan::default()
@@ -114,11 +111,10 @@
     check_history(&cluster.platform);
 }
 
-/// Symptom: a zone had no replica although a second fabric domain was idle.
-/// Sequence: every machine of the first domain goes dark at once.
-/// Cause: the dead group still counted as standing, and could not be mended where it stood.
+/// Guards against a zone left without a replica while a second fabric domain is idle. All VMs of the
+/// first domain fail at once, so the group cannot be repaired there; it must not count as a replica.
 #[tokio::test(flavor = "multi_thread")]
-async fn group_moves_when_its_fabric_domain_goes_dark() {
+async fn group_moves_when_its_fabric_domain_fails() {
     let mut cluster = Cluster::start(Plan::default()).await;
     let first: Vec<String> = cluster.engines.keys().cloned().collect();
     for name in ["second-0", "second-1"] {
@@ -140,16 +136,16 @@
     check_history(&cluster.platform);
 }
 
-/// Symptom: a controller that was paused woke and ordered engines about, against its successor.
-/// Sequence: the controller stops; another node takes over and mends a group; the first goes on.
-/// Cause: it still believed in its lease; the lease is checked on the boot-time clock before each
-/// order, and the fencing number of a late order is too low.
+/// Guards against conflicting orders from a controller that resumes after its lease was taken over.
+/// The controller is paused, another node takes over and repairs a group, and the first continues.
+/// It must check the lease on the boot-time clock before each order, and engines refuse late orders by
+/// their lower fencing number.
 #[tokio::test(flavor = "multi_thread")]
 async fn paused_controller_orders_nothing_after_it_wakes() {
     pause_and_wake_controller(true).await;
 }
 
-/// As above, with engines that take any order whatever its fencing number.
+/// As above, with engines that accept orders with any fencing number.
 #[tokio::test(flavor = "multi_thread")]
 async fn paused_controller_orders_nothing_even_where_engines_ignore_fencing() {
     pause_and_wake_controller(false).await;
@@ -172,7 +168,7 @@
     let leader = leader(&cluster, successor).await;
     cluster.engines.get_mut(&leader).expect("the leader").kill();
     cluster
-        .wait("the successor mends the group", async |cluster| {
+        .wait("the successor repairs the group", async |cluster| {
             let status = cluster.status(successor).await;
             status.is_some_and(|status| {
                 let mut groups = status.groups.iter();
@@ -196,11 +192,10 @@
     check_history(&cluster.platform);
 }
 
-/// Symptom: a machine was claimed by two groups after a lost answer.
-/// Sequence: each of several writes takes effect although its answer is lost, while groups form.
-/// Cause: the write was sent again blindly; its fate has to be read back first.
+/// Guards against two groups claiming the same VM after a lost reply. While groups form, several
+/// writes take effect but their replies are lost. The result must be read back before writing again.
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_answers_claim_no_machine_twice() {
+async fn lost_replies_claim_no_vm_twice() {
     let plan = Plan {
         engines_per_zone: 4,
         replicas_per_zone: 2,
@@ -215,11 +210,11 @@
     check_history(&cluster.platform);
 }
 
-/// Symptom: whole groups stopped serving when the platform was away.
-/// Sequence: the platform is down for longer than a lease; a member dies during the outage.
-/// Cause: serving hung on the lease; it hangs on evidence, and only membership on the lease.
+/// Guards against complete groups that stop serving during a platform outage. The platform is down
+/// for longer than a lease, and a member dies meanwhile. Serving depends on evidence; only changes of
+/// membership need the lease.
 #[tokio::test(flavor = "multi_thread")]
-async fn whole_groups_serve_through_a_platform_outage() {
+async fn complete_groups_serve_through_a_platform_outage() {
     let mut cluster = Cluster::start(Plan {
         engines_per_zone: 5,
         replicas_per_zone: 2,
@@ -239,7 +234,7 @@
     let leader = leader(&cluster, 0).await;
     cluster.engines.get_mut(&leader).expect("the leader").kill();
     cluster
-        .wait("the broken group is out", async |cluster| {
+        .wait("the broken group is not routable", async |cluster| {
             cluster.routable(0).await == 1
         })
         .await;
@@ -252,9 +247,9 @@
     check_history(&cluster.platform);
 }
 
-/// Symptom: a machine that came back after it was given up on still served its old group.
-/// Sequence: a member freezes; it is replaced by a spare; it goes on with its old membership.
-/// Cause: its memory was believed; the table and the generation decide.
+/// Guards against a replaced member that returns and still serves its old group. A member freezes, a
+/// spare replaces it, and it continues with its old membership. The table and the generation decide,
+/// so it must be ordered to leave.
 #[tokio::test(flavor = "multi_thread")]
 async fn returned_member_is_told_what_the_table_says() {
     let cluster = Cluster::start(Plan {
@@ -265,7 +260,7 @@
     let leader = leader(&cluster, 0).await;
     cluster.engines[&leader].freeze();
     cluster
-        .wait("the group is mended", async |cluster| {
+        .wait("the group is repaired", async |cluster| {
             let status = cluster.status(0).await;
             status.is_some_and(|status| {
                 let mut groups = status.groups.iter();
@@ -275,7 +270,7 @@
         .await;
     cluster.engines[&leader].thaw();
     cluster
-        .wait("the returned machine is idle", async |cluster| {
+        .wait("the returned VM is idle", async |cluster| {
             cluster.engines[&leader].standing() == (StateDoc::Idle, None)
         })
         .await;
@@ -325,9 +320,8 @@
     support::finish(reply.head, reply.body).await.outcome()
 }
 
-/// Symptom: a group was down for as long as loading weights takes, although a spare stood idle.
-/// Sequence: a spare stands by; a member dies; loading takes longer than the test waits.
-/// Cause: spares held no weights; they are loaded while nothing is wrong.
+/// Guards against a group that is down for as long as weights take to load although a spare is idle.
+/// The spare must preload the weights before a member dies.
 #[tokio::test(flavor = "multi_thread")]
 async fn spare_holds_the_weights_before_it_is_needed() {
     let mut cluster = Cluster::start(Plan {
@@ -348,7 +342,7 @@
         .await;
     cluster.engines.get_mut(&leader).expect("the leader").kill();
     cluster
-        .wait("the group is mended", async |cluster| {
+        .wait("the group is repaired", async |cluster| {
             let status = cluster.status(0).await;
             status.is_some_and(|status| {
                 let mut groups = status.groups.iter();
--- a/crates/node/tests/minted.rs
+++ b/crates/node/tests/minted.rs
@@ -1,4 +1,4 @@
-//! Keys that a node mints, which need no platform.
+//! Idempotency keys minted by a node, which are checked without the platform.
 
 mod support;
 
@@ -28,9 +28,9 @@
     reply["key"].as_str().expect("a key").to_owned()
 }
 
-/// Symptom: billing with keys stood still while the platform was away.
-/// Sequence: the platform goes down; a node mints keys; each is sent through all six nodes at once.
-/// Cause: every key had to be claimed in the table; a minted one may be begun at one node only.
+/// Guards against requests with minted keys failing during a platform outage, as they would if each
+/// key had to be claimed in the table. Each key is sent through all six nodes at once while the
+/// platform is down, and must run exactly once, at the node that minted it.
 #[tokio::test(flavor = "multi_thread")]
 async fn minted_keys_run_once_without_the_platform() {
     const KEYS: usize = 20;
@@ -55,12 +55,11 @@
     assert_that!(answered, eq(KEYS));
 }
 
-/// Symptom: a minted key ran again after its node had died.
-/// Sequence: a call with a minted key runs; its node is killed and starts anew; the key comes again
-/// through both nodes.
-/// Cause: the new life took the key for its own; a key is bound to the life that minted it.
+/// Guards against a minted key running a second time after its node was killed and restarted. A key
+/// is valid only for the incarnation that minted it, so the repeated key gets `unknown` through both
+/// nodes.
 #[tokio::test(flavor = "multi_thread")]
-async fn minted_key_dies_with_its_node() {
+async fn minted_key_expires_with_its_incarnation() {
     let mut cluster = cluster_of(1).await;
     let key = mint(&cluster, 0).await;
     let headers = [("idempotency-key", key.as_str())];
@@ -68,8 +67,8 @@
     assert_that!(first.outcome(), eq("answered"));
 
     cluster.nodes[0].kill();
-    let lonely = cluster.call(1, "/bill", &headers).await.expect("an answer");
-    assert_that!(lonely.outcome(), eq("unknown"));
+    let orphaned = cluster.call(1, "/bill", &headers).await.expect("an answer");
+    assert_that!(orphaned.outcome(), eq("unknown"));
     cluster.nodes[0].restart();
     cluster
         .wait("the node is back", async |cluster| {
@@ -86,15 +85,14 @@
     assert_that!(cluster.calls("/bill"), eq(1));
 }
 
-/// Symptom: work ran under a key that nobody had minted, or that was forgotten after it ran.
-/// Sequence: a key of the right node and life comes that is not in the node's book.
-/// Cause: a key that is not known was taken for a new one; it may have run.
+/// Guards against running a request whose key has the right node and incarnation but is not recorded
+/// there. Such a key was never minted, or was removed after use and may have run already.
 #[tokio::test(flavor = "multi_thread")]
-async fn minted_key_that_is_not_known_runs_nothing() {
+async fn unknown_minted_key_runs_nothing() {
     let cluster = cluster_of(1).await;
     let key = mint(&cluster, 0).await;
-    let (life, _) = key.rsplit_once('.').expect("three parts");
-    let forged = format!("{life}.1");
+    let (prefix, _) = key.rsplit_once('.').expect("three parts");
+    let forged = format!("{prefix}.1");
     for node in 0..2 {
         let headers = [("idempotency-key", forged.as_str())];
         let answer = cluster
@@ -106,9 +104,8 @@
     assert_that!(cluster.calls("/bill"), eq(0));
 }
 
-/// Symptom: a stranger ran a caller's request through the nodes' own listener.
-/// Sequence: a request is passed on with a wrong credential of the nodes.
-/// Cause: the listener trusted the network; it checks before it looks at anything else.
+/// Guards against forwarded requests being accepted from the network without the nodes' credential.
+/// The peer listener must check the credential before anything else.
 #[tokio::test(flavor = "multi_thread")]
 async fn forwarding_needs_the_nodes_credential() {
     let cluster = cluster_of(1).await;
