--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -62,10 +62,11 @@
         verdict.await.unwrap_or(ClaimVerdict::Unknown)
     }
 
-    /// Deletes the claim of a key under which nothing can have run, so that the caller may reuse it.
+    /// Deletes the claim of a key under which nothing can have run, so that the caller may reuse
+    /// it.
     ///
-    /// If this fails, the key stays claimed and later requests with it get the outcome "unknown". That
-    /// is less precise for the caller, but still correct.
+    /// If this fails, the key stays claimed and later requests with it get the outcome "unknown".
+    /// That is less precise for the caller, but still correct.
     pub async fn release(&self, key: &str) {
         let request = ReadRequest {
             keys: vec![key.to_owned()],
@@ -121,8 +122,8 @@
     }
 }
 
-/// Writes claims in one transaction. On a conflict, the key that was already taken is removed and the
-/// rest are written again.
+/// Writes claims in one transaction. On a conflict, the key that was already taken is removed and
+/// the rest are written again.
 async fn write_batch(shared: &NodeShared, mut jobs: Vec<ClaimJob>, write: String) {
     reject_duplicates(&mut jobs);
     while !jobs.is_empty() {
--- a/crates/node/src/controller.rs
+++ b/crates/node/src/controller.rs
@@ -1,4 +1,5 @@
-//! Zone controller service: holds the zone's lease, plans its groups and sends orders to its engines.
+//! Zone controller service: holds the zone's lease, plans its groups and sends orders to its
+//! engines.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -398,8 +399,8 @@
                 term.apply(changes, &versions);
                 self.send_view(link);
             }
-            // The rows differ from this term's copy, or the outcome is unknown. The term is discarded
-            // so that the rows are read again before any other change or order.
+            // The rows differ from this term's copy, or the outcome is unknown. The term is
+            // discarded so that the rows are read again before any other change or order.
             Ok(TransactReply::Conflict { .. }) | Err(_) => {
                 log::warn!(epoch = epoch; "change_unsettled");
                 self.discard_term();
@@ -439,8 +440,8 @@
         }
     }
 
-    /// Sends an order unless the lease has expired, the initial wait is not over, or another order to
-    /// the VM is pending.
+    /// Sends an order unless the lease has expired, the initial wait is not over, or another order
+    /// to the VM is pending.
     fn send_order(&mut self, order: DueOrder, link: &ServiceLink<ControllerMessage>) {
         let now = link.now();
         let deadline = self.shared.settings.control.order_deadline;
@@ -497,9 +498,9 @@
             }
             Err(error) => {
                 log::warn!(vm = vm.as_str(), error:% = error; "order_failed");
-                // The order may still arrive, and an engine that does not check fencing numbers would
-                // accept it after a later order. The next order to this VM therefore waits for the
-                // transport bound.
+                // The order may still arrive, and an engine that does not check fencing numbers
+                // would accept it after a later order. The next order to this VM therefore waits
+                // for the transport bound.
                 let bound = self.shared.settings.control.transport_bound;
                 link.later(bound, ControllerMessage::OrderExpired(vm));
             }
--- a/crates/node/src/evidence_feed.rs
+++ b/crates/node/src/evidence_feed.rs
@@ -1,4 +1,5 @@
-//! Feed of evidence for other nodes: changes with sequence numbers, and the age of the oldest evidence.
+//! Feed of evidence for other nodes: changes with sequence numbers, and the age of the oldest
+//! evidence.
 
 use std::time::Duration;
 
@@ -125,7 +126,8 @@
         }
     }
 
-    /// Returns the changes after `mark`, or a full snapshot if `mark` is of another incarnation or empty.
+    /// Returns the changes after `mark`, or a full snapshot if `mark` is of another incarnation or
+    /// empty.
     pub fn changes_since(&self, mark: EvidenceMark, now: Moment) -> EvidenceDoc {
         let is_whole = mark.incarnation != self.mark.incarnation || mark.sequence == 0;
         let since = if is_whole { 0 } else { mark.sequence };
--- a/crates/node/src/lease.rs
+++ b/crates/node/src/lease.rs
@@ -119,8 +119,8 @@
         self.client.record_result(outcome, now);
     }
 
-    /// Releases the lease permanently, and returns the write that publishes the release if the lease
-    /// was held.
+    /// Releases the lease permanently, and returns the write that publishes the release if the
+    /// lease was held.
     pub fn release(&mut self, now: Moment) -> Option<TransactRequest> {
         self.is_leaving = true;
         let write = self.write_id();
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -21,8 +21,8 @@
 
 /// Returns every order that is due.
 ///
-/// Orders are derived from the table and the reports only, not from orders sent before. A member that
-/// returns after it was replaced is therefore sent the order that matches its current row.
+/// Orders are derived from the table and the reports only, not from orders sent before. A member
+/// that returns after it was replaced is therefore sent the order that matches its current row.
 pub fn orders_due(
     term: &ControllerTerm,
     fleet: &FleetView,
@@ -83,12 +83,12 @@
     !is_member || report.state == MemberState::Idle
 }
 
-/// Returns whether a VM needs an order to leave: it reports a group but has no claim in the table, or
-/// its group is being dissolved and it has not acknowledged an order to leave.
+/// Returns whether a VM needs an order to leave: it reports a group but has no claim in the table,
+/// or its group is being dissolved and it has not acknowledged an order to leave.
 ///
-/// In the second case, a report of the idle state is not sufficient: it may be older than an order to
-/// join that is still in transit, and the claim would be deleted while the VM joins. The order to
-/// leave has a higher fencing number, so the engine refuses the earlier order once it has
+/// In the second case, a report of the idle state is not sufficient: it may be older than an order
+/// to join that is still in transit, and the claim would be deleted while the VM joins. The order
+/// to leave has a higher fencing number, so the engine refuses the earlier order once it has
 /// acknowledged this one.
 fn needs_leave(term: &ControllerTerm, report: &MemberReport) -> bool {
     let claim = term.claims.get(&report.vm).map(|row| &row.value);
--- a/crates/node/src/peer_api.rs
+++ b/crates/node/src/peer_api.rs
@@ -57,8 +57,9 @@
             held.is_none_or(|mark| (view.epoch, view.sequence) > (mark.epoch, mark.sequence))
         });
         let now = BootClock::now();
-        // A node of the same zone polls every watcher, so it gets only the evidence from this node's own
-        // probes. A node of another zone polls only two nodes, so it gets all evidence on this zone.
+        // A node of the same zone polls every watcher, so it gets only the evidence from this
+        // node's own probes. A node of another zone polls only two nodes, so it gets all evidence
+        // on this zone.
         let evidence = if request.zone == settings.zone {
             self.shared
                 .own_evidence
@@ -85,8 +86,8 @@
     }
 }
 
-/// Returns the configuration that a peer at `version` lacks: the log entries since then, or a snapshot
-/// if the log no longer reaches back that far.
+/// Returns the configuration that a peer at `version` lacks: the log entries since then, or a
+/// snapshot if the log no longer reaches back that far.
 fn missing_config(config: &ConfigView, version: u64) -> (Vec<EntryDoc>, Option<SnapshotDoc>) {
     if version >= config.book.version() {
         return (Vec::new(), None);
--- a/crates/node/src/suspect_host.rs
+++ b/crates/node/src/suspect_host.rs
@@ -151,7 +151,8 @@
         })
     }
 
-    /// Returns no other holders: each node writes its observations to the table, which all nodes poll.
+    /// Returns no other holders: each node writes its observations to the table, which all nodes
+    /// poll.
     fn holders_of(&self, _fingerprint: &RequestFingerprint, _count: usize) -> ThingHolders {
         ThingHolders {
             others: Vec::new(),
@@ -173,8 +174,8 @@
         })
     }
 
-    /// Returns whether the VM list has this incarnation. VMs that are not on the list count as listed,
-    /// because the list covers only this zone.
+    /// Returns whether the VM list has this incarnation. VMs that are not on the list count as
+    /// listed, because the list covers only this zone.
     fn is_listed(&self, incarnation: &TargetIncarnation) -> bool {
         let fleet = self.shared.fleet.read();
         let vm = fleet.vms.get(&incarnation.id);
--- a/crates/node/src/term.rs
+++ b/crates/node/src/term.rs
@@ -54,8 +54,8 @@
 /// Counters that increase monotonically for the lifetime of the process.
 ///
 /// A lease that expires and is acquired again by the same holder keeps its epoch. If the counters
-/// restarted, the new term would reuse fencing numbers, view sequence numbers and group names of that
-/// epoch: engines would refuse the orders and nodes would ignore the views.
+/// restarted, the new term would reuse fencing numbers, view sequence numbers and group names of
+/// that epoch: engines would refuse the orders and nodes would ignore the views.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TermCounters {
     view_sequence: u64,
@@ -84,8 +84,8 @@
 }
 
 impl ControllerTerm {
-    /// Creates a term from the zone's rows. Returns `None` if the epoch row is missing or has another
-    /// epoch, or if a row cannot be parsed.
+    /// Creates a term from the zone's rows. Returns `None` if the epoch row is missing or has
+    /// another epoch, or if a row cannot be parsed.
     pub fn from_rows(
         zone: &str,
         epoch: Epoch,
@@ -148,7 +148,8 @@
         }
     }
 
-    /// Returns whether a VM has acknowledged an order to leave and has not been ordered to join since.
+    /// Returns whether a VM has acknowledged an order to leave and has not been ordered to join
+    /// since.
     pub fn has_left(&self, vm: &str) -> bool {
         self.left_vms.contains(vm)
     }
--- a/crates/node/src/usage.rs
+++ b/crates/node/src/usage.rs
@@ -97,8 +97,8 @@
 
     /// Writes the pending batch, or a new one if none is pending.
     ///
-    /// A batch keeps its number until the table has accepted it. The write requires that the row does
-    /// not exist, so a retry after a lost reply gets a conflict instead of charging twice.
+    /// A batch keeps its number until the table has accepted it. The write requires that the row
+    /// does not exist, so a retry after a lost reply gets a conflict instead of charging twice.
     fn flush(&mut self, link: &ServiceLink<UsageMessage>) {
         if self.is_writing {
             return;
@@ -155,8 +155,8 @@
             }
             UsageMessage::Written(result) => {
                 self.is_writing = false;
-                // A conflict means that an earlier write of this batch took effect and its reply was
-                // lost.
+                // A conflict means that an earlier write of this batch took effect and its reply
+                // was lost.
                 if result.is_ok() {
                     self.pending = None;
                     self.sequence += 1;
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -100,8 +100,8 @@
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum PendingUpdate {
     None,
-    /// Evidence was renewed; published at the next interval. A publication processes all VMs, so one
-    /// per report would cost quadratic time in the number of VMs.
+    /// Evidence was renewed; published at the next interval. A publication processes all VMs, so
+    /// one per report would cost quadratic time in the number of VMs.
     Renewed,
     /// Evidence or a view changed, or a VM was lost or marked as leaving; published immediately.
     Changed,
@@ -153,11 +153,11 @@
         self.mark_pending(PendingUpdate::Changed);
     }
 
-    /// Marks an incarnation of a VM as leaving. The mark stays as long as the VM is in the VM list or in
-    /// the zone's view.
+    /// Marks an incarnation of a VM as leaving. The mark stays as long as the VM is in the VM list
+    /// or in the zone's view.
     ///
-    /// The platform's VM list lags, and nodes read it at different times. If an older list could remove
-    /// the mark, new requests would be routed to the VM again.
+    /// The platform's VM list lags, and nodes read it at different times. If an older list could
+    /// remove the mark, new requests would be routed to the VM again.
     fn mark_leaving(&mut self, vm: &str, incarnation: Incarnation) {
         if self.leaving.insert((vm.to_owned(), incarnation)) {
             log::info!(vm = vm, incarnation = incarnation; "vm_leaving");
@@ -165,7 +165,8 @@
         }
     }
 
-    /// Returns the VMs in the VM list or the zone's view that this node watches, with their addresses.
+    /// Returns the VMs in the VM list or the zone's view that this node watches, with their
+    /// addresses.
     fn watched(&self, now: Moment) -> Vec<(VmId, String)> {
         let zone = &self.shared.settings.zone;
         let mut addresses: IndexMap<&VmId, &String> = IndexMap::new();
--- a/crates/node/tests/crashes.rs
+++ b/crates/node/tests/crashes.rs
@@ -5,16 +5,18 @@
 use googletest::prelude::*;
 use support::{Cluster, Plan};
 
-/// Crashes after which a request is quarantined, plus the runs possible until all nodes know of them.
+/// Crashes after which a request is quarantined, plus the runs possible until all nodes know of
+/// them.
 const MAX_RUNS: usize = 3 + 3;
-/// Incarnations of the VM within which the request must be refused; nodes learn of a crash within a few.
+/// Incarnations of the VM within which the request must be refused; nodes learn of a crash within a
+/// few.
 const MAX_INCARNATIONS: u64 = 40;
 /// Number of times the caller sends the request.
 const ATTEMPTS: usize = 9;
 
-/// Guards against one request crashing targets again and again. The request crashes the VM that runs
-/// it, the VM restarts as another incarnation, and the caller sends the same path and body to each
-/// node in turn. The nodes must stop running it.
+/// Guards against one request crashing targets again and again. The request crashes the VM that
+/// runs it, the VM restarts as another incarnation, and the caller sends the same path and body to
+/// each node in turn. The nodes must stop running it.
 #[tokio::test(flavor = "multi_thread")]
 async fn request_that_crashes_targets_is_not_run_again() {
     let mut cluster = Cluster::start(Plan {
@@ -44,8 +46,8 @@
     assert_that!(runs, le(MAX_RUNS));
 }
 
-/// Guards against nodes that keep running a request that crashed targets at other nodes, and against
-/// refusing other requests along with it.
+/// Guards against nodes that keep running a request that crashed targets at other nodes, and
+/// against refusing other requests along with it.
 #[tokio::test(flavor = "multi_thread")]
 async fn all_nodes_refuse_only_the_request_that_crashes_targets() {
     let mut cluster = Cluster::start(Plan {
--- a/crates/node/tests/cuts.rs
+++ b/crates/node/tests/cuts.rs
@@ -7,10 +7,10 @@
 use googletest::prelude::*;
 use support::{check_history, organisation, Cluster, Plan};
 
-/// Guards against a partitioned zone that stops serving, sends requests to the other zone on evidence
-/// from before the partition, or stays behind after it because the sides do not reconnect. Two zones
-/// lose each other and one also loses the platform; an edit is accepted on the other side; then the
-/// links are restored.
+/// Guards against a partitioned zone that stops serving, sends requests to the other zone on
+/// evidence from before the partition, or stays behind after it because the sides do not reconnect.
+/// Two zones lose each other and one also loses the platform; an edit is accepted on the other
+/// side; then the links are restored.
 #[tokio::test(flavor = "multi_thread")]
 async fn partitioned_zone_serves_what_it_can_and_converges() {
     let mut cluster = Cluster::start(Plan {
@@ -60,9 +60,9 @@
     check_history(&cluster.platform);
 }
 
-/// Guards against wrong conclusions from a partition in one direction. One node's requests arrive but
-/// it gets no responses, while the other's exchange works. Receiving a request proves nothing about
-/// the reverse direction, so only the node without responses must drop the remote group.
+/// Guards against wrong conclusions from a partition in one direction. One node's requests arrive
+/// but it gets no responses, while the other's exchange works. Receiving a request proves nothing
+/// about the reverse direction, so only the node without responses must drop the remote group.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_way_partition_is_detected_by_the_side_without_responses() {
     let mut cluster = Cluster::start(Plan {
--- a/crates/node/tests/groups.rs
+++ b/crates/node/tests/groups.rs
@@ -11,8 +11,8 @@
 /// Number of low bits of a fencing number that count orders; the bits above hold the epoch.
 const ORDER_BITS: u32 = 32;
 
-/// Guards against sending requests to a group that has lost a member. A member other than the leader
-/// dies and the leader still accepts requests, so checking only the leader is not enough.
+/// Guards against sending requests to a group that has lost a member. A member other than the
+/// leader dies and the leader still accepts requests, so checking only the leader is not enough.
 #[tokio::test(flavor = "multi_thread")]
 async fn group_stops_serving_when_a_member_dies() {
     let mut cluster = Cluster::start(Plan::default()).await;
@@ -60,8 +60,9 @@
     check_history(&cluster.platform);
 }
 
-/// Guards against a node that trusts its evidence from before a freeze. The node is stopped, a member
-/// dies, a request arrives, and the node continues; it must not send the request to the group.
+/// Guards against a node that trusts its evidence from before a freeze. The node is stopped, a
+/// member dies, a request arrives, and the node continues; it must not send the request to the
+/// group.
 #[tokio::test(flavor = "multi_thread")]
 async fn frozen_node_does_not_trust_old_evidence() {
     let mut cluster = Cluster::start(Plan {
@@ -111,8 +112,9 @@
     check_history(&cluster.platform);
 }
 
-/// Guards against a zone left without a replica while a second fabric domain is idle. All VMs of the
-/// first domain fail at once, so the group cannot be repaired there; it must not count as a replica.
+/// Guards against a zone left without a replica while a second fabric domain is idle. All VMs of
+/// the first domain fail at once, so the group cannot be repaired there; it must not count as a
+/// replica.
 #[tokio::test(flavor = "multi_thread")]
 async fn group_moves_when_its_fabric_domain_fails() {
     let mut cluster = Cluster::start(Plan::default()).await;
@@ -138,8 +140,8 @@
 
 /// Guards against conflicting orders from a controller that resumes after its lease was taken over.
 /// The controller is paused, another node takes over and repairs a group, and the first continues.
-/// It must check the lease on the boot-time clock before each order, and engines refuse late orders by
-/// their lower fencing number.
+/// It must check the lease on the boot-time clock before each order, and engines refuse late orders
+/// by their lower fencing number.
 #[tokio::test(flavor = "multi_thread")]
 async fn paused_controller_orders_nothing_after_it_wakes() {
     pause_and_wake_controller(true).await;
@@ -193,7 +195,8 @@
 }
 
 /// Guards against two groups claiming the same VM after a lost reply. While groups form, several
-/// writes take effect but their replies are lost. The result must be read back before writing again.
+/// writes take effect but their replies are lost. The result must be read back before writing
+/// again.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_replies_claim_no_vm_twice() {
     let plan = Plan {
@@ -211,8 +214,8 @@
 }
 
 /// Guards against complete groups that stop serving during a platform outage. The platform is down
-/// for longer than a lease, and a member dies meanwhile. Serving depends on evidence; only changes of
-/// membership need the lease.
+/// for longer than a lease, and a member dies meanwhile. Serving depends on evidence; only changes
+/// of membership need the lease.
 #[tokio::test(flavor = "multi_thread")]
 async fn complete_groups_serve_through_a_platform_outage() {
     let mut cluster = Cluster::start(Plan {
@@ -247,9 +250,9 @@
     check_history(&cluster.platform);
 }
 
-/// Guards against a replaced member that returns and still serves its old group. A member freezes, a
-/// spare replaces it, and it continues with its old membership. The table and the generation decide,
-/// so it must be ordered to leave.
+/// Guards against a replaced member that returns and still serves its old group. A member freezes,
+/// a spare replaces it, and it continues with its old membership. The table and the generation
+/// decide, so it must be ordered to leave.
 #[tokio::test(flavor = "multi_thread")]
 async fn returned_member_is_told_what_the_table_says() {
     let cluster = Cluster::start(Plan {
@@ -320,8 +323,8 @@
     support::finish(reply.head, reply.body).await.outcome()
 }
 
-/// Guards against a group that is down for as long as weights take to load although a spare is idle.
-/// The spare must preload the weights before a member dies.
+/// Guards against a group that is down for as long as weights take to load although a spare is
+/// idle. The spare must preload the weights before a member dies.
 #[tokio::test(flavor = "multi_thread")]
 async fn spare_holds_the_weights_before_it_is_needed() {
     let mut cluster = Cluster::start(Plan {
--- a/crates/node/tests/minted.rs
+++ b/crates/node/tests/minted.rs
@@ -56,8 +56,8 @@
 }
 
 /// Guards against a minted key running a second time after its node was killed and restarted. A key
-/// is valid only for the incarnation that minted it, so the repeated key gets `unknown` through both
-/// nodes.
+/// is valid only for the incarnation that minted it, so the repeated key gets `unknown` through
+/// both nodes.
 #[tokio::test(flavor = "multi_thread")]
 async fn minted_key_expires_with_its_incarnation() {
     let mut cluster = cluster_of(1).await;
@@ -85,8 +85,8 @@
     assert_that!(cluster.calls("/bill"), eq(1));
 }
 
-/// Guards against running a request whose key has the right node and incarnation but is not recorded
-/// there. Such a key was never minted, or was removed after use and may have run already.
+/// Guards against running a request whose key has the right node and incarnation but is not
+/// recorded there. Such a key was never minted, or was removed after use and may have run already.
 #[tokio::test(flavor = "multi_thread")]
 async fn unknown_minted_key_runs_nothing() {
     let cluster = cluster_of(1).await;
