--- a/crates/node/src/auth.rs
+++ b/crates/node/src/auth.rs
@@ -25,8 +25,7 @@
 
 /// Returns the SHA-256 of a key in lower-case hexadecimal, as organisations store it.
 ///
-/// Callers' keys are looked up by this hash, so the lookup time reveals nothing about the key
-/// itself.
+/// Callers' keys are looked up by this hash, so a comparison reveals nothing about the key itself.
 ///
 /// ```
 /// use briarswitch_node::auth::key_hash;
--- a/crates/node/src/peer_api.rs
+++ b/crates/node/src/peer_api.rs
@@ -53,8 +53,8 @@
         let (entries, snapshot) = missing_config(&config, request.config);
         let views = self.shared.views.read();
         let newer = views.values().filter(|view| {
-            let held = request.views.iter().find(|mark| mark.zone == view.zone);
-            held.is_none_or(|mark| (view.epoch, view.sequence) > (mark.epoch, mark.sequence))
+            let known = request.views.iter().find(|mark| mark.zone == view.zone);
+            known.is_none_or(|mark| (view.epoch, view.sequence) > (mark.epoch, mark.sequence))
         });
         let now = BootClock::now();
         // A node of the same zone polls every watcher, so it gets only the evidence from this
--- a/crates/node/src/suspect_host.rs
+++ b/crates/node/src/suspect_host.rs
@@ -1,4 +1,5 @@
-//! Tracks requests suspected of crashing targets, for a node that is configured by its settings.
+//! Tracks requests suspected of crashing targets, for nodes whose settings list the peers and the
+//! platform's endpoints.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -52,7 +52,7 @@
         /// Local time before the request was sent.
         at: Moment,
     },
-    /// Publishes renewed evidence; scheduled every [`PUBLISH_INTERVAL`].
+    /// Publishes renewed evidence; scheduled at a fixed interval.
     Publish,
     /// A target announced that it is leaving.
     Leaving {
--- a/crates/node/tests/crashes.rs
+++ b/crates/node/tests/crashes.rs
@@ -1,4 +1,5 @@
-//! Requests that crash the targets that run them, on nodes with a static configuration.
+//! Requests that crash the targets that run them, on nodes whose settings list the peers and the
+//! platform's endpoints.
 
 mod support;
 
