--- a/crates/node/tests/cuts.rs
+++ b/crates/node/tests/cuts.rs
@@ -90,8 +90,8 @@
 }
 
 /// Guards against a zone's lease changing its holder repeatedly because the platform is slow. Each
-/// response of the platform is delayed, nothing else fails. The lease must be timed from the request,
-/// not the response, and renewals must start early enough for a late response.
+/// response of the platform is delayed, nothing else fails. The lease must be timed from the
+/// request, not the response, and renewals must start early enough for a late response.
 #[tokio::test(flavor = "multi_thread")]
 async fn slow_platform_does_not_change_the_holder() {
     let cluster = Cluster::start(Plan {
