--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator_api.rs
@@ -1,4 +1,4 @@
-//! The listener for operators: edits, status, plan, usage and state dumps.
+//! Operator API: configuration edits, status, plan, usage and state dumps.
 
 use std::sync::Arc;
 
@@ -26,20 +26,20 @@
 use crate::keys::usage_prefix;
 use crate::shared::NodeShared;
 
-/// Largest request of an operator, in bytes.
-const BODY_LIMIT: usize = 4 << 20;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// Answers operators.
-pub struct OperatorSurface {
+/// HTTP handler of the operator API.
+pub struct OperatorApi {
     shared: Arc<NodeShared>,
     kernel: Kernel,
     editor: ConfigEditor,
     dispatcher: Arc<RequestDispatcher>,
 }
 
-impl OperatorSurface {
-    /// Opens the surface.
-    pub fn open(
+impl OperatorApi {
+    /// Creates the handler.
+    pub fn new(
         shared: Arc<NodeShared>,
         kernel: Kernel,
         dispatcher: Arc<RequestDispatcher>,
@@ -52,12 +52,12 @@
         })
     }
 
-    async fn answer(&self, request: Request) -> Response {
+    async fn respond(&self, request: Request) -> Response {
         let (head, body) = request.into_parts();
         if !is_bearer(&head.headers, &self.shared.settings.operator_token) {
             return reply_text(StatusCode::UNAUTHORIZED, "unknown operator credential");
         }
-        let Ok(bytes) = read_body(body, BODY_LIMIT).await else {
+        let Ok(bytes) = read_body(body, MAX_BODY_BYTES).await else {
             return reply_text(StatusCode::BAD_REQUEST, "unreadable body");
         };
         match (&head.method, head.uri.path()) {
@@ -113,7 +113,7 @@
             Err(reply) => return *reply,
         };
         let config = self.shared.config.load();
-        let facts = self.facts(request);
+        let facts = self.request_facts(request);
         let mut passed_over = Vec::new();
         let mut found = None;
         for rule in config.book.rules() {
@@ -137,7 +137,7 @@
         reply_json(StatusCode::OK, &reply)
     }
 
-    fn facts(&self, request: TryRequest) -> RequestFacts {
+    fn request_facts(&self, request: TryRequest) -> RequestFacts {
         let headers = request
             .headers
             .into_iter()
@@ -227,7 +227,7 @@
             prefixes: vec![usage_prefix()],
         };
         let Ok(reply) = self.shared.platform.table.read(request).await else {
-            return reply_text(StatusCode::SERVICE_UNAVAILABLE, "the table gives no answer");
+            return reply_text(StatusCode::SERVICE_UNAVAILABLE, "the table did not respond");
         };
         let mut totals: IndexMap<OrganisationId, UsageRow> = IndexMap::new();
         let batches = reply
@@ -270,9 +270,9 @@
     }
 }
 
-impl Handler for OperatorSurface {
+impl Handler for OperatorApi {
     fn handle(&self, request: Request) -> BoxFuture<'_, Response> {
-        Box::pin(self.answer(request))
+        Box::pin(self.respond(request))
     }
 }
 
