--- a/crates/node/src/gate.rs
+++ b/crates/node/src/admission.rs
@@ -23,7 +23,7 @@
 
 /// What a request asks of a gate.
 #[derive(Clone, Debug)]
-pub struct AdmitAsk {
+pub struct AdmissionRequest {
     /// Deployment to be served by.
     pub deployment: DeploymentId,
     /// Organisation that calls.
@@ -44,7 +44,7 @@
 
 /// Why a request was not admitted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct AdmitRefusal {
+pub struct AdmissionRefusal {
     /// Point of failure.
     pub point: FailurePoint,
     /// When to come back.
@@ -54,17 +54,17 @@
 #[derive(Debug)]
 struct TargetStats {
     in_flight: u32,
-    sent_since: u32,
+    sent_since_report: u32,
     fresh_until: Moment,
     latency: Duration,
     prefix: PrefixIndex,
 }
 
 impl TargetStats {
-    fn open() -> Self {
+    fn new() -> Self {
         Self {
             in_flight: 0,
-            sent_since: 0,
+            sent_since_report: 0,
             fresh_until: Moment::ZERO,
             latency: Duration::ZERO,
             prefix: PrefixIndex::new(PREFIX_BLOCKS),
@@ -73,23 +73,23 @@
 }
 
 #[derive(Default)]
-struct GateState {
+struct AdmissionState {
     targets: IndexMap<TargetId, TargetStats>,
     queue: FairQueue<oneshot::Sender<()>>,
     service_time: Duration,
 }
 
 /// Admits requests to one deployment.
-pub struct DeploymentGate {
+pub struct DeploymentAdmission {
     shared: Arc<NodeShared>,
     deployment: DeploymentId,
     picker: TargetPicker,
-    state: Mutex<GateState>,
+    state: Mutex<AdmissionState>,
 }
 
 /// A place at a target; dropping it lets the next request in.
 pub struct TargetPermit {
-    gate: Arc<DeploymentGate>,
+    admission: Arc<DeploymentAdmission>,
     /// Target that the place is at.
     pub target: Arc<Target>,
     since: Moment,
@@ -98,13 +98,13 @@
 /// How a request that found no place leaves a gate.
 enum PickResult {
     Picked(Arc<Target>),
-    NoRoom,
+    AllFull,
     NoTarget,
 }
 
-impl DeploymentGate {
+impl DeploymentAdmission {
     /// Opens the gate of a deployment.
-    pub fn open(shared: Arc<NodeShared>, deployment: &str) -> Arc<Self> {
+    pub fn new(shared: Arc<NodeShared>, deployment: &str) -> Arc<Self> {
         Arc::new(Self {
             shared,
             deployment: deployment.to_owned(),
@@ -120,18 +120,18 @@
     ///
     /// # Errors
     ///
-    /// Returns [`AdmitRefusal`] with the time to come back.
+    /// Returns [`AdmissionRefusal`] with the time to come back.
     pub async fn admit(
         self: &Arc<Self>,
-        ask: &AdmitAsk,
+        ask: &AdmissionRequest,
         excluded: &[TargetId],
-    ) -> Result<TargetPermit, AdmitRefusal> {
+    ) -> Result<TargetPermit, AdmissionRefusal> {
         let mut is_turn = false;
         loop {
             match self.pick(ask, excluded, is_turn) {
                 PickResult::Picked(target) => return Ok(self.permit(target)),
                 PickResult::NoTarget => return Err(self.refusal(FailurePoint::NoTarget)),
-                PickResult::NoRoom => self.wait(ask, excluded).await?,
+                PickResult::AllFull => self.wait(ask, excluded).await?,
             }
             is_turn = true;
         }
@@ -144,39 +144,39 @@
         (state.queue.len(), in_flight)
     }
 
-    fn note_latency(&self, target: &str, latency: Duration) {
+    fn record_latency(&self, target: &str, latency: Duration) {
         let mut state = self.lock();
         if let Some(stats) = state.targets.get_mut(target) {
             stats.latency = smooth(stats.latency, latency);
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, GateState> {
+    fn lock(&self) -> MutexGuard<'_, AdmissionState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn permit(self: &Arc<Self>, target: Arc<Target>) -> TargetPermit {
         TargetPermit {
-            gate: Arc::clone(self),
+            admission: Arc::clone(self),
             target,
             since: BootClock::now(),
         }
     }
 
-    fn pick(&self, ask: &AdmitAsk, excluded: &[TargetId], is_turn: bool) -> PickResult {
+    fn pick(&self, ask: &AdmissionRequest, excluded: &[TargetId], is_turn: bool) -> PickResult {
         let now = BootClock::now();
         let routes = self.shared.routes.read();
         let open: Vec<&Arc<Target>> = routes
             .targets(&self.deployment)
             .iter()
-            .filter(|target| target.is_open(now) && !excluded.contains(&target.id))
+            .filter(|target| target.is_routable(now) && !excluded.contains(&target.id))
             .collect();
         if open.is_empty() {
             return PickResult::NoTarget;
         }
         let mut state = self.lock();
         if !is_turn && !state.queue.is_empty() {
-            return PickResult::NoRoom;
+            return PickResult::AllFull;
         }
         let mut roomy = Vec::with_capacity(open.len());
         let mut loads = Vec::with_capacity(open.len());
@@ -196,12 +196,12 @@
             rand::random::<u32>() as usize,
         ];
         let Some(index) = self.picker.pick(&loads, draws) else {
-            return PickResult::NoRoom;
+            return PickResult::AllFull;
         };
         let target = roomy[index];
         if let Some(stats) = state.targets.get_mut(&target.id) {
             stats.in_flight += 1;
-            stats.sent_since += 1;
+            stats.sent_since_report += 1;
             stats.prefix.record(&ask.chain);
         }
         PickResult::Picked(Arc::clone(target))
@@ -209,23 +209,23 @@
 
     fn load_of(
         &self,
-        state: &mut GateState,
+        state: &mut AdmissionState,
         target: &Target,
         chain: &PrefixChain,
         is_home: bool,
     ) -> TargetLoad {
         if !state.targets.contains_key(&target.id) {
-            state.targets.insert(target.id.clone(), TargetStats::open());
+            state.targets.insert(target.id.clone(), TargetStats::new());
         }
         let stats = &mut state.targets[&target.id];
         if stats.fresh_until != target.fresh_until {
             stats.fresh_until = target.fresh_until;
-            stats.sent_since = 0;
+            stats.sent_since_report = 0;
         }
         TargetLoad {
             reported: target.reported,
             in_flight: stats.in_flight,
-            sent_since_report: stats.sent_since,
+            sent_since_report: stats.sent_since_report,
             cached_share: stats.prefix.cached_share(chain),
             latency: stats.latency,
             is_affinity_target: is_home,
@@ -233,9 +233,13 @@
         }
     }
 
-    async fn wait(&self, ask: &AdmitAsk, excluded: &[TargetId]) -> Result<(), AdmitRefusal> {
+    async fn wait(
+        &self,
+        ask: &AdmissionRequest,
+        excluded: &[TargetId],
+    ) -> Result<(), AdmissionRefusal> {
         let (ticket, mut turn) = self.enqueue(ask)?;
-        let _queued = QueueMark::open(&self.shared);
+        let _queued = QueuedGuard::new(&self.shared);
         loop {
             let now = BootClock::now();
             let left = ask.deadline.saturating_sub(now);
@@ -249,15 +253,18 @@
             {
                 return Ok(());
             }
-            if !self.has_open(excluded) {
+            if !self.has_routable(excluded) {
                 self.lock().queue.cancel(ticket);
                 return Err(self.refusal(FailurePoint::NoTarget));
             }
-            self.wake_if_room(ask.target_in_flight);
+            self.wake_if_available(ask.target_in_flight);
         }
     }
 
-    fn enqueue(&self, ask: &AdmitAsk) -> Result<(u64, oneshot::Receiver<()>), AdmitRefusal> {
+    fn enqueue(
+        &self,
+        ask: &AdmissionRequest,
+    ) -> Result<(u64, oneshot::Receiver<()>), AdmissionRefusal> {
         let limit = self.shared.settings.requests.queue;
         let mut state = self.lock();
         if state.queue.len() >= limit {
@@ -275,18 +282,18 @@
         Ok((ticket, turn))
     }
 
-    fn has_open(&self, excluded: &[TargetId]) -> bool {
+    fn has_routable(&self, excluded: &[TargetId]) -> bool {
         let now = BootClock::now();
         self.shared
             .routes
             .read()
             .targets(&self.deployment)
             .iter()
-            .any(|target| target.is_open(now) && !excluded.contains(&target.id))
+            .any(|target| target.is_routable(now) && !excluded.contains(&target.id))
     }
 
     /// Lets the next waiter in when a target that was not there before has room.
-    fn wake_if_room(&self, target_in_flight: u32) {
+    fn wake_if_available(&self, target_in_flight: u32) {
         let now = BootClock::now();
         let routes = self.shared.routes.read();
         let targets = routes.targets(&self.deployment);
@@ -294,19 +301,19 @@
         let has_room = targets.iter().any(|target| {
             let stats = state.targets.get(&target.id);
             let in_flight = stats.map_or(0, |stats| stats.in_flight);
-            target.is_open(now) && in_flight < target_in_flight
+            target.is_routable(now) && in_flight < target_in_flight
         });
         if has_room {
             wake_next(&mut state);
         }
     }
 
-    fn refusal(&self, point: FailurePoint) -> AdmitRefusal {
+    fn refusal(&self, point: FailurePoint) -> AdmissionRefusal {
         let state = self.lock();
         let in_flight: u32 = state.targets.values().map(|stats| stats.in_flight).sum();
         let ahead = state.queue.len() as u32;
         let estimate = state.service_time * (ahead + 1) / in_flight.max(1);
-        AdmitRefusal {
+        AdmissionRefusal {
             point,
             retry_after: estimate.max(LEAST_RETRY_AFTER),
         }
@@ -333,38 +340,38 @@
 
 impl TargetPermit {
     /// Notes the time the target took to its first token.
-    pub fn note_latency(&self, latency: Duration) {
-        self.gate.note_latency(&self.target.id, latency);
+    pub fn record_latency(&self, latency: Duration) {
+        self.admission.record_latency(&self.target.id, latency);
     }
 }
 
 impl Drop for TargetPermit {
     fn drop(&mut self) {
         let took = BootClock::now().saturating_sub(self.since);
-        self.gate.release(&self.target.id, took);
+        self.admission.release(&self.target.id, took);
     }
 }
 
 /// Counts a waiter while it waits.
-struct QueueMark<'a> {
+struct QueuedGuard<'a> {
     shared: &'a NodeShared,
 }
 
-impl<'a> QueueMark<'a> {
-    fn open(shared: &'a NodeShared) -> Self {
+impl<'a> QueuedGuard<'a> {
+    fn new(shared: &'a NodeShared) -> Self {
         shared.metrics.move_queue(true);
         Self { shared }
     }
 }
 
-impl Drop for QueueMark<'_> {
+impl Drop for QueuedGuard<'_> {
     fn drop(&mut self) {
         self.shared.metrics.move_queue(false);
     }
 }
 
 /// Gives the turn to the first waiter that is still there.
-fn wake_next(state: &mut GateState) {
+fn wake_next(state: &mut AdmissionState) {
     while let Some(waiter) = state.queue.pop() {
         if waiter.send(()).is_ok() {
             return;
--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -12,7 +12,7 @@
 use http::StatusCode;
 
 use crate::auth::{is_bearer, is_token};
-use crate::caller::CallerSurface;
+use crate::caller::CallerApi;
 use crate::peers::EXCHANGE_PATH;
 use crate::shared::{ConfigView, NodeShared, Phase};
 
@@ -22,12 +22,12 @@
 /// Answers other nodes.
 pub struct PeerSurface {
     shared: Arc<NodeShared>,
-    callers: Arc<CallerSurface>,
+    callers: Arc<CallerApi>,
 }
 
 impl PeerSurface {
     /// Opens the surface.
-    pub fn open(shared: Arc<NodeShared>, callers: Arc<CallerSurface>) -> Arc<Self> {
+    pub fn open(shared: Arc<NodeShared>, callers: Arc<CallerApi>) -> Arc<Self> {
         Arc::new(Self { shared, callers })
     }
 
@@ -74,7 +74,7 @@
             node: settings.node.clone(),
             zone: settings.zone.clone(),
             incarnation: self.shared.incarnation,
-            config: config.book.version(),
+            config: config.config.version(),
             has_floor: config.floor.is_some(),
             entries,
             snapshot,
@@ -87,12 +87,12 @@
 
 /// Returns what an asker at `version` lacks: entries where they are still held, else everything.
 fn missing_config(config: &ConfigView, version: u64) -> (Vec<EntryDoc>, Option<SnapshotDoc>) {
-    if version >= config.book.version() {
+    if version >= config.config.version() {
         return (Vec::new(), None);
     }
     let first = config.log.front().map(|entry| entry.version);
     if first.is_none_or(|first| first > version + 1) {
-        return (Vec::new(), Some(SnapshotDoc::from(&config.book)));
+        return (Vec::new(), Some(SnapshotDoc::from(&config.config)));
     }
     let entries = config.log.iter().filter(|entry| entry.version > version);
     (entries.cloned().collect(), None)
--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -20,7 +20,7 @@
 
 /// A request as it is sent to targets.
 #[derive(Clone, Debug)]
-pub struct TargetAsk {
+pub struct TargetRequest {
     /// Method.
     pub method: Method,
     /// Path and query.
@@ -56,7 +56,7 @@
 
 impl AttemptRunner {
     /// Opens a runner that tells the watch service of targets found gone or leaving.
-    pub fn open(client: TargetClient, watch: Mailbox<WatchMessage>) -> Self {
+    pub fn new(client: TargetClient, watch: Mailbox<WatchMessage>) -> Self {
         Self { client, watch }
     }
 
@@ -67,7 +67,7 @@
     /// Returns the point of failure, which decides what the caller may be told.
     pub async fn begin(
         &self,
-        ask: &TargetAsk,
+        ask: &TargetRequest,
         target: &Target,
         attempt: &str,
         resume: Option<usize>,
@@ -80,13 +80,13 @@
             .send(&target.address, request, !ask.is_repeatable);
         let reply = match tokio::time::timeout(left, sending).await {
             Ok(Ok(reply)) => reply,
-            Ok(Err(failure)) => return Err(self.note_failure(failure, target, sent)),
+            Ok(Err(failure)) => return Err(self.report_failure(failure, target, sent)),
             Err(_) => return Err(FailurePoint::AnswerDeadline),
         };
-        self.check(reply, ask, target, attempt)
+        self.check_reply(reply, ask, target, attempt)
     }
 
-    fn note_failure(&self, failure: SendFailure, target: &Target, sent: Moment) -> FailurePoint {
+    fn report_failure(&self, failure: SendFailure, target: &Target, sent: Moment) -> FailurePoint {
         let _ = self.watch.post(WatchMessage::Failed {
             vm: target.vm.clone(),
             at: sent,
@@ -98,10 +98,10 @@
         }
     }
 
-    fn check(
+    fn check_reply(
         &self,
         reply: TargetReply,
-        ask: &TargetAsk,
+        ask: &TargetRequest,
         target: &Target,
         attempt: &str,
     ) -> Result<AttemptReply, FailurePoint> {
@@ -136,7 +136,7 @@
 ///
 /// Returns [`FailurePoint::Truncated`] when it breaks off or is too large, and
 /// [`FailurePoint::AnswerDeadline`] when it is not whole in time.
-pub async fn read_whole(body: TargetBody, deadline: Moment) -> Result<Bytes, FailurePoint> {
+pub async fn read_to_end(body: TargetBody, deadline: Moment) -> Result<Bytes, FailurePoint> {
     let left = deadline.saturating_sub(BootClock::now());
     match tokio::time::timeout(left, body.read_whole(ANSWER_LIMIT)).await {
         Ok(result) => result.map_err(|_| FailurePoint::Truncated),
@@ -145,7 +145,7 @@
 }
 
 fn build_request(
-    ask: &TargetAsk,
+    ask: &TargetRequest,
     target: &Target,
     attempt: &str,
     resume: Option<usize>,
--- a/crates/node/src/account.rs
+++ b/crates/node/src/availability.rs
@@ -10,24 +10,24 @@
 
 /// The measures of one zone since this process began to control it.
 #[derive(Clone, Debug, Default)]
-pub struct FleetAccount {
+pub struct AvailabilityCounters {
     /// Time that wanted groups could not serve, summed over groups.
     pub downtime: Duration,
     /// Accelerators that belong to no working group now.
     pub stranded: u32,
-    counted: Option<Moment>,
+    last_update: Option<Moment>,
 }
 
-impl FleetAccount {
-    /// Stops counting time until the next call of [`FleetAccount::count`].
+impl AvailabilityCounters {
+    /// Stops counting time until the next call of [`AvailabilityCounters::count`].
     pub fn pause(&mut self) {
-        self.counted = None;
+        self.last_update = None;
     }
 
     /// Counts the time since the last call.
-    pub fn count(&mut self, shared: &NodeShared, reign: &ControllerReign, now: Moment) {
-        let elapsed = self.counted.map_or(Duration::ZERO, |at| now - at);
-        self.counted = Some(now);
+    pub fn update(&mut self, shared: &NodeShared, reign: &ControllerReign, now: Moment) {
+        let elapsed = self.last_update.map_or(Duration::ZERO, |at| now - at);
+        self.last_update = Some(now);
         let routes = shared.routes.read();
         let config = shared.config.load();
         let mut working: IndexSet<&VmId> = IndexSet::new();
@@ -40,7 +40,7 @@
             }
         }
         let mut pools: IndexSet<&PoolId> = IndexSet::new();
-        for deployment in config.book.deployments().values() {
+        for deployment in config.config.deployments().values() {
             let DeploymentKind::Model {
                 replicas_per_zone, ..
             } = deployment.kind
--- a/crates/node/src/caller.rs
+++ b/crates/node/src/caller.rs
@@ -19,13 +19,15 @@
 use http::request::Parts;
 use http::{HeaderMap, Method, StatusCode};
 
-use crate::attempt::TargetAsk;
+use crate::admission::AdmissionRequest;
+use crate::attempt::TargetRequest;
 use crate::auth::{bearer, key_hash};
 use crate::dispatch::{MatchedRequest, RequestDispatcher};
-use crate::flight::FlightGuard;
 use crate::forward::KeyForwarder;
-use crate::gate::AdmitAsk;
-use crate::headers::{draw_of, passed_headers, read_key, read_repeatable, request_id};
+use crate::headers::{
+    forwarded_headers, parse_idempotency_key, parse_repeatable, percent_bucket, request_id,
+};
+use crate::in_flight::InFlightGuard;
 use crate::reply::{bad_request, mark_reply, CallerFailure};
 use crate::shared::{ConfigView, NodeShared, Phase};
 
@@ -35,19 +37,19 @@
 const LEAVING_RETRY: Duration = Duration::from_millis(100);
 
 /// Answers callers.
-pub struct CallerSurface {
+pub struct CallerApi {
     shared: Arc<NodeShared>,
     dispatcher: Arc<RequestDispatcher>,
     forwarder: KeyForwarder,
 }
 
 /// What a path asks for.
-enum Asked {
+enum ParsedRequest {
     Chat(ChatDoc),
     Service { name: String, path: String },
 }
 
-impl Asked {
+impl ParsedRequest {
     fn name(&self) -> &str {
         match self {
             Self::Chat(chat) => &chat.model,
@@ -56,11 +58,11 @@
     }
 }
 
-impl CallerSurface {
+impl CallerApi {
     /// Opens the surface.
-    pub fn open(shared: Arc<NodeShared>, dispatcher: Arc<RequestDispatcher>) -> Arc<Self> {
+    pub fn new(shared: Arc<NodeShared>, dispatcher: Arc<RequestDispatcher>) -> Arc<Self> {
         Arc::new(Self {
-            forwarder: KeyForwarder::open(Arc::clone(&shared)),
+            forwarder: KeyForwarder::new(Arc::clone(&shared)),
             shared,
             dispatcher,
         })
@@ -69,7 +71,7 @@
     async fn answer(&self, request: Request) -> Response {
         let (head, body) = request.into_parts();
         let id = request_id(&head.headers);
-        if let Some(key) = self.foreign_key(&head.headers) {
+        if let Some(key) = self.other_incarnation_key(&head.headers) {
             return self.forwarder.forward(key, head, body, &id).await;
         }
         if head.uri.path() == MINT_PATH {
@@ -93,7 +95,7 @@
     }
 
     /// Returns the request's key if another life of a node minted it.
-    fn foreign_key(&self, headers: &HeaderMap) -> Option<MintedKey> {
+    fn other_incarnation_key(&self, headers: &HeaderMap) -> Option<MintedKey> {
         let text = headers.get(KEY_HEADER)?.to_str().ok()?;
         let key = MintedKey::parse(text)?;
         let is_own =
@@ -131,17 +133,17 @@
         if config.floor.is_none() {
             return Err(unavailable("not_ready", "no configuration is known yet"));
         }
-        let Some(flight) = FlightGuard::open(&self.shared) else {
+        let Some(flight) = InFlightGuard::acquire(&self.shared) else {
             return Err(unavailable("overloaded", "too many requests are in flight"));
         };
         self.check_headers(&head.headers)?;
         let organisation = identify(&config, &head.headers)?;
-        let bytes = self.read(body).await?;
+        let bytes = self.read_request_body(body).await?;
         let asked = self.parse(&head, &bytes)?;
         self.match_rules(MatchInput {
             config: &config,
             organisation,
-            asked,
+            parsed: asked,
             head: &head,
             bytes,
             id,
@@ -169,7 +171,7 @@
         ))
     }
 
-    async fn read(&self, body: Body) -> Result<Bytes, CallerFailure> {
+    async fn read_request_body(&self, body: Body) -> Result<Bytes, CallerFailure> {
         let limits = self.shared.settings.requests;
         let reading = read_body(body, limits.body_bytes);
         match tokio::time::timeout(limits.body_timeout, reading).await {
@@ -190,12 +192,12 @@
         }
     }
 
-    fn parse(&self, head: &Parts, bytes: &Bytes) -> Result<Asked, CallerFailure> {
+    fn parse(&self, head: &Parts, bytes: &Bytes) -> Result<ParsedRequest, CallerFailure> {
         let path = head.uri.path();
         if let Some(rest) = path.strip_prefix(SERVICE_PREFIX) {
             let (name, rest) = rest.split_once('/').unwrap_or((rest, ""));
             let query = head.uri.query().map(|query| format!("?{query}"));
-            return Ok(Asked::Service {
+            return Ok(ParsedRequest::Service {
                 name: name.to_owned(),
                 path: format!("/{rest}{}", query.unwrap_or_default()),
             });
@@ -220,13 +222,13 @@
             return Err(bad_request("too_deep", message));
         }
         serde_json::from_slice(bytes)
-            .map(Asked::Chat)
+            .map(ParsedRequest::Chat)
             .map_err(|error| bad_request("bad_json", format!("not a chat request: {error}")))
     }
 
     fn match_rules(&self, input: MatchInput<'_>) -> Result<MatchedRequest, CallerFailure> {
-        let facts = self.facts(&input);
-        let rule = first_match(input.config.book.rules(), &facts);
+        let facts = self.request_facts(&input);
+        let rule = first_match(input.config.config.rules(), &facts);
         let (name, priority) = match rule.map(|rule| &rule.then) {
             Some(RuleAction::Route {
                 deployment,
@@ -247,33 +249,33 @@
                 ));
             }
         };
-        let deployment = input.config.book.deployments().get(name).ok_or_else(|| {
+        let deployment = input.config.config.deployments().get(name).ok_or_else(|| {
             CallerFailure::refused(
                 StatusCode::NOT_FOUND,
                 "no_deployment",
                 format!("there is no deployment {name}"),
             )
         })?;
-        self.build(input, deployment, priority.unwrap_or(deployment.priority))
+        self.build_matched(input, deployment, priority.unwrap_or(deployment.priority))
     }
 
-    fn facts(&self, input: &MatchInput<'_>) -> RequestFacts {
+    fn request_facts(&self, input: &MatchInput<'_>) -> RequestFacts {
         let headers = input.head.headers.iter().filter_map(|(name, value)| {
             let text = value.to_str().ok()?;
             Some((name.as_str().to_owned(), text.to_owned()))
         });
         RequestFacts {
             organisation: input.organisation.clone(),
-            asked: input.asked.name().to_owned(),
+            asked: input.parsed.name().to_owned(),
             headers: headers.collect(),
             body_bytes: input.bytes.len() as u64,
             zone: self.shared.settings.zone.clone(),
             minute_of_day: minute_of_day(),
-            draw: draw_of(&input.organisation, &input.head.headers),
+            draw: percent_bucket(&input.organisation, &input.head.headers),
         }
     }
 
-    fn build(
+    fn build_matched(
         &self,
         input: MatchInput<'_>,
         deployment: &Deployment,
@@ -281,20 +283,20 @@
     ) -> Result<MatchedRequest, CallerFailure> {
         let now = BootClock::now();
         let deadline = now + self.deadline(&input.head.headers)?;
-        let key = read_key(&input.head.headers)?;
-        let is_chat = matches!(input.asked, Asked::Chat(_));
+        let key = parse_idempotency_key(&input.head.headers)?;
+        let is_chat = matches!(input.parsed, ParsedRequest::Chat(_));
         let is_repeatable =
-            read_repeatable(&input.head.headers)?.unwrap_or(is_chat && key.is_none());
-        let organisation = input.config.book.organisations().get(&input.organisation);
-        let asked = input.asked.name().to_owned();
-        let (path, is_stream, tokens, chain) = match input.asked {
-            Asked::Chat(chat) => {
+            parse_repeatable(&input.head.headers)?.unwrap_or(is_chat && key.is_none());
+        let organisation = input.config.config.organisations().get(&input.organisation);
+        let asked = input.parsed.name().to_owned();
+        let (path, is_stream, tokens, chain) = match input.parsed {
+            ParsedRequest::Chat(chat) => {
                 let tokens = chat.max_tokens.map_or(DEFAULT_TOKENS, u64::from);
                 let prompt = prompt_of(&chat);
                 let chain = PrefixChain::of(prompt.as_bytes());
                 (CHAT_PATH.to_owned(), chat.stream, tokens, chain)
             }
-            Asked::Service { path, .. } => (path, false, 1, PrefixChain::default()),
+            ParsedRequest::Service { path, .. } => (path, false, 1, PrefixChain::default()),
         };
         let print = RequestFingerprint::of(&FingerprintParts {
             caller: &input.organisation,
@@ -304,8 +306,8 @@
             body: &input.bytes,
         });
         Ok(MatchedRequest {
-            print,
-            admit: AdmitAsk {
+            fingerprint: print,
+            admission: AdmissionRequest {
                 deployment: deployment.id.clone(),
                 organisation: input.organisation,
                 weight: organisation.map_or(1, |organisation| organisation.weight),
@@ -315,10 +317,10 @@
                 deadline,
                 target_in_flight: deployment.target_in_flight,
             },
-            ask: TargetAsk {
+            outgoing: TargetRequest {
                 method: input.head.method.clone(),
                 path,
-                headers: passed_headers(&input.head.headers),
+                headers: forwarded_headers(&input.head.headers),
                 body: input.bytes,
                 is_repeatable,
                 must_echo: is_chat,
@@ -328,7 +330,7 @@
             key,
             is_stream,
             request: input.id.to_owned(),
-            flight: input.flight,
+            in_flight: input.flight,
         })
     }
 
@@ -353,7 +355,7 @@
     }
 }
 
-impl Handler for CallerSurface {
+impl Handler for CallerApi {
     fn handle(&self, request: Request) -> BoxFuture<'_, Response> {
         Box::pin(self.answer(request))
     }
@@ -363,11 +365,11 @@
 struct MatchInput<'a> {
     config: &'a ConfigView,
     organisation: OrganisationId,
-    asked: Asked,
+    parsed: ParsedRequest,
     head: &'a Parts,
     bytes: Bytes,
     id: &'a str,
-    flight: FlightGuard,
+    flight: InFlightGuard,
 }
 
 fn identify(config: &ConfigView, headers: &HeaderMap) -> Result<OrganisationId, CallerFailure> {
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -71,16 +71,16 @@
 
     fn poll(&self, link: &ServiceLink<ConfigMessage>) {
         let shared = Arc::clone(&self.shared);
-        let version = self.view.book.version();
+        let version = self.view.config.version();
         link.spawn(async move { ConfigMessage::Polled(read_table(&shared, version).await) });
     }
 
     fn take_table(&mut self, state: TableState) {
-        let before = self.view.book.version();
+        let before = self.view.config.version();
         let is_complete = match state {
             TableState::Log { head, entries } => {
                 self.take_entries(entries);
-                self.view.book.version() >= head
+                self.view.config.version() >= head
             }
             TableState::Whole(snapshot) => {
                 self.take_snapshot(snapshot);
@@ -100,7 +100,7 @@
                 log::error!(version = doc.version; "config_entry_unreadable");
                 return;
             };
-            if self.view.book.apply(entry) {
+            if self.view.config.apply(entry) {
                 self.view.log.push_back(doc);
             }
         }
@@ -113,19 +113,19 @@
             log::error!("config_snapshot_unreadable");
             return;
         };
-        if self.view.book.adopt(book) {
+        if self.view.config.adopt(book) {
             self.view.log.clear();
         }
     }
 
     fn publish_if(&mut self, before: ConfigVersion, is_forced: bool) {
-        let version = self.view.book.version();
+        let version = self.view.config.version();
         if version == before && !is_forced {
             return;
         }
         self.view.keys = self
             .view
-            .book
+            .config
             .organisations()
             .values()
             .map(|organisation| (organisation.key_hash.clone(), organisation.id.clone()))
@@ -161,7 +161,7 @@
                 );
             }
             ConfigMessage::Learned { entries, snapshot } => {
-                let before = self.view.book.version();
+                let before = self.view.config.version();
                 if let Some(snapshot) = snapshot {
                     self.take_snapshot(snapshot);
                 }
@@ -172,7 +172,7 @@
                 // Only a node that cannot reach the platform may trust its zone for the floor.
                 if self.view.floor.is_none() && self.is_platform_lost {
                     self.view.floor = Some(FloorSource::Peers);
-                    let version = self.view.book.version();
+                    let version = self.view.config.version();
                     self.publish_if(version, true);
                 }
             }
@@ -181,11 +181,11 @@
 
     fn dump(&self) -> Value {
         json!({
-            "version": self.view.book.version(),
+            "version": self.view.config.version(),
             "floor": floor_name(self.view.floor),
-            "organisations": self.view.book.organisations().len(),
-            "deployments": self.view.book.deployments().len(),
-            "rules": self.view.book.rules().len(),
+            "organisations": self.view.config.organisations().len(),
+            "deployments": self.view.config.deployments().len(),
+            "rules": self.view.config.rules().len(),
             "log_entries": self.view.log.len(),
             "platform_lost": self.is_platform_lost,
         })
--- a/crates/node/src/controller.rs
+++ b/crates/node/src/controller.rs
@@ -14,11 +14,11 @@
 use serde_json::{json, Value};
 use tokio::sync::oneshot;
 
-use crate::account::FleetAccount;
+use crate::availability::AvailabilityCounters;
 use crate::keys::{epoch_key, group_prefix, vm_prefix};
 use crate::lease::{LeaseCall, LeaseTender};
 use crate::orders::{orders_due, DueOrder};
-use crate::progress::finished_changes;
+use crate::progress::due_changes;
 use crate::reign::{ControllerReign, ReignCounts, RowChanges};
 use crate::shared::{ControlView, FleetView, NodeShared};
 use crate::steps::{describe_step, loads_of};
@@ -85,7 +85,7 @@
     is_loading: bool,
     lost: IndexMap<VmId, Moment>,
     ordering: IndexSet<VmId>,
-    account: FleetAccount,
+    account: AvailabilityCounters,
     plan: Vec<String>,
 }
 
@@ -104,7 +104,7 @@
             is_loading: false,
             lost: IndexMap::new(),
             ordering: IndexSet::new(),
-            account: FleetAccount::default(),
+            account: AvailabilityCounters::default(),
             plan: Vec::new(),
             shared,
         }
@@ -116,7 +116,7 @@
         self.tend_reign(now, link);
         if self.is_reigning(now) {
             if let Some(reign) = &self.reign {
-                self.account.count(&self.shared, reign, now);
+                self.account.update(&self.shared, reign, now);
             }
             self.send_orders(now, link);
             self.advance(now, link);
@@ -224,7 +224,7 @@
     /// checks, nothing needs waiting for.
     fn order_wait(&self) -> Duration {
         let config = self.shared.config.read();
-        let all_check = config.book.deployments().values().all(|deployment| {
+        let all_check = config.config.deployments().values().all(|deployment| {
             matches!(
                 deployment.kind,
                 DeploymentKind::Service
@@ -286,7 +286,7 @@
         FleetState {
             vms,
             groups,
-            deployments: config.book.deployments().clone(),
+            deployments: config.config.deployments().clone(),
             load_budget,
         }
     }
@@ -305,13 +305,13 @@
 
     /// Takes the next change: groups that are complete or empty first, then the plan.
     fn advance(&mut self, now: Moment, link: &ServiceLink<ControllerMessage>) {
-        let is_listed = self.shared.fleet.read().is_listed;
+        let is_listed = self.shared.fleet.read().is_loaded;
         if self.is_table_busy || !is_listed {
             return;
         }
         let fleet = self.fleet(now, UNLIMITED_LOADS);
         let finished = match &self.reign {
-            Some(reign) => finished_changes(reign, &fleet),
+            Some(reign) => due_changes(reign, &fleet),
             None => return,
         };
         if !finished.rows.is_empty() {
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -19,10 +19,10 @@
 use http::{HeaderValue, StatusCode};
 use serde::Deserialize;
 
-use crate::attempt::{read_whole, AttemptReply, AttemptRunner, TargetAsk};
+use crate::admission::{AdmissionRequest, DeploymentAdmission, TargetPermit};
+use crate::attempt::{read_to_end, AttemptReply, AttemptRunner, TargetRequest};
 use crate::claims::{outcome_of, ClaimVerdict, ClaimWriter};
-use crate::flight::FlightGuard;
-use crate::gate::{AdmitAsk, DeploymentGate, TargetPermit};
+use crate::in_flight::InFlightGuard;
 use crate::keys::claim_key;
 use crate::relay::{RelayRun, StreamRelay};
 use crate::reply::{mark_reply, set_header, CallerFailure};
@@ -37,11 +37,11 @@
 /// A request that was identified and matched by a rule.
 pub struct MatchedRequest {
     /// Fingerprint, the same for each repeat.
-    pub print: RequestFingerprint,
+    pub fingerprint: RequestFingerprint,
     /// What admission needs.
-    pub admit: AdmitAsk,
+    pub admission: AdmissionRequest,
     /// What targets are sent.
-    pub ask: TargetAsk,
+    pub outgoing: TargetRequest,
     /// Caller's idempotency key.
     pub key: Option<String>,
     /// Whether the answer is a stream of events.
@@ -49,7 +49,7 @@
     /// Request id.
     pub request: RequestId,
     /// Counts the request as in flight until its answer is over.
-    pub flight: FlightGuard,
+    pub in_flight: InFlightGuard,
 }
 
 /// Carries requests out.
@@ -58,10 +58,10 @@
     runner: AttemptRunner,
     claims: ClaimWriter,
     suspects: Arc<NodeSuspects>,
-    reports: RunListeners,
+    listeners: RunListeners,
     keys: Arc<Mutex<ClaimCache>>,
     budget: Mutex<RetryBudget>,
-    gates: RwLock<HashMap<DeploymentId, Arc<DeploymentGate>>>,
+    admissions: RwLock<HashMap<DeploymentId, Arc<DeploymentAdmission>>>,
     rates: Mutex<HashMap<OrganisationId, (u32, RateShare)>>,
 }
 
@@ -79,7 +79,7 @@
 
 impl RequestDispatcher {
     /// Opens a dispatcher; `reports` hear how runs end.
-    pub fn open(
+    pub fn new(
         shared: Arc<NodeShared>,
         runner: AttemptRunner,
         claims: ClaimWriter,
@@ -91,13 +91,13 @@
             runner,
             claims,
             suspects,
-            reports,
+            listeners: reports,
             keys: Arc::new(Mutex::new(ClaimCache::new(settings.keys, KEY_MEMORY))),
             budget: Mutex::new(RetryBudget::new(
                 settings.retry_permille,
                 settings.retry_burst,
             )),
-            gates: RwLock::default(),
+            admissions: RwLock::default(),
             rates: Mutex::default(),
             shared,
         })
@@ -114,12 +114,12 @@
     }
 
     /// Begins a run of a request at a target.
-    pub fn open_run(&self, run: &RunSubject, target: &Target) -> TargetRun {
+    pub fn start_run(&self, run: &RunSubject, target: &Target) -> TargetRun {
         let fleet = self.shared.fleet.read();
         let domain = fleet.vms.get(&target.vm).map(|vm| vm.domain.clone());
         let facts = RunInfo {
             request: run.request.clone(),
-            fingerprint: run.print,
+            fingerprint: run.fingerprint,
             organisation: run.organisation.clone(),
             target: TargetIncarnation {
                 id: target.vm.clone(),
@@ -130,7 +130,7 @@
             group: String::new(),
             sent: BootClock::now(),
         };
-        TargetRun::start(facts, self.reports.clone())
+        TargetRun::start(facts, self.listeners.clone())
     }
 
     /// Returns the refusal of a request that is not to run now.
@@ -147,7 +147,10 @@
 
     /// Returns each deployment's queue length and requests in flight.
     pub fn loads(&self) -> Vec<(DeploymentId, usize, u32)> {
-        let gates = self.gates.read().unwrap_or_else(PoisonError::into_inner);
+        let gates = self
+            .admissions
+            .read()
+            .unwrap_or_else(PoisonError::into_inner);
         let loads = gates.iter().map(|(id, gate)| {
             let (queued, in_flight) = gate.load();
             (id.clone(), queued, in_flight)
@@ -157,9 +160,9 @@
 
     /// Carries a request out and builds its reply.
     pub async fn run(self: &Arc<Self>, matched: MatchedRequest) -> Response {
-        let trace = RequestTrace::open(&self.shared, &matched);
+        let trace = RequestTrace::new(&self.shared, &matched);
         let request = matched.request.clone();
-        let result = self.run_limited(matched, trace).await;
+        let result = self.run_checked(matched, trace).await;
         let node = &self.shared.settings.node;
         match result {
             Ok(reply) => reply,
@@ -171,19 +174,19 @@
         }
     }
 
-    async fn run_limited(
+    async fn run_checked(
         self: &Arc<Self>,
         matched: MatchedRequest,
         mut trace: RequestTrace,
     ) -> Result<Response, CallerFailure> {
-        if let Some(failure) = self.quarantined(&matched.print) {
+        if let Some(failure) = self.quarantined(&matched.fingerprint) {
             return Err(trace.fail(failure));
         }
-        if let Err(failure) = self.take_rate(&matched.admit.organisation) {
+        if let Err(failure) = self.check_rate(&matched.admission.organisation) {
             return Err(trace.fail(failure));
         }
         if let Some(key) = &matched.key {
-            let row = claim_key(&matched.admit.organisation, key);
+            let row = claim_key(&matched.admission.organisation, key);
             let is_minted = MintedKey::parse(key).is_some();
             if let Err(failure) = self.claim(&row, is_minted, &mut trace).await {
                 return Err(trace.fail(failure));
@@ -192,10 +195,10 @@
         self.attempt_all(matched, trace).await
     }
 
-    fn take_rate(&self, organisation: &str) -> Result<(), CallerFailure> {
+    fn check_rate(&self, organisation: &str) -> Result<(), CallerFailure> {
         let config = self.shared.config.read();
         let limit = config
-            .book
+            .config
             .organisations()
             .get(organisation)
             .and_then(|organisation| organisation.requests_per_second);
@@ -234,7 +237,7 @@
         if is_minted {
             return match self.lock_keys().begin_minted(row, now) {
                 None => {
-                    trace.hold_key(&self.keys, row);
+                    trace.set_claimed_key(&self.keys, row);
                     Ok(())
                 }
                 Some(state) => Err(claimed_failure(state)),
@@ -246,7 +249,7 @@
         }
         match self.claims.claim(row.to_owned()).await {
             ClaimVerdict::Won => {
-                trace.hold_key(&self.keys, row);
+                trace.set_claimed_key(&self.keys, row);
                 Ok(())
             }
             ClaimVerdict::Taken => {
@@ -266,16 +269,22 @@
         self.keys.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn gate(&self, deployment: &str) -> Arc<DeploymentGate> {
-        let gates = self.gates.read().unwrap_or_else(PoisonError::into_inner);
+    fn admission(&self, deployment: &str) -> Arc<DeploymentAdmission> {
+        let gates = self
+            .admissions
+            .read()
+            .unwrap_or_else(PoisonError::into_inner);
         if let Some(gate) = gates.get(deployment) {
             return Arc::clone(gate);
         }
         drop(gates);
-        let mut gates = self.gates.write().unwrap_or_else(PoisonError::into_inner);
+        let mut gates = self
+            .admissions
+            .write()
+            .unwrap_or_else(PoisonError::into_inner);
         let gate = gates
             .entry(deployment.to_owned())
-            .or_insert_with(|| DeploymentGate::open(Arc::clone(&self.shared), deployment));
+            .or_insert_with(|| DeploymentAdmission::new(Arc::clone(&self.shared), deployment));
         Arc::clone(gate)
     }
 
@@ -284,48 +293,50 @@
         matched: MatchedRequest,
         mut trace: RequestTrace,
     ) -> Result<Response, CallerFailure> {
-        let gate = self.gate(&matched.admit.deployment);
+        let gate = self.admission(&matched.admission.deployment);
         let mut tried: Vec<TargetId> = Vec::new();
         let mut last: Option<FailurePoint> = None;
         let mut broken = 0;
         loop {
-            let permit = match gate.admit(&matched.admit, &tried).await {
+            let permit = match gate.admit(&matched.admission, &tried).await {
                 Ok(permit) => permit,
                 Err(refusal) => {
                     // Once an attempt may have run, running out of targets does not undo that.
-                    let point = worst(last, refusal.point);
+                    let point = combine_failures(last, refusal.point);
                     let failure = CallerFailure::at(point).retry_after(refusal.retry_after);
-                    return Err(self.end_failed(failure, trace).await);
+                    return Err(self.finish_failed(failure, trace).await);
                 }
             };
             // It may have waited since it came, and may have ended a target elsewhere meanwhile.
-            if let Some(failure) = self.quarantined(&matched.print) {
-                let point = worst(last, failure.point);
+            if let Some(failure) = self.quarantined(&matched.fingerprint) {
+                let point = combine_failures(last, failure.point);
                 let failure = CallerFailure { point, ..failure };
-                return Err(self.end_failed(failure, trace).await);
+                return Err(self.finish_failed(failure, trace).await);
             }
             let point = match self.attempt_once(&matched, permit, &mut trace).await {
-                Ok(AttemptEnd::Whole(reply)) => return Ok(reply),
-                Ok(AttemptEnd::Stream(start)) => return Ok(self.stream(matched, *start, trace)),
+                Ok(AttemptResult::Complete(reply)) => return Ok(reply),
+                Ok(AttemptResult::Stream(start)) => {
+                    return Ok(self.stream_reply(matched, *start, trace))
+                }
                 Err((point, target)) => {
                     tried.push(target);
                     point
                 }
             };
-            broken += usize::from(breaks_run(point));
-            let may_retry = point.allows_retry(matched.ask.is_repeatable)
-                && self.suspects().may_retry(&matched.print, broken);
-            let point = worst(last, point);
+            broken += usize::from(is_broken_connection(point));
+            let may_retry = point.allows_retry(matched.outgoing.is_repeatable)
+                && self.suspects().may_retry(&matched.fingerprint, broken);
+            let point = combine_failures(last, point);
             last = Some(point);
-            if !may_retry || !self.spend_retry(&trace) {
+            if !may_retry || !self.withdraw_retry(&trace) {
                 let failure = CallerFailure::at(point);
                 let failure = failure.retry_after(std::time::Duration::from_secs(1));
-                return Err(self.end_failed(failure, trace).await);
+                return Err(self.finish_failed(failure, trace).await);
             }
         }
     }
 
-    fn spend_retry(&self, trace: &RequestTrace) -> bool {
+    fn withdraw_retry(&self, trace: &RequestTrace) -> bool {
         let is_left = self
             .budget
             .lock()
@@ -342,19 +353,19 @@
         matched: &MatchedRequest,
         permit: TargetPermit,
         trace: &mut RequestTrace,
-    ) -> Result<AttemptEnd, (FailurePoint, TargetId)> {
+    ) -> Result<AttemptResult, (FailurePoint, TargetId)> {
         trace.attempts += 1;
         trace.target.clone_from(&permit.target.label);
         let attempt = format!("{}.{}", trace.request, trace.attempts);
         let target = Arc::clone(&permit.target);
         let failed = |point| (point, target.id.clone());
-        let mut run = self.open_run(&RunSubject::of(matched), &target);
+        let mut run = self.start_run(&RunSubject::of(matched), &target);
         let begun = self
             .runner
-            .begin(&matched.ask, &target, &attempt, None)
+            .begin(&matched.outgoing, &target, &attempt, None)
             .await;
         let reply = begun.map_err(|point| {
-            end_run(&mut run, point);
+            end_failed_run(&mut run, point);
             failed(point)
         })?;
         if matched.is_stream && reply.head.status == StatusCode::OK {
@@ -364,29 +375,36 @@
                 reply,
                 run,
             };
-            return Ok(AttemptEnd::Stream(Box::new(start)));
+            return Ok(AttemptResult::Stream(Box::new(start)));
         }
         let AttemptReply { head, body } = reply;
-        let read = read_whole(body, matched.ask.deadline).await;
+        let read = read_to_end(body, matched.outgoing.deadline).await;
         let bytes = read.map_err(|point| {
-            end_run(&mut run, point);
+            end_failed_run(&mut run, point);
             failed(point)
         })?;
         run.complete(self.suspects());
         trace.tokens = tokens_of(&bytes);
         trace.settle(Outcome::Answered);
-        self.earn_retry();
-        Ok(AttemptEnd::Whole(self.whole(&head, bytes, trace)))
+        self.deposit_retry();
+        Ok(AttemptResult::Complete(
+            self.complete_reply(&head, bytes, trace),
+        ))
     }
 
-    fn earn_retry(&self) {
+    fn deposit_retry(&self) {
         self.budget
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .deposit();
     }
 
-    fn whole(&self, head: &http::response::Parts, bytes: Bytes, trace: &RequestTrace) -> Response {
+    fn complete_reply(
+        &self,
+        head: &http::response::Parts,
+        bytes: Bytes,
+        trace: &RequestTrace,
+    ) -> Response {
         let length = HeaderValue::from(bytes.len() as u64);
         let mut reply = Response::new(bytes.into());
         *reply.status_mut() = head.status;
@@ -400,19 +418,19 @@
         reply
     }
 
-    fn stream(
+    fn stream_reply(
         self: &Arc<Self>,
         matched: MatchedRequest,
         start: StreamStart,
         trace: RequestTrace,
     ) -> Response {
-        self.earn_retry();
+        self.deposit_retry();
         let (request, target) = (trace.request.clone(), trace.target.clone());
         let subject = RunSubject::of(&matched);
         let kind = start.reply.head.headers.get(CONTENT_TYPE).cloned();
-        let relay = StreamRelay::spawn(
+        let relay = StreamRelay::start(
             Arc::clone(self),
-            matched.ask,
+            matched.outgoing,
             start.permit,
             start.attempt,
             start.reply.body,
@@ -431,10 +449,14 @@
     }
 
     /// Ends a request that failed; a key under which nothing ran is given back first.
-    async fn end_failed(&self, failure: CallerFailure, mut trace: RequestTrace) -> CallerFailure {
+    async fn finish_failed(
+        &self,
+        failure: CallerFailure,
+        mut trace: RequestTrace,
+    ) -> CallerFailure {
         if failure.outcome() == Outcome::NotRun {
-            if let Some(key) = trace.drop_key() {
-                self.give_back(&key).await;
+            if let Some(key) = trace.take_claimed_key() {
+                self.release_key(&key).await;
             }
         }
         trace.fail(failure)
@@ -455,7 +477,7 @@
     }
 
     /// Makes a key usable again, nothing having run under it.
-    async fn give_back(&self, row: &str) {
+    async fn release_key(&self, row: &str) {
         let is_minted = row
             .rsplit('/')
             .next()
@@ -469,8 +491,8 @@
     }
 }
 
-enum AttemptEnd {
-    Whole(Response),
+enum AttemptResult {
+    Complete(Response),
     Stream(Box<StreamStart>),
 }
 
@@ -485,7 +507,7 @@
 #[derive(Clone, Debug)]
 pub struct RunSubject {
     request: RequestId,
-    print: RequestFingerprint,
+    fingerprint: RequestFingerprint,
     organisation: OrganisationId,
 }
 
@@ -493,19 +515,19 @@
     fn of(matched: &MatchedRequest) -> Self {
         Self {
             request: matched.request.clone(),
-            print: matched.print,
-            organisation: matched.admit.organisation.clone(),
+            fingerprint: matched.fingerprint,
+            organisation: matched.admission.organisation.clone(),
         }
     }
 
     /// Returns the request's fingerprint.
-    pub fn print(&self) -> &RequestFingerprint {
-        &self.print
+    pub fn fingerprint(&self) -> &RequestFingerprint {
+        &self.fingerprint
     }
 }
 
 /// Returns whether a failure means that the connection broke while the target had the request.
-fn breaks_run(point: FailurePoint) -> bool {
+fn is_broken_connection(point: FailurePoint) -> bool {
     matches!(
         point,
         FailurePoint::BrokenBeforeHead | FailurePoint::Truncated
@@ -513,8 +535,8 @@
 }
 
 /// Notes how a run ended that failed; one that nobody waits for any more is left to its watch.
-pub fn end_run(run: &mut TargetRun, point: FailurePoint) {
-    if breaks_run(point) {
+pub fn end_failed_run(run: &mut TargetRun, point: FailurePoint) {
+    if is_broken_connection(point) {
         run.report_broken(point.code());
     } else if point != FailurePoint::AnswerDeadline {
         run.end_unreported();
@@ -531,7 +553,7 @@
 }
 
 /// Returns the point to report after several failures: one that leaves the outcome open stays.
-fn worst(earlier: Option<FailurePoint>, later: FailurePoint) -> FailurePoint {
+fn combine_failures(earlier: Option<FailurePoint>, later: FailurePoint) -> FailurePoint {
     match earlier {
         Some(point) if point.outcome() == Outcome::Unknown => point,
         _ => later,
--- a/crates/node/src/editor.rs
+++ b/crates/node/src/editor.rs
@@ -175,8 +175,8 @@
             }
         };
         let held = self.shared.config.load();
-        let findings = if held.book.version() == head {
-            held.book.check_edit(&entry.key, &entry.value)
+        let findings = if held.config.version() == head {
+            held.config.check_edit(&entry.key, &entry.value)
         } else {
             let snapshot = read_whole(&self.shared).await?;
             let book = VersionedConfig::try_from(snapshot).unwrap_or_default();
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -30,7 +30,7 @@
 
 impl KeyForwarder {
     /// Opens a forwarder.
-    pub fn open(shared: Arc<NodeShared>) -> Self {
+    pub fn new(shared: Arc<NodeShared>) -> Self {
         let connect = shared.settings.requests.connect_timeout;
         Self {
             shared,
@@ -46,8 +46,8 @@
     /// When the node that minted the key can not be reached, nobody can tell what ran under it, so
     /// the caller is told "unknown" even though nothing was sent now.
     pub async fn forward(&self, key: MintedKey, head: Parts, body: Body, id: &str) -> Response {
-        match self.exchange(&key, head, body).await {
-            Ok(reply) => pass_back(reply),
+        match self.send(&key, head, body).await {
+            Ok(reply) => build_response(reply),
             Err(point) => {
                 let mut reply = CallerFailure::at(point).reply();
                 mark_reply(&mut reply, id, &self.shared.settings.node, "");
@@ -56,7 +56,7 @@
         }
     }
 
-    async fn exchange(
+    async fn send(
         &self,
         key: &MintedKey,
         head: Parts,
@@ -76,7 +76,7 @@
             address: peer.address.clone(),
             incarnation: key.incarnation,
         };
-        let request = build(&head, bytes, &peer.address, &settings.peer_token);
+        let request = build_request(&head, bytes, &peer.address, &settings.peer_token);
         let limit = limits.longest_deadline + Duration::from_secs(1);
         let sending = self.client.send(&target, request, true);
         match tokio::time::timeout(limit, sending).await {
@@ -90,7 +90,7 @@
     }
 }
 
-fn build(
+fn build_request(
     head: &Parts,
     bytes: Bytes,
     address: &str,
@@ -113,9 +113,9 @@
     request
 }
 
-fn pass_back(reply: TargetReply) -> Response {
+fn build_response(reply: TargetReply) -> Response {
     let TargetReply { head, body } = reply;
-    let mut response = Response::new(stream_body(pieces(body)));
+    let mut response = Response::new(stream_body(body_chunks(body)));
     *response.status_mut() = head.status;
     *response.headers_mut() = head.headers;
     // A whole body keeps its announced length, so one that is cut short is seen to be.
@@ -123,7 +123,9 @@
     response
 }
 
-fn pieces(body: TargetBody) -> impl Stream<Item = Result<Bytes, std::io::Error>> + Send + 'static {
+fn body_chunks(
+    body: TargetBody,
+) -> impl Stream<Item = Result<Bytes, std::io::Error>> + Send + 'static {
     futures::stream::unfold(body, |mut body| async move {
         match body.next().await {
             Ok(Some(piece)) => Some((Ok(piece), body)),
--- a/crates/node/src/headers.rs
+++ b/crates/node/src/headers.rs
@@ -30,7 +30,7 @@
 /// # Errors
 ///
 /// Returns the failure to answer with when it is not one.
-pub fn read_key(headers: &HeaderMap) -> Result<Option<String>, CallerFailure> {
+pub fn parse_idempotency_key(headers: &HeaderMap) -> Result<Option<String>, CallerFailure> {
     let Some(value) = headers.get(KEY_HEADER) else {
         return Ok(None);
     };
@@ -54,7 +54,7 @@
 /// # Errors
 ///
 /// Returns the failure to answer with when the value is neither word.
-pub fn read_repeatable(headers: &HeaderMap) -> Result<Option<bool>, CallerFailure> {
+pub fn parse_repeatable(headers: &HeaderMap) -> Result<Option<bool>, CallerFailure> {
     let Some(value) = headers.get(REPEATABLE_HEADER) else {
         return Ok(None);
     };
@@ -69,7 +69,7 @@
 }
 
 /// Leaves out what belongs to one connection, and the caller's credential.
-pub fn passed_headers(headers: &HeaderMap) -> HeaderMap {
+pub fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let mut passed = headers.clone();
     for name in [
         AUTHORIZATION,
@@ -94,7 +94,7 @@
 }
 
 /// Draws a number from 0 to 99 that stays the same for one caller of an organisation.
-pub fn draw_of(organisation: &str, headers: &HeaderMap) -> u8 {
+pub fn percent_bucket(organisation: &str, headers: &HeaderMap) -> u8 {
     let caller = headers
         .get("x-caller")
         .map_or(&b""[..], |value| value.as_bytes());
--- a/crates/node/src/flight.rs
+++ b/crates/node/src/in_flight.rs
@@ -7,29 +7,29 @@
 
 /// One request in flight; it ends when the last clone is dropped.
 #[derive(Clone)]
-pub struct FlightGuard {
-    _mark: Arc<FlightMark>,
+pub struct InFlightGuard {
+    _count: Arc<InFlightCount>,
 }
 
-struct FlightMark {
+struct InFlightCount {
     shared: Arc<NodeShared>,
 }
 
-impl FlightGuard {
+impl InFlightGuard {
     /// Counts a request in, or returns `None` when as many as allowed are in flight.
-    pub fn open(shared: &Arc<NodeShared>) -> Option<Self> {
+    pub fn acquire(shared: &Arc<NodeShared>) -> Option<Self> {
         let limit = shared.settings.requests.in_flight;
         let before = shared.in_flight.fetch_add(1, Ordering::SeqCst);
-        let mark = FlightMark {
+        let mark = InFlightCount {
             shared: Arc::clone(shared),
         };
         (before < limit).then(|| Self {
-            _mark: Arc::new(mark),
+            _count: Arc::new(mark),
         })
     }
 }
 
-impl Drop for FlightMark {
+impl Drop for InFlightCount {
     fn drop(&mut self) {
         self.shared.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -12,10 +12,11 @@
 //! # }
 //! ```
 
-pub mod account;
+pub mod admission;
 pub mod answer;
 pub mod attempt;
 pub mod auth;
+pub mod availability;
 pub mod board;
 pub mod caller;
 pub mod claims;
@@ -25,11 +26,10 @@
 pub mod dispatch;
 pub mod editor;
 pub mod fields;
-pub mod flight;
 pub mod forward;
-pub mod gate;
 pub mod headers;
 pub mod health;
+pub mod in_flight;
 pub mod keys;
 pub mod layers;
 pub mod lease;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -18,7 +18,7 @@
 
 use crate::answer::PeerSurface;
 use crate::attempt::AttemptRunner;
-use crate::caller::CallerSurface;
+use crate::caller::CallerApi;
 use crate::claims::ClaimWriter;
 use crate::config::ConfigKeeper;
 use crate::controller::{ControllerMessage, ZoneController};
@@ -89,7 +89,7 @@
     pub async fn spawn(settings: NodeSettings) -> Result<Self, NodeError> {
         let platform =
             HttpPlatform::open(settings.platform.clone(), settings.control.platform_timeout);
-        let shared = NodeShared::open(settings, new_incarnation(), platform);
+        let shared = NodeShared::new(settings, new_incarnation(), platform);
         let listen = &shared.settings.listen;
         let callers = bind("callers", &listen.callers).await?;
         let operators = bind("operators", &listen.operators).await?;
@@ -106,7 +106,7 @@
         let watcher = kernel.mount(FleetWatcher::open(Arc::clone(&shared)))?;
         let controller = kernel.mount(ZoneController::open(Arc::clone(&shared)))?;
         let usage = kernel.mount(UsageWriter::open(Arc::clone(&shared)))?;
-        kernel.mount(PeerExchange::open(Arc::clone(&shared)))?;
+        kernel.mount(PeerExchange::new(Arc::clone(&shared)))?;
 
         let client = TargetClient::open(TargetLimits {
             connect: shared.settings.requests.connect_timeout,
@@ -119,12 +119,12 @@
             watch: kernel.mount(CrashWatcher::new(host, keeper.clone()))?,
             suspects: keeper,
         };
-        let runner = AttemptRunner::open(client, watcher);
+        let runner = AttemptRunner::new(client, watcher);
         let claims = ClaimWriter::spawn(Arc::clone(&shared));
         let dispatcher =
-            RequestDispatcher::open(Arc::clone(&shared), runner, claims, suspects, reports);
+            RequestDispatcher::new(Arc::clone(&shared), runner, claims, suspects, reports);
         let (stop, stopped) = watch::channel(false);
-        let surface = CallerSurface::open(Arc::clone(&shared), Arc::clone(&dispatcher));
+        let surface = CallerApi::new(Arc::clone(&shared), Arc::clone(&dispatcher));
         let peer_surface = PeerSurface::open(Arc::clone(&shared), Arc::clone(&surface));
         let servers = [
             callers.spawn(surface, stopped.clone()),
@@ -165,10 +165,10 @@
     pub async fn shutdown(self) {
         log::info!("shutdown_begun");
         let times = self.shared.settings.shutdown;
-        self.shared.enter(Phase::Leaving);
+        self.shared.set_phase(Phase::Leaving);
         let released = self.release_lease();
         tokio::time::sleep(times.notice).await;
-        self.shared.enter(Phase::Draining);
+        self.shared.set_phase(Phase::Draining);
         let drained = tokio::time::timeout(times.drain, self.drain()).await;
         self.flush_usage().await;
         let _ = tokio::time::timeout(FAREWELL, released).await;
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -76,9 +76,9 @@
 
     fn config(&self) -> ConfigReply {
         let config = self.shared.config.load();
-        let entries = config.book.entries();
+        let entries = config.config.entries();
         ConfigReply {
-            version: config.book.version(),
+            version: config.config.version(),
             entries: entries.into_iter().map(EntryDoc::from).collect(),
         }
     }
@@ -116,7 +116,7 @@
         let facts = self.facts(request);
         let mut passed_over = Vec::new();
         let mut found = None;
-        for rule in config.book.rules() {
+        for rule in config.config.rules() {
             match rule.when.first_mismatch(&facts) {
                 Some(failing) => passed_over.push(PassedRule {
                     rule: rule.name.clone(),
@@ -129,7 +129,7 @@
             }
         }
         let reply = TryReply {
-            version: config.book.version(),
+            version: config.config.version(),
             rule: found.as_ref().map(|rule| rule.name.clone()),
             then: found.map(|rule| rule.then),
             passed_over,
@@ -163,11 +163,11 @@
         let control = self.shared.control.load();
         let mut versions = vec![NodeVersion {
             node: settings.node.clone(),
-            version: self.shared.config.read().book.version(),
+            version: self.shared.config.read().config.version(),
             heard_ms: 0,
         }];
         versions.extend(self.shared.roster.read().iter().map(|(node, peer)| {
-            let heard = now.saturating_sub(peer.heard).as_millis();
+            let heard = now.saturating_sub(peer.last_heard).as_millis();
             NodeVersion {
                 node: node.clone(),
                 version: peer.config,
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -14,7 +14,7 @@
 
 use crate::config::{ConfigMessage, CONFIG_SERVICE};
 use crate::settings::PeerSettings;
-use crate::shared::{NodeShared, PeerRoster, PeerStanding};
+use crate::shared::{NodeShared, PeerRoster, PeerStatus};
 use crate::watch::{WatchMessage, WATCH_SERVICE};
 
 /// Name of the service.
@@ -26,13 +26,13 @@
 #[derive(Debug)]
 pub enum PeersMessage {
     /// Time to ask a peer.
-    TestRequest(usize),
+    PollDue(usize),
     /// What a peer said.
     Answered {
         /// Index of the peer in the settings.
         index: usize,
         /// Local time before it was asked.
-        asked: Moment,
+        requested_at: Moment,
         /// Its answer.
         reply: Box<Result<ExchangeReply, CallError>>,
     },
@@ -45,20 +45,20 @@
     roster: PeerRoster,
     marks: IndexMap<NodeId, EvidenceMark>,
     /// Peers of the zone that were asked at least once.
-    asked: IndexSet<NodeId>,
+    polled: IndexSet<NodeId>,
     knows_floor: bool,
 }
 
 impl PeerExchange {
     /// Opens an exchange that has heard nobody.
-    pub fn open(shared: Arc<NodeShared>) -> Self {
+    pub fn new(shared: Arc<NodeShared>) -> Self {
         let token = shared.settings.peer_token.clone();
         Self {
             shared,
             client: CallerClient::open(Codec::Packed, Some(token)),
             roster: PeerRoster::new(),
             marks: IndexMap::new(),
-            asked: IndexSet::new(),
+            polled: IndexSet::new(),
             knows_floor: false,
         }
     }
@@ -67,15 +67,15 @@
         &self.shared.settings.peers[index]
     }
 
-    fn is_near(&self, index: usize) -> bool {
+    fn is_same_zone(&self, index: usize) -> bool {
         self.peer(index).zone == self.shared.settings.zone
     }
 
     /// Returns whether a peer is asked at all: every one of the zone, and of each other zone only
     /// two, so that the exchange grows with the zone's nodes and the number of zones and not with
     /// all nodes.
-    fn is_asked(&self, index: usize) -> bool {
-        if self.is_near(index) {
+    fn is_polled(&self, index: usize) -> bool {
+        if self.is_same_zone(index) {
             return true;
         }
         let zone = &self.peer(index).zone;
@@ -87,7 +87,7 @@
             .filter(|peer| peer.zone == *zone)
             .filter(|peer| {
                 let standing = self.roster.get(&peer.node);
-                standing.is_none_or(|standing| now < standing.heard + timeout * 2)
+                standing.is_none_or(|standing| now < standing.last_heard + timeout * 2)
             })
             .map(|peer| peer.node.clone())
             .collect();
@@ -97,16 +97,13 @@
         is_silent || chosen.contains(&&self.peer(index).node)
     }
 
-    fn ask(&self, index: usize, link: &ServiceLink<PeersMessage>) {
+    fn poll(&self, index: usize, link: &ServiceLink<PeersMessage>) {
         let gate = self.shared.settings.gate;
-        if !self.is_asked(index) {
-            link.later(
-                gate.remote_exchange_interval,
-                PeersMessage::TestRequest(index),
-            );
+        if !self.is_polled(index) {
+            link.later(gate.remote_exchange_interval, PeersMessage::PollDue(index));
             return;
         }
-        let request = self.request(index);
+        let request = self.build_request(index);
         let url = format!("http://{}{EXCHANGE_PATH}", self.peer(index).address);
         let client = self.client.clone();
         let limit = gate.peer_timeout.min(Duration::from_secs(1));
@@ -115,41 +112,46 @@
             let reply = client.call(Method::POST, &url, Some(&request), limit).await;
             PeersMessage::Answered {
                 index,
-                asked,
+                requested_at: asked,
                 reply: Box::new(reply),
             }
         });
     }
 
-    fn request(&self, index: usize) -> ExchangeRequest {
+    fn build_request(&self, index: usize) -> ExchangeRequest {
         let views = self.shared.views.read();
         let node = &self.peer(index).node;
         ExchangeRequest {
             node: self.shared.settings.node.clone(),
             zone: self.shared.settings.zone.clone(),
             incarnation: self.shared.incarnation,
-            config: self.shared.config.read().book.version(),
+            config: self.shared.config.read().config.version(),
             views: views.values().map(ViewMark::from).collect(),
             evidence: self.marks.get(node).copied().unwrap_or_default(),
         }
     }
 
-    fn take(&mut self, reply: ExchangeReply, asked: Moment, link: &ServiceLink<PeersMessage>) {
-        let standing = PeerStanding {
+    fn record_reply(
+        &mut self,
+        reply: ExchangeReply,
+        asked: Moment,
+        link: &ServiceLink<PeersMessage>,
+    ) {
+        let standing = PeerStatus {
             zone: reply.zone.clone(),
             incarnation: reply.incarnation,
             config: reply.config,
-            heard: asked,
+            last_heard: asked,
             is_leaving: reply.is_leaving,
         };
         self.roster.insert(reply.node.clone(), standing);
         self.shared.roster.publish(self.roster.clone());
         self.marks.insert(reply.node.clone(), reply.evidence.mark);
         self.knows_floor |= reply.has_floor && reply.zone == self.shared.settings.zone;
-        self.pass_on(reply, asked, link);
+        self.distribute(reply, asked, link);
     }
 
-    fn pass_on(&self, reply: ExchangeReply, asked: Moment, link: &ServiceLink<PeersMessage>) {
+    fn distribute(&self, reply: ExchangeReply, asked: Moment, link: &ServiceLink<PeersMessage>) {
         let has_config = !reply.entries.is_empty() || reply.snapshot.is_some();
         if let (true, Some(config)) = (has_config, link.kernel().find(CONFIG_SERVICE)) {
             let _ = config.post(ConfigMessage::Learned {
@@ -171,15 +173,15 @@
     }
 
     /// Tells the configuration service once every peer of the zone was asked and one knew a floor.
-    fn note_asked(&mut self, index: usize, link: &ServiceLink<PeersMessage>) {
-        if !self.is_near(index) {
+    fn record_poll(&mut self, index: usize, link: &ServiceLink<PeersMessage>) {
+        if !self.is_same_zone(index) {
             return;
         }
-        self.asked.insert(self.peer(index).node.clone());
-        let near = (0..self.shared.settings.peers.len()).filter(|index| self.is_near(*index));
+        self.polled.insert(self.peer(index).node.clone());
+        let near = (0..self.shared.settings.peers.len()).filter(|index| self.is_same_zone(*index));
         let is_complete = near
             .map(|index| &self.peer(index).node)
-            .all(|node| self.asked.contains(node));
+            .all(|node| self.polled.contains(node));
         if !(is_complete && self.knows_floor) {
             return;
         }
@@ -198,33 +200,33 @@
 
     fn start(&mut self, link: &ServiceLink<PeersMessage>) {
         for index in 0..self.shared.settings.peers.len() {
-            self.ask(index, link);
+            self.poll(index, link);
         }
     }
 
     fn handle(&mut self, message: PeersMessage, link: &ServiceLink<PeersMessage>) {
         match message {
-            PeersMessage::TestRequest(index) => self.ask(index, link),
+            PeersMessage::PollDue(index) => self.poll(index, link),
             PeersMessage::Answered {
                 index,
-                asked,
+                requested_at: asked,
                 reply,
             } => {
                 match *reply {
-                    Ok(reply) => self.take(reply, asked, link),
+                    Ok(reply) => self.record_reply(reply, asked, link),
                     Err(error) => {
                         let node = self.peer(index).node.as_str();
                         log::debug!(peer = node, error:% = error; "exchange_failed");
                     }
                 }
-                self.note_asked(index, link);
+                self.record_poll(index, link);
                 let gate = self.shared.settings.gate;
-                let interval = if self.is_near(index) {
+                let interval = if self.is_same_zone(index) {
                     gate.exchange_interval
                 } else {
                     gate.remote_exchange_interval
                 };
-                link.later(interval, PeersMessage::TestRequest(index));
+                link.later(interval, PeersMessage::PollDue(index));
             }
         }
     }
@@ -239,7 +241,7 @@
                     "zone": peer.zone,
                     "incarnation": peer.incarnation,
                     "config_version": peer.config,
-                    "heard_ms": (now.saturating_sub(peer.heard)).as_millis(),
+                    "heard_ms": (now.saturating_sub(peer.last_heard)).as_millis(),
                     "leaving": peer.is_leaving,
                 });
                 (node, state)
--- a/crates/node/src/progress.rs
+++ b/crates/node/src/progress.rs
@@ -6,7 +6,7 @@
 
 /// Returns the changes that have become due: groups that became whole, and machines of dissolved
 /// groups that acknowledged that they left, or that were replaced.
-pub fn finished_changes(reign: &ControllerReign, fleet: &FleetState) -> RowChanges {
+pub fn due_changes(reign: &ControllerReign, fleet: &FleetState) -> RowChanges {
     let mut changes = RowChanges::default();
     for group in fleet.groups.values() {
         match group.state {
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -13,9 +13,9 @@
 use futures::Stream;
 use tokio::time::{Instant, Sleep};
 
-use crate::attempt::TargetAsk;
-use crate::dispatch::{end_run, RequestDispatcher, RunSubject};
-use crate::gate::TargetPermit;
+use crate::admission::TargetPermit;
+use crate::attempt::TargetRequest;
+use crate::dispatch::{end_failed_run, RequestDispatcher, RunSubject};
 use crate::reply::error_event;
 use crate::trace::RequestTrace;
 
@@ -33,13 +33,13 @@
 /// A stream on its way to a caller.
 pub struct StreamRelay {
     dispatcher: Arc<RequestDispatcher>,
-    ask: TargetAsk,
+    outgoing: TargetRequest,
     permit: TargetPermit,
     attempt: AttemptId,
     body: Option<TargetBody>,
     run: RelayRun,
     /// Runs whose connection broke.
-    broken: usize,
+    broken_runs: usize,
     scanner: EventScanner,
     pending: Option<Bytes>,
     resumes: usize,
@@ -47,32 +47,32 @@
     trace: RequestTrace,
     /// Wakes the relay when the stream has been silent for too long. It is set anew only when it
     /// fires early, since setting it for each event would cost more than passing the event on.
-    alarm: Pin<Box<Sleep>>,
-    last_piece: Instant,
+    silence_timer: Pin<Box<Sleep>>,
+    last_chunk_at: Instant,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum RelayStage {
-    Flowing,
+    Streaming,
     /// The whole answer was passed on.
     Done,
     /// The caller was told that the stream is broken; the connection is cut next.
-    Told,
-    Over,
+    ErrorSent,
+    Closed,
 }
 
 /// What the target's side of the stream did next.
 enum RelayStep {
-    Piece(Bytes),
+    Chunk(Bytes),
     End,
     Broken,
 }
 
 impl StreamRelay {
     /// Starts to relay the answer to an attempt.
-    pub fn spawn(
+    pub fn start(
         dispatcher: Arc<RequestDispatcher>,
-        ask: TargetAsk,
+        ask: TargetRequest,
         permit: TargetPermit,
         attempt: AttemptId,
         body: TargetBody,
@@ -81,19 +81,19 @@
     ) -> impl Stream<Item = Result<Bytes, io::Error>> + Send + 'static {
         let silence = dispatcher.shared().settings.requests.stream_silence;
         let relay = Self {
-            alarm: Box::pin(tokio::time::sleep(silence)),
-            last_piece: Instant::now(),
+            silence_timer: Box::pin(tokio::time::sleep(silence)),
+            last_chunk_at: Instant::now(),
             dispatcher,
-            ask,
+            outgoing: ask,
             permit,
             attempt,
             body: Some(body),
             run,
-            broken: 0,
+            broken_runs: 0,
             scanner: EventScanner::default(),
             pending: None,
             resumes: 0,
-            stage: RelayStage::Flowing,
+            stage: RelayStage::Streaming,
             trace,
         };
         futures::stream::unfold(relay, |mut relay| async move {
@@ -106,10 +106,10 @@
             return Some(Ok(piece));
         }
         match self.stage {
-            RelayStage::Flowing => self.flow().await,
-            RelayStage::Done | RelayStage::Over => None,
-            RelayStage::Told => {
-                self.stage = RelayStage::Over;
+            RelayStage::Streaming => self.next_chunk().await,
+            RelayStage::Done | RelayStage::Closed => None,
+            RelayStage::ErrorSent => {
+                self.stage = RelayStage::Closed;
                 // The library writes buffered bytes out when the body has nothing ready; without
                 // this pause the error event would be dropped together with the connection.
                 tokio::task::yield_now().await;
@@ -118,11 +118,11 @@
         }
     }
 
-    async fn flow(&mut self) -> Option<Result<Bytes, io::Error>> {
+    async fn next_chunk(&mut self) -> Option<Result<Bytes, io::Error>> {
         loop {
-            match self.step().await {
-                RelayStep::Piece(piece) => {
-                    if let Some(whole) = self.take_piece(&piece) {
+            match self.next_step().await {
+                RelayStep::Chunk(piece) => {
+                    if let Some(whole) = self.accept_chunk(&piece) {
                         return Some(Ok(whole));
                     }
                 }
@@ -133,16 +133,16 @@
                 // A clean end of the body without the end mark is no end of the answer.
                 RelayStep::End | RelayStep::Broken => {
                     self.run.run.report_broken("stream_broken");
-                    self.broken += 1;
+                    self.broken_runs += 1;
                     if !self.resume().await {
-                        return Some(Ok(self.give_up()));
+                        return Some(Ok(self.fail()));
                     }
                 }
             }
         }
     }
 
-    async fn step(&mut self) -> RelayStep {
+    async fn next_step(&mut self) -> RelayStep {
         let silence = self.dispatcher.shared().settings.requests.stream_silence;
         let Some(body) = self.body.as_mut() else {
             return RelayStep::Broken;
@@ -151,17 +151,17 @@
             tokio::select! {
                 biased;
                 piece = body.next() => {
-                    self.last_piece = Instant::now();
+                    self.last_chunk_at = Instant::now();
                     return match piece {
-                        Ok(Some(piece)) => RelayStep::Piece(piece),
+                        Ok(Some(piece)) => RelayStep::Chunk(piece),
                         Ok(None) => RelayStep::End,
                         Err(_) => RelayStep::Broken,
                     };
                 }
-                () = self.alarm.as_mut() => {
-                    let end = self.last_piece + silence;
+                () = self.silence_timer.as_mut() => {
+                    let end = self.last_chunk_at + silence;
                     let is_silent = Instant::now() >= end;
-                    self.alarm.as_mut().reset(if is_silent { Instant::now() + silence } else { end });
+                    self.silence_timer.as_mut().reset(if is_silent { Instant::now() + silence } else { end });
                     if is_silent {
                         return RelayStep::Broken;
                     }
@@ -171,13 +171,13 @@
     }
 
     /// Takes a piece and returns what of it and of earlier ones may be passed on.
-    fn take_piece(&mut self, piece: &Bytes) -> Option<Bytes> {
+    fn accept_chunk(&mut self, piece: &Bytes) -> Option<Bytes> {
         let before = self.scanner.events();
         let (held, scanned) = self.scanner.scan(piece);
         let fresh = piece.slice(..scanned.complete_bytes);
         let events = self.scanner.events();
         if before == 0 && events > 0 {
-            self.trace.note_first_token(&self.permit);
+            self.trace.record_first_token(&self.permit);
         }
         self.trace.tokens = events as u64;
         if self.scanner.is_ended() {
@@ -207,8 +207,11 @@
     async fn resume(&mut self) -> bool {
         self.body = None;
         self.scanner.discard_partial();
-        let print = self.run.subject.print();
-        let may_go_on = self.dispatcher.suspects().may_retry(print, self.broken);
+        let print = self.run.subject.fingerprint();
+        let may_go_on = self
+            .dispatcher
+            .suspects()
+            .may_retry(print, self.broken_runs);
         if self.resumes >= RESUMES || !may_go_on {
             return false;
         }
@@ -216,9 +219,9 @@
         let events = self.scanner.events();
         let runner = self.dispatcher.runner();
         let target = Arc::clone(&self.permit.target);
-        self.run.run = self.dispatcher.open_run(&self.run.subject, &target);
+        self.run.run = self.dispatcher.start_run(&self.run.subject, &target);
         match runner
-            .begin(&self.ask, &target, &self.attempt, Some(events))
+            .begin(&self.outgoing, &target, &self.attempt, Some(events))
             .await
         {
             Ok(reply) => {
@@ -227,15 +230,15 @@
                 true
             }
             Err(point) => {
-                end_run(&mut self.run.run, point);
+                end_failed_run(&mut self.run.run, point);
                 false
             }
         }
     }
 
-    fn give_up(&mut self) -> Bytes {
+    fn fail(&mut self) -> Bytes {
         self.trace.settle(Outcome::Unknown);
-        self.stage = RelayStage::Told;
+        self.stage = RelayStage::ErrorSent;
         error_event(FailurePoint::Truncated)
     }
 }
--- a/crates/node/src/routes.rs
+++ b/crates/node/src/routes.rs
@@ -34,7 +34,7 @@
     /// Returns whether a request may be sent to it at `now`.
     ///
     /// A node that was frozen finds here that its evidence has run out, since the clock went on.
-    pub fn is_open(&self, now: Moment) -> bool {
+    pub fn is_routable(&self, now: Moment) -> bool {
         now < self.fresh_until && !self.is_leaving
     }
 }
@@ -85,7 +85,7 @@
     /// Returns whether a group is open at `now`.
     pub fn is_routable(&self, group: &str, now: Moment) -> bool {
         self.all()
-            .any(|target| target.label == group && target.is_open(now))
+            .any(|target| target.label == group && target.is_routable(now))
     }
 
     fn add_group(
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ConfigView {
     /// Configuration.
-    pub book: VersionedConfig,
+    pub config: VersionedConfig,
     /// Organisations by the hash of their key.
     pub keys: HashMap<String, OrganisationId>,
     /// Newest entries, for peers that lack them.
@@ -50,7 +50,7 @@
 
 /// One other node as last heard.
 #[derive(Clone, Debug)]
-pub struct PeerStanding {
+pub struct PeerStatus {
     /// Its zone.
     pub zone: ZoneId,
     /// Its life.
@@ -58,15 +58,15 @@
     /// Its configuration version.
     pub config: ConfigVersion,
     /// When the exchange that was answered was sent.
-    pub heard: Moment,
+    pub last_heard: Moment,
     /// Whether it is shutting down.
     pub is_leaving: bool,
 }
 
 /// The other nodes, by name.
-pub type PeerRoster = IndexMap<NodeId, PeerStanding>;
+pub type PeerRoster = IndexMap<NodeId, PeerStatus>;
 /// The zones' groups, by zone.
-pub type ViewBook = IndexMap<ZoneId, ZoneView>;
+pub type ZoneViews = IndexMap<ZoneId, ZoneView>;
 
 /// The zone's machines and the reports that are still good.
 #[derive(Clone, Debug, Default)]
@@ -76,7 +76,7 @@
     /// Reports by machine.
     pub reports: IndexMap<VmId, (MemberReport, Moment)>,
     /// Whether the list was ever read.
-    pub is_listed: bool,
+    pub is_loaded: bool,
 }
 
 /// What the controller wants known of it.
@@ -117,7 +117,7 @@
     /// Where requests may go.
     pub routes: Snapshot<RouteTable>,
     /// Zones' groups.
-    pub views: Snapshot<ViewBook>,
+    pub views: Snapshot<ZoneViews>,
     /// Evidence gathered by this node's own probes.
     pub own_evidence: Snapshot<EvidenceBoard>,
     /// Evidence for the whole zone.
@@ -141,13 +141,13 @@
 
 impl NodeShared {
     /// Opens the state of a process that knows nothing yet.
-    pub fn open(settings: NodeSettings, incarnation: Incarnation, platform: Platform) -> Arc<Self> {
+    pub fn new(settings: NodeSettings, incarnation: Incarnation, platform: Platform) -> Arc<Self> {
         Arc::new(Self {
             settings,
             incarnation,
             config: Snapshot::open(ConfigView::default()),
             routes: Snapshot::open(RouteTable::default()),
-            views: Snapshot::open(ViewBook::default()),
+            views: Snapshot::open(ZoneViews::default()),
             own_evidence: Snapshot::open(EvidenceBoard::open(incarnation)),
             zone_evidence: Snapshot::open(EvidenceBoard::open(incarnation)),
             roster: Snapshot::open(PeerRoster::default()),
@@ -171,7 +171,7 @@
     }
 
     /// Moves on to a stage.
-    pub fn enter(&self, phase: Phase) {
+    pub fn set_phase(&self, phase: Phase) {
         self.phase.store(phase as u8, Ordering::SeqCst);
     }
 
@@ -188,7 +188,7 @@
             .read()
             .iter()
             .filter(|(_, peer)| peer.zone == self.settings.zone && !peer.is_leaving)
-            .filter(|(_, peer)| now < peer.heard + timeout)
+            .filter(|(_, peer)| now < peer.last_heard + timeout)
             .map(|(node, _)| node.clone())
             .collect();
         nodes.push(self.settings.node.clone());
--- a/crates/node/src/trace.rs
+++ b/crates/node/src/trace.rs
@@ -5,9 +5,9 @@
 use briarswitch_core::prelude::*;
 use briarswitch_kernel::BootClock;
 
+use crate::admission::TargetPermit;
 use crate::dispatch::MatchedRequest;
-use crate::flight::FlightGuard;
-use crate::gate::TargetPermit;
+use crate::in_flight::InFlightGuard;
 use crate::metrics::RequestLabels;
 use crate::reply::CallerFailure;
 use crate::shared::NodeShared;
@@ -28,54 +28,54 @@
     /// Attempts made.
     pub attempts: u32,
     settled: Option<Outcome>,
-    key: Option<OpenKey>,
-    _flight: FlightGuard,
+    key: Option<ClaimedKey>,
+    _flight: InFlightGuard,
 }
 
 /// A key claimed for a request that is still going on.
-struct OpenKey {
-    book: Arc<Mutex<ClaimCache>>,
+struct ClaimedKey {
+    cache: Arc<Mutex<ClaimCache>>,
     key: String,
 }
 
 impl RequestTrace {
     /// Opens the trace of a request that begins now.
-    pub fn open(shared: &Arc<NodeShared>, matched: &MatchedRequest) -> Self {
+    pub fn new(shared: &Arc<NodeShared>, matched: &MatchedRequest) -> Self {
         Self {
             shared: Arc::clone(shared),
             request: matched.request.clone(),
-            organisation: matched.admit.organisation.clone(),
-            deployment: matched.admit.deployment.clone(),
+            organisation: matched.admission.organisation.clone(),
+            deployment: matched.admission.deployment.clone(),
             started: BootClock::now(),
             tokens: 0,
             target: String::new(),
             attempts: 0,
             settled: None,
             key: None,
-            _flight: matched.flight.clone(),
+            _flight: matched.in_flight.clone(),
         }
     }
 
     /// Notes the key claimed for the request; its outcome goes into the book.
-    pub fn hold_key(&mut self, book: &Arc<Mutex<ClaimCache>>, key: &str) {
-        self.key = Some(OpenKey {
-            book: Arc::clone(book),
+    pub fn set_claimed_key(&mut self, book: &Arc<Mutex<ClaimCache>>, key: &str) {
+        self.key = Some(ClaimedKey {
+            cache: Arc::clone(book),
             key: key.to_owned(),
         });
     }
 
     /// Forgets the key claimed for the request and returns it.
-    pub fn drop_key(&mut self) -> Option<String> {
+    pub fn take_claimed_key(&mut self) -> Option<String> {
         self.key.take().map(|open| open.key)
     }
 
     /// Notes that the first token came.
-    pub fn note_first_token(&self, permit: &TargetPermit) {
+    pub fn record_first_token(&self, permit: &TargetPermit) {
         let latency = BootClock::now().saturating_sub(self.started);
         self.shared
             .metrics
             .record_first_token(&self.deployment, latency);
-        permit.note_latency(latency);
+        permit.record_latency(latency);
     }
 
     /// Counts the request with its outcome, once.
@@ -96,7 +96,7 @@
             self.shared.usage.charge(&self.organisation, self.tokens);
         }
         if let Some(open) = self.key.take() {
-            let mut book = open.book.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut book = open.cache.lock().unwrap_or_else(PoisonError::into_inner);
             book.settle(&open.key, outcome, now);
         }
         log::info!(
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -16,7 +16,7 @@
 
 use crate::board::EvidenceBoard;
 use crate::routes::RouteTable;
-use crate::shared::{FleetView, NodeShared, ViewBook};
+use crate::shared::{FleetView, NodeShared, ZoneViews};
 
 /// Name of the service.
 pub const WATCH_SERVICE: &str = "watch";
@@ -87,7 +87,7 @@
     ledger: EvidenceCache,
     fleet: FleetView,
     /// Machines of other zones that peers vouch for are routed to through the views alone.
-    views: ViewBook,
+    views: ZoneViews,
     own: EvidenceBoard,
     zone: EvidenceBoard,
     peers: IndexMap<NodeId, PeerBoard>,
@@ -115,7 +115,7 @@
             ledger: EvidenceCache::new(shared.settings.gate.evidence_ttl),
             client: CallerClient::open(Codec::Json, None),
             fleet: FleetView::default(),
-            views: ViewBook::default(),
+            views: ZoneViews::default(),
             own: EvidenceBoard::open(incarnation),
             zone: EvidenceBoard::open(incarnation),
             peers: IndexMap::new(),
@@ -141,7 +141,7 @@
             }
         }
         self.fleet.vms = vms.into_iter().map(|vm| (vm.id.clone(), vm)).collect();
-        self.fleet.is_listed = true;
+        self.fleet.is_loaded = true;
         let zone = &self.shared.settings.zone;
         let fleet = &self.fleet;
         let view = self.views.get(zone);
@@ -304,7 +304,7 @@
         let is_leaving =
             |vm: &str, incarnation: Incarnation| leaving.contains(&(vm.to_owned(), incarnation));
         let routes = RouteTable::build(
-            &config.book,
+            &config.config,
             &self.views,
             &self.fleet.vms,
             &self.ledger,
@@ -392,7 +392,7 @@
             .map(|(view, group)| dump_group(view, group, &self.ledger, now))
             .collect();
         json!({
-            "listed": self.fleet.is_listed,
+            "listed": self.fleet.is_loaded,
             "vms": self.fleet.vms.len(),
             "evidence_age_ms": evidence,
             "groups": groups,
--- a/crates/node/tests/routes.rs
+++ b/crates/node/tests/routes.rs
@@ -29,15 +29,15 @@
 fn route_closes_by_itself_when_its_evidence_runs_out() {
     let end = Duration::from_secs(10);
     let open = target(end, false);
-    assert_that!(open.is_open(end - Duration::from_millis(1)), eq(true));
-    assert_that!(open.is_open(end), eq(false));
-    assert_that!(open.is_open(end + Duration::from_secs(3600)), eq(false));
+    assert_that!(open.is_routable(end - Duration::from_millis(1)), eq(true));
+    assert_that!(open.is_routable(end), eq(false));
+    assert_that!(open.is_routable(end + Duration::from_secs(3600)), eq(false));
 }
 
 #[test]
 fn leaving_target_is_closed() {
     assert_that!(
-        target(Duration::from_secs(10), true).is_open(Duration::ZERO),
+        target(Duration::from_secs(10), true).is_routable(Duration::ZERO),
         eq(false)
     );
 }
