--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt to run a request at a target, and what its result proves.
+//! A single attempt to run a request at a target, and the classification of its result.
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
 use crate::routes::Target;
 use crate::watch::WatchMessage;
 
-/// Largest whole answer held, in bytes.
-const ANSWER_LIMIT: usize = 64 << 20;
+/// Maximum size of a response that is not streamed, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// A request as it is sent to targets.
 #[derive(Clone, Debug)]
@@ -25,25 +25,25 @@
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// Headers passed on.
+    /// Headers forwarded from the caller.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
-    /// Whether another attempt may be made after this one may have run.
+    /// Whether the request may be sent again after an attempt that may have run.
     pub is_repeatable: bool,
-    /// Whether the target has to name the attempt in its answer.
+    /// Whether a successful response must name the attempt that it belongs to.
     pub must_echo: bool,
-    /// Priority.
+    /// Priority of the request.
     pub priority: u8,
-    /// Local time by which the answer has to be whole, or its stream begun.
+    /// Local time by which the response must be complete or, if it is streamed, have started.
     pub deadline: Moment,
 }
 
-/// The head of an answer that belongs to the attempt.
+/// A response that belongs to the attempt, its body not yet read.
 pub struct AttemptReply {
     /// Status and headers.
     pub head: http::response::Parts,
-    /// Body that follows.
+    /// Body, as it arrives.
     pub body: TargetBody,
 }
 
@@ -55,35 +55,37 @@
 }
 
 impl AttemptRunner {
-    /// Opens a runner that tells the watch service of targets found gone or leaving.
+    /// Creates a runner that reports failing and leaving targets to the watch service.
     pub fn new(client: TargetClient, watch: Mailbox<WatchMessage>) -> Self {
         Self { client, watch }
     }
 
-    /// Sends one attempt and waits for the head of its answer.
+    /// Sends an attempt and waits for the head of its response.
+    ///
+    /// `resume` is the number of events after which the target is asked to continue a stream.
     ///
     /// # Errors
     ///
-    /// Returns the point of failure, which decides what the caller may be told.
+    /// Returns the failure point, which determines the outcome that the caller may be told.
     pub async fn begin(
         &self,
-        ask: &TargetRequest,
+        request: &TargetRequest,
         target: &Target,
         attempt: &str,
         resume: Option<usize>,
     ) -> Result<AttemptReply, FailurePoint> {
         let sent = BootClock::now();
-        let left = ask.deadline.saturating_sub(sent);
-        let request = build_request(ask, target, attempt, resume, left);
+        let left = request.deadline.saturating_sub(sent);
+        let outgoing = build_request(request, target, attempt, resume, left);
         let sending = self
             .client
-            .send(&target.address, request, !ask.is_repeatable);
+            .send(&target.address, outgoing, !request.is_repeatable);
         let reply = match tokio::time::timeout(left, sending).await {
             Ok(Ok(reply)) => reply,
             Ok(Err(failure)) => return Err(self.report_failure(failure, target, sent)),
             Err(_) => return Err(FailurePoint::AnswerDeadline),
         };
-        self.check_reply(reply, ask, target, attempt)
+        self.check_reply(reply, request, target, attempt)
     }
 
     fn report_failure(&self, failure: SendFailure, target: &Target, sent: Moment) -> FailurePoint {
@@ -101,7 +103,7 @@
     fn check_reply(
         &self,
         reply: TargetReply,
-        ask: &TargetRequest,
+        request: &TargetRequest,
         target: &Target,
         attempt: &str,
     ) -> Result<AttemptReply, FailurePoint> {
@@ -118,7 +120,7 @@
         let echo = head.headers.get(ATTEMPT_HEADER);
         let is_foreign = match echo {
             Some(echo) => echo.as_bytes() != attempt.as_bytes(),
-            None => ask.must_echo && head.status.is_success(),
+            None => request.must_echo && head.status.is_success(),
         };
         if is_foreign {
             return Err(FailurePoint::ForeignAnswer);
@@ -130,41 +132,41 @@
     }
 }
 
-/// Reads an answer to its end.
+/// Reads the body of a response to its end.
 ///
 /// # Errors
 ///
-/// Returns [`FailurePoint::Truncated`] when it breaks off or is too large, and
-/// [`FailurePoint::AnswerDeadline`] when it is not whole in time.
+/// Returns [`FailurePoint::Truncated`] if the body breaks off or is too large, and
+/// [`FailurePoint::AnswerDeadline`] if it is not complete in time.
 pub async fn read_to_end(body: TargetBody, deadline: Moment) -> Result<Bytes, FailurePoint> {
     let left = deadline.saturating_sub(BootClock::now());
-    match tokio::time::timeout(left, body.read_whole(ANSWER_LIMIT)).await {
+    match tokio::time::timeout(left, body.read_whole(MAX_RESPONSE_BYTES)).await {
         Ok(result) => result.map_err(|_| FailurePoint::Truncated),
         Err(_) => Err(FailurePoint::AnswerDeadline),
     }
 }
 
 fn build_request(
-    ask: &TargetRequest,
+    request: &TargetRequest,
     target: &Target,
     attempt: &str,
     resume: Option<usize>,
     left: Duration,
 ) -> http::Request<http_body_util::Full<Bytes>> {
-    let mut request = http::Request::new(whole_body(ask.body.clone()));
-    *request.method_mut() = ask.method.clone();
-    *request.uri_mut() = ask.path.parse::<Uri>().unwrap_or_default();
-    let headers = request.headers_mut();
-    headers.clone_from(&ask.headers);
+    let mut outgoing = http::Request::new(whole_body(request.body.clone()));
+    *outgoing.method_mut() = request.method.clone();
+    *outgoing.uri_mut() = request.path.parse::<Uri>().unwrap_or_default();
+    let headers = outgoing.headers_mut();
+    headers.clone_from(&request.headers);
     insert(headers, "host", &target.address.address);
     insert(headers, ATTEMPT_HEADER, attempt);
     insert(headers, GROUP_HEADER, &target.id);
-    insert(headers, PRIORITY_HEADER, &ask.priority.to_string());
+    insert(headers, PRIORITY_HEADER, &request.priority.to_string());
     insert(headers, TIMEOUT_HEADER, &left.as_millis().to_string());
     if let Some(events) = resume {
         insert(headers, RESUME_HEADER, &events.to_string());
     }
-    request
+    outgoing
 }
 
 fn insert(headers: &mut HeaderMap, name: &'static str, value: &str) {
--- a/crates/node/src/caller.rs
+++ b/crates/node/src/caller.rs
@@ -1,10 +1,9 @@
-//! The listener for callers: identifies, checks and matches requests.
+//! HTTP API for callers: authenticates, validates and routes requests.
 
-use briarswitch_core::fingerprint::FingerprintParts;
-use briarswitch_core::fingerprint::RequestFingerprint;
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
+use briarswitch_core::fingerprint::{FingerprintParts, RequestFingerprint};
 use briarswitch_core::minted_key::MintedKey;
 use briarswitch_core::prefix::PrefixChain;
 use briarswitch_core::prelude::*;
@@ -31,19 +30,19 @@
 use crate::reply::{bad_request, mark_reply, CallerFailure};
 use crate::shared::{ConfigView, NodeShared, Phase};
 
-/// Tokens a request is taken to cost when it does not say.
+/// Assumed cost of a chat request without `max_tokens`.
 const DEFAULT_TOKENS: u64 = 256;
-/// Time after which a caller of a node that is going away should try another.
-const LEAVING_RETRY: Duration = Duration::from_millis(100);
+/// Retry delay given to a caller whose request this node cannot take at the moment.
+const UNAVAILABLE_RETRY: Duration = Duration::from_millis(100);
 
-/// Answers callers.
+/// Handler for requests from callers.
 pub struct CallerApi {
     shared: Arc<NodeShared>,
     dispatcher: Arc<RequestDispatcher>,
     forwarder: KeyForwarder,
 }
 
-/// What a path asks for.
+/// A parsed request: a chat completion, or a call to a plain service.
 enum ParsedRequest {
     Chat(ChatDoc),
     Service { name: String, path: String },
@@ -59,7 +58,7 @@
 }
 
 impl CallerApi {
-    /// Opens the surface.
+    /// Creates the handler.
     pub fn new(shared: Arc<NodeShared>, dispatcher: Arc<RequestDispatcher>) -> Arc<Self> {
         Arc::new(Self {
             forwarder: KeyForwarder::new(Arc::clone(&shared)),
@@ -94,7 +93,8 @@
         }
     }
 
-    /// Returns the request's key if another life of a node minted it.
+    /// Returns the request's idempotency key if it was minted by another node, or by an earlier
+    /// incarnation of this one.
     fn other_incarnation_key(&self, headers: &HeaderMap) -> Option<MintedKey> {
         let text = headers.get(KEY_HEADER)?.to_str().ok()?;
         let key = MintedKey::parse(text)?;
@@ -133,21 +133,21 @@
         if config.floor.is_none() {
             return Err(unavailable("not_ready", "no configuration is known yet"));
         }
-        let Some(flight) = InFlightGuard::acquire(&self.shared) else {
+        let Some(in_flight) = InFlightGuard::acquire(&self.shared) else {
             return Err(unavailable("overloaded", "too many requests are in flight"));
         };
         self.check_headers(&head.headers)?;
         let organisation = identify(&config, &head.headers)?;
         let bytes = self.read_request_body(body).await?;
-        let asked = self.parse(&head, &bytes)?;
+        let parsed = self.parse(&head, &bytes)?;
         self.match_rules(MatchInput {
             config: &config,
             organisation,
-            parsed: asked,
+            parsed,
             head: &head,
             bytes,
             id,
-            flight,
+            in_flight,
         })
     }
 
@@ -173,8 +173,8 @@
 
     async fn read_request_body(&self, body: Body) -> Result<Bytes, CallerFailure> {
         let limits = self.shared.settings.requests;
-        let reading = read_body(body, limits.body_bytes);
-        match tokio::time::timeout(limits.body_timeout, reading).await {
+        let read = read_body(body, limits.body_bytes);
+        match tokio::time::timeout(limits.body_timeout, read).await {
             Ok(Ok(bytes)) => Ok(bytes),
             Ok(Err(BodyError::TooLarge { limit })) => Err(CallerFailure::refused(
                 StatusCode::PAYLOAD_TOO_LARGE,
@@ -288,7 +288,7 @@
         let is_repeatable =
             parse_repeatable(&input.head.headers)?.unwrap_or(is_chat && key.is_none());
         let organisation = input.config.config.organisations().get(&input.organisation);
-        let asked = input.parsed.name().to_owned();
+        let name = input.parsed.name().to_owned();
         let (path, is_stream, tokens, chain) = match input.parsed {
             ParsedRequest::Chat(chat) => {
                 let tokens = chat.max_tokens.map_or(DEFAULT_TOKENS, u64::from);
@@ -298,15 +298,15 @@
             }
             ParsedRequest::Service { path, .. } => (path, false, 1, PrefixChain::default()),
         };
-        let print = RequestFingerprint::of(&FingerprintParts {
+        let fingerprint = RequestFingerprint::of(&FingerprintParts {
             caller: &input.organisation,
             method: input.head.method.as_str(),
-            host: &asked,
+            host: &name,
             path: &path,
             body: &input.bytes,
         });
         Ok(MatchedRequest {
-            fingerprint: print,
+            fingerprint,
             admission: AdmissionRequest {
                 deployment: deployment.id.clone(),
                 organisation: input.organisation,
@@ -330,7 +330,7 @@
             key,
             is_stream,
             request: input.id.to_owned(),
-            in_flight: input.flight,
+            in_flight: input.in_flight,
         })
     }
 
@@ -361,7 +361,7 @@
     }
 }
 
-/// What the rules are matched with.
+/// Input of rule matching.
 struct MatchInput<'a> {
     config: &'a ConfigView,
     organisation: OrganisationId,
@@ -369,7 +369,7 @@
     head: &'a Parts,
     bytes: Bytes,
     id: &'a str,
-    flight: InFlightGuard,
+    in_flight: InFlightGuard,
 }
 
 fn identify(config: &ConfigView, headers: &HeaderMap) -> Result<OrganisationId, CallerFailure> {
@@ -385,7 +385,7 @@
 
 fn unavailable(code: &'static str, message: &str) -> CallerFailure {
     CallerFailure::refused(StatusCode::SERVICE_UNAVAILABLE, code, message)
-        .retry_after(LEAVING_RETRY)
+        .retry_after(UNAVAILABLE_RETRY)
 }
 
 fn prompt_of(chat: &ChatDoc) -> String {
@@ -393,7 +393,7 @@
     parts.collect()
 }
 
-/// Returns the present minute of the UTC day.
+/// Returns the current minute of the day, in UTC.
 pub fn minute_of_day() -> u16 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let minutes = since.unwrap_or_default().as_secs() / 60 % 1440;
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Takes an identified request through admission, attempts and settlement.
+//! Runs an authenticated and routed request: admission, attempts and accounting.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
@@ -31,28 +31,28 @@
 use crate::suspects::NodeSuspects;
 use crate::trace::RequestTrace;
 
-/// Time a key that settled is remembered.
-const KEY_MEMORY: std::time::Duration = std::time::Duration::from_secs(3600);
+/// Time for which the outcome of a settled idempotency key is kept.
+const KEY_RETENTION: std::time::Duration = std::time::Duration::from_secs(3600);
 
-/// A request that was identified and matched by a rule.
+/// A request of a known organisation, with the deployment that a rule selected for it.
 pub struct MatchedRequest {
-    /// Fingerprint, the same for each repeat.
+    /// Fingerprint, identical for every repeat of the request.
     pub fingerprint: RequestFingerprint,
-    /// What admission needs.
+    /// Input of admission.
     pub admission: AdmissionRequest,
-    /// What targets are sent.
+    /// Request as it is sent to targets.
     pub outgoing: TargetRequest,
-    /// Caller's idempotency key.
+    /// Idempotency key of the caller.
     pub key: Option<String>,
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub is_stream: bool,
-    /// Request id.
+    /// Id of the request.
     pub request: RequestId,
-    /// Counts the request as in flight until its answer is over.
+    /// Counts the request as in flight until its response has ended.
     pub in_flight: InFlightGuard,
 }
 
-/// Carries requests out.
+/// Runs requests at targets.
 pub struct RequestDispatcher {
     shared: Arc<NodeShared>,
     runner: AttemptRunner,
@@ -65,7 +65,7 @@
     rates: Mutex<HashMap<OrganisationId, (u32, RateShare)>>,
 }
 
-/// Tokens that an answer reports.
+/// The part of a response that reports the tokens it used.
 #[derive(Deserialize)]
 struct UsageProbe {
     usage: Option<UsageTokens>,
@@ -78,21 +78,21 @@
 }
 
 impl RequestDispatcher {
-    /// Opens a dispatcher; `reports` hear how runs end.
+    /// Creates a dispatcher; `listeners` are notified when runs end.
     pub fn new(
         shared: Arc<NodeShared>,
         runner: AttemptRunner,
         claims: ClaimWriter,
         suspects: Arc<NodeSuspects>,
-        reports: RunListeners,
+        listeners: RunListeners,
     ) -> Arc<Self> {
         let settings = shared.settings.requests;
         Arc::new(Self {
             runner,
             claims,
             suspects,
-            listeners: reports,
-            keys: Arc::new(Mutex::new(ClaimCache::new(settings.keys, KEY_MEMORY))),
+            listeners,
+            keys: Arc::new(Mutex::new(ClaimCache::new(settings.keys, KEY_RETENTION))),
             budget: Mutex::new(RetryBudget::new(
                 settings.retry_permille,
                 settings.retry_burst,
@@ -103,17 +103,17 @@
         })
     }
 
-    /// Returns the node's state.
+    /// Returns the shared state of the node.
     pub fn shared(&self) -> &Arc<NodeShared> {
         &self.shared
     }
 
-    /// Returns what is held of requests under which targets have ended.
+    /// Returns the ledger of requests during which targets crashed.
     pub fn suspects(&self) -> &SuspectLedger {
         self.suspects.suspects()
     }
 
-    /// Begins a run of a request at a target.
+    /// Starts a run of a request at a target.
     pub fn start_run(&self, run: &RunSubject, target: &Target) -> TargetRun {
         let fleet = self.shared.fleet.read();
         let domain = fleet.vms.get(&target.vm).map(|vm| vm.domain.clone());
@@ -133,32 +133,32 @@
         TargetRun::start(facts, self.listeners.clone())
     }
 
-    /// Returns the refusal of a request that is not to run now.
-    fn quarantined(&self, print: &RequestFingerprint) -> Option<CallerFailure> {
-        let left = self.suspects().quarantine_left(print)?;
+    /// Returns the failure to reply with if the request is quarantined.
+    fn quarantined(&self, fingerprint: &RequestFingerprint) -> Option<CallerFailure> {
+        let left = self.suspects().quarantine_left(fingerprint)?;
         let failure = CallerFailure::at(FailurePoint::Quarantined);
         Some(failure.retry_after(left))
     }
 
-    /// Returns what sends attempts.
+    /// Returns the runner that sends attempts to targets.
     pub fn runner(&self) -> &AttemptRunner {
         &self.runner
     }
 
     /// Returns each deployment's queue length and requests in flight.
     pub fn loads(&self) -> Vec<(DeploymentId, usize, u32)> {
-        let gates = self
+        let admissions = self
             .admissions
             .read()
             .unwrap_or_else(PoisonError::into_inner);
-        let loads = gates.iter().map(|(id, gate)| {
-            let (queued, in_flight) = gate.load();
+        let loads = admissions.iter().map(|(id, admission)| {
+            let (queued, in_flight) = admission.load();
             (id.clone(), queued, in_flight)
         });
         loads.collect()
     }
 
-    /// Carries a request out and builds its reply.
+    /// Runs a request and builds its reply.
     pub async fn run(self: &Arc<Self>, matched: MatchedRequest) -> Response {
         let trace = RequestTrace::new(&self.shared, &matched);
         let request = matched.request.clone();
@@ -224,9 +224,10 @@
         })
     }
 
-    /// Claims a caller's key, so that work under it is begun at most once on all nodes.
+    /// Claims an idempotency key, so that at most one node starts work under it, once.
     ///
-    /// A key that this node minted needs no claim in the table: nobody else may begin work under it.
+    /// A key that this node minted needs no claim in the table, because no other node may start
+    /// work under it.
     async fn claim(
         &self,
         row: &str,
@@ -270,22 +271,22 @@
     }
 
     fn admission(&self, deployment: &str) -> Arc<DeploymentAdmission> {
-        let gates = self
+        let admissions = self
             .admissions
             .read()
             .unwrap_or_else(PoisonError::into_inner);
-        if let Some(gate) = gates.get(deployment) {
-            return Arc::clone(gate);
+        if let Some(admission) = admissions.get(deployment) {
+            return Arc::clone(admission);
         }
-        drop(gates);
-        let mut gates = self
+        drop(admissions);
+        let mut admissions = self
             .admissions
             .write()
             .unwrap_or_else(PoisonError::into_inner);
-        let gate = gates
+        let admission = admissions
             .entry(deployment.to_owned())
             .or_insert_with(|| DeploymentAdmission::new(Arc::clone(&self.shared), deployment));
-        Arc::clone(gate)
+        Arc::clone(admission)
     }
 
     async fn attempt_all(
@@ -293,21 +294,21 @@
         matched: MatchedRequest,
         mut trace: RequestTrace,
     ) -> Result<Response, CallerFailure> {
-        let gate = self.admission(&matched.admission.deployment);
+        let admission = self.admission(&matched.admission.deployment);
         let mut tried: Vec<TargetId> = Vec::new();
         let mut last: Option<FailurePoint> = None;
-        let mut broken = 0;
+        let mut broken_runs = 0;
         loop {
-            let permit = match gate.admit(&matched.admission, &tried).await {
+            let permit = match admission.admit(&matched.admission, &tried).await {
                 Ok(permit) => permit,
                 Err(refusal) => {
-                    // Once an attempt may have run, running out of targets does not undo that.
+                    // If an earlier attempt may have run, the outcome stays unknown.
                     let point = combine_failures(last, refusal.point);
                     let failure = CallerFailure::at(point).retry_after(refusal.retry_after);
                     return Err(self.finish_failed(failure, trace).await);
                 }
             };
-            // It may have waited since it came, and may have ended a target elsewhere meanwhile.
+            // Checked again, because the request may have been quarantined while it was queued.
             if let Some(failure) = self.quarantined(&matched.fingerprint) {
                 let point = combine_failures(last, failure.point);
                 let failure = CallerFailure { point, ..failure };
@@ -323,9 +324,9 @@
                     point
                 }
             };
-            broken += usize::from(is_broken_connection(point));
+            broken_runs += usize::from(is_broken_connection(point));
             let may_retry = point.allows_retry(matched.outgoing.is_repeatable)
-                && self.suspects().may_retry(&matched.fingerprint, broken);
+                && self.suspects().may_retry(&matched.fingerprint, broken_runs);
             let point = combine_failures(last, point);
             last = Some(point);
             if !may_retry || !self.withdraw_retry(&trace) {
@@ -448,7 +449,7 @@
         reply
     }
 
-    /// Ends a request that failed; a key under which nothing ran is given back first.
+    /// Finishes a failed request. If nothing ran, its idempotency key is released first.
     async fn finish_failed(
         &self,
         failure: CallerFailure,
@@ -464,7 +465,7 @@
 }
 
 impl RequestDispatcher {
-    /// Mints a key for an organisation; `None` when as many as are kept are out already.
+    /// Mints a key for an organisation, or returns `None` if the limit of cached keys is reached.
     pub fn mint(&self, organisation: &str) -> Option<MintedKey> {
         let key = MintedKey {
             node: self.shared.settings.node.clone(),
@@ -476,7 +477,7 @@
         is_kept.then_some(key)
     }
 
-    /// Makes a key usable again, nothing having run under it.
+    /// Makes a key usable again after nothing has run under it.
     async fn release_key(&self, row: &str) {
         let is_minted = row
             .rsplit('/')
@@ -503,7 +504,7 @@
     run: TargetRun,
 }
 
-/// Whose runs are watched.
+/// Identifies the request whose runs are reported to the listeners.
 #[derive(Clone, Debug)]
 pub struct RunSubject {
     request: RequestId,
@@ -526,7 +527,8 @@
     }
 }
 
-/// Returns whether a failure means that the connection broke while the target had the request.
+/// Returns whether a failure means that the connection broke after the target may have received
+/// the request.
 fn is_broken_connection(point: FailurePoint) -> bool {
     matches!(
         point,
@@ -534,7 +536,8 @@
     )
 }
 
-/// Notes how a run ended that failed; one that nobody waits for any more is left to its watch.
+/// Ends a failed run. After a deadline the run may still go on at the target, so that it is left
+/// open; dropping it reports it as abandoned.
 pub fn end_failed_run(run: &mut TargetRun, point: FailurePoint) {
     if is_broken_connection(point) {
         run.report_broken(point.code());
@@ -552,7 +555,8 @@
     failure
 }
 
-/// Returns the point to report after several failures: one that leaves the outcome open stays.
+/// Returns the failure point to report after several attempts: an earlier one whose outcome is
+/// unknown takes precedence.
 fn combine_failures(earlier: Option<FailurePoint>, later: FailurePoint) -> FailurePoint {
     match earlier {
         Some(point) if point.outcome() == Outcome::Unknown => point,
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -1,4 +1,4 @@
-//! Passes requests with minted keys on to the node that minted them.
+//! Forwards requests with a minted idempotency key to the node that minted it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,32 +19,32 @@
 use crate::reply::{mark_reply, CallerFailure};
 use crate::shared::NodeShared;
 
-/// Connections kept to one node.
-const IDLE: usize = 0;
+/// Idle connections kept to each node.
+const MAX_IDLE_CONNECTIONS: usize = 0;
 
-/// Sends requests to the nodes whose keys they carry.
+/// Forwards requests to the nodes that minted their keys.
 pub struct KeyForwarder {
     shared: Arc<NodeShared>,
     client: TargetClient,
 }
 
 impl KeyForwarder {
-    /// Opens a forwarder.
+    /// Creates a forwarder.
     pub fn new(shared: Arc<NodeShared>) -> Self {
         let connect = shared.settings.requests.connect_timeout;
         Self {
             shared,
             client: TargetClient::open(TargetLimits {
                 connect,
-                idle: IDLE,
+                idle: MAX_IDLE_CONNECTIONS,
             }),
         }
     }
 
-    /// Passes a request on once and its answer back.
+    /// Forwards a request once and relays the response.
     ///
-    /// When the node that minted the key can not be reached, nobody can tell what ran under it, so
-    /// the caller is told "unknown" even though nothing was sent now.
+    /// If the node that minted the key is unreachable, no node knows whether an earlier request ran
+    /// under the key. The outcome is then `unknown`, even though nothing was sent this time.
     pub async fn forward(&self, key: MintedKey, head: Parts, body: Body, id: &str) -> Response {
         match self.send(&key, head, body).await {
             Ok(reply) => build_response(reply),
@@ -67,8 +67,8 @@
         let peer = peers.iter().find(|peer| peer.node == key.node);
         let peer = peer.ok_or(FailurePoint::KeyClaimed)?;
         let limits = settings.requests;
-        let reading = read_body(body, limits.body_bytes);
-        let bytes = match tokio::time::timeout(limits.body_timeout, reading).await {
+        let read = read_body(body, limits.body_bytes);
+        let bytes = match tokio::time::timeout(limits.body_timeout, read).await {
             Ok(Ok(bytes)) => bytes,
             _ => return Err(FailurePoint::Refused),
         };
@@ -118,7 +118,7 @@
     let mut response = Response::new(stream_body(body_chunks(body)));
     *response.status_mut() = head.status;
     *response.headers_mut() = head.headers;
-    // A whole body keeps its announced length, so one that is cut short is seen to be.
+    // The declared length is kept, so that the caller notices a truncated body.
     response.headers_mut().remove(TRANSFER_ENCODING);
     response
 }
@@ -128,7 +128,7 @@
 ) -> impl Stream<Item = Result<Bytes, std::io::Error>> + Send + 'static {
     futures::stream::unfold(body, |mut body| async move {
         match body.next().await {
-            Ok(Some(piece)) => Some((Ok(piece), body)),
+            Ok(Some(chunk)) => Some((Ok(chunk), body)),
             Ok(None) => None,
             Err(error) => Some((Err(std::io::Error::other(error)), body)),
         }
--- a/crates/node/src/headers.rs
+++ b/crates/node/src/headers.rs
@@ -1,4 +1,4 @@
-//! Reading of callers' headers.
+//! Parsing of callers' request headers.
 
 use briarswitch_core::prelude::*;
 use briarswitch_wire::caller::{KEY_HEADER, REPEATABLE_HEADER, REQUEST_HEADER};
@@ -7,53 +7,53 @@
 
 use crate::reply::{bad_request, CallerFailure};
 
-/// Longest idempotency key and request id, in bytes.
-const ID_LIMIT: usize = 128;
-/// Share of callers that a percentage is out of.
-const PERCENT: u64 = 100;
+/// Maximum length of an idempotency key or a request id, in bytes.
+const MAX_ID_BYTES: usize = 128;
+/// Number of buckets that callers are divided into for percentage rules.
+const PERCENT_BUCKETS: u64 = 100;
 
-/// Takes the caller's request id, or makes one.
+/// Returns a unique request id, prefixed with the caller's own id if it sent one.
 pub fn request_id(headers: &HeaderMap) -> RequestId {
     let given = headers
         .get(REQUEST_HEADER)
         .and_then(|value| value.to_str().ok())
-        .filter(|text| !text.is_empty() && text.len() <= ID_LIMIT);
-    // The caller's id alone would not tell two requests apart that carry the same one.
+        .filter(|text| !text.is_empty() && text.len() <= MAX_ID_BYTES);
+    // A random suffix, because a caller may send several requests with the same id.
     match given {
         Some(text) => format!("{text}.{:08x}", rand::random::<u32>()),
         None => format!("{:016x}", rand::random::<u64>()),
     }
 }
 
-/// Reads the idempotency key.
+/// Returns the idempotency key, if there is one.
 ///
 /// # Errors
 ///
-/// Returns the failure to answer with when it is not one.
+/// Returns the failure to reply with if the header is not a valid key.
 pub fn parse_idempotency_key(headers: &HeaderMap) -> Result<Option<String>, CallerFailure> {
     let Some(value) = headers.get(KEY_HEADER) else {
         return Ok(None);
     };
-    let is_plain = |text: &&str| {
-        let fits = !text.is_empty() && text.len() <= ID_LIMIT;
+    let is_valid = |text: &&str| {
+        let fits = !text.is_empty() && text.len() <= MAX_ID_BYTES;
         fits && text
             .bytes()
             .all(|byte| byte.is_ascii_graphic() && byte != b'/')
     };
-    match value.to_str().ok().filter(is_plain) {
+    match value.to_str().ok().filter(is_valid) {
         Some(text) => Ok(Some(text.to_owned())),
         None => Err(bad_request(
             "bad_key",
-            format!("{KEY_HEADER} takes 1 to {ID_LIMIT} printable characters without a slash"),
+            format!("{KEY_HEADER} takes 1 to {MAX_ID_BYTES} printable characters without a slash"),
         )),
     }
 }
 
-/// Reads whether the request may be repeated.
+/// Returns whether the caller allows the request to be repeated, if it says so.
 ///
 /// # Errors
 ///
-/// Returns the failure to answer with when the value is neither word.
+/// Returns the failure to reply with if the value is neither `true` nor `false`.
 pub fn parse_repeatable(headers: &HeaderMap) -> Result<Option<bool>, CallerFailure> {
     let Some(value) = headers.get(REPEATABLE_HEADER) else {
         return Ok(None);
@@ -68,9 +68,9 @@
     }
 }
 
-/// Leaves out what belongs to one connection, and the caller's credential.
+/// Returns the headers to forward: all but hop-by-hop headers and the caller's credential.
 pub fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
-    let mut passed = headers.clone();
+    let mut forwarded = headers.clone();
     for name in [
         AUTHORIZATION,
         CONNECTION,
@@ -78,7 +78,7 @@
         HOST,
         TRANSFER_ENCODING,
     ] {
-        passed.remove(name);
+        forwarded.remove(name);
     }
     for name in [
         "keep-alive",
@@ -88,12 +88,12 @@
         "expect",
         "proxy-connection",
     ] {
-        passed.remove(name);
+        forwarded.remove(name);
     }
-    passed
+    forwarded
 }
 
-/// Draws a number from 0 to 99 that stays the same for one caller of an organisation.
+/// Returns a bucket from 0 to 99, always the same for one caller of an organisation.
 pub fn percent_bucket(organisation: &str, headers: &HeaderMap) -> u8 {
     let caller = headers
         .get("x-caller")
@@ -102,5 +102,5 @@
     text.push(0);
     text.extend_from_slice(caller);
     let hash = briarswitch_core::prefix::stable_hash(&text);
-    u8::try_from(hash % PERCENT).unwrap_or(0)
+    u8::try_from(hash % PERCENT_BUCKETS).unwrap_or(0)
 }
--- a/crates/node/src/in_flight.rs
+++ b/crates/node/src/in_flight.rs
@@ -1,11 +1,11 @@
-//! Counts requests in flight, so that a shutdown can wait for the last one.
+//! Counts the requests in flight, to limit them and to let a shutdown wait for them.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
 use crate::shared::NodeShared;
 
-/// One request in flight; it ends when the last clone is dropped.
+/// Counts one request as in flight until its last clone is dropped.
 #[derive(Clone)]
 pub struct InFlightGuard {
     _count: Arc<InFlightCount>,
@@ -16,15 +16,15 @@
 }
 
 impl InFlightGuard {
-    /// Counts a request in, or returns `None` when as many as allowed are in flight.
+    /// Counts a request, or returns `None` if the maximum number is in flight.
     pub fn acquire(shared: &Arc<NodeShared>) -> Option<Self> {
         let limit = shared.settings.requests.in_flight;
         let before = shared.in_flight.fetch_add(1, Ordering::SeqCst);
-        let mark = InFlightCount {
+        let count = InFlightCount {
             shared: Arc::clone(shared),
         };
         (before < limit).then(|| Self {
-            _count: Arc::new(mark),
+            _count: Arc::new(count),
         })
     }
 }
--- a/crates/node/src/progress.rs
+++ b/crates/node/src/progress.rs
@@ -1,11 +1,12 @@
-//! Changes that reports have made due, whatever the plan.
+//! Changes to the controller's rows that follow from reports alone, independent of the plan.
 
 use briarswitch_core::prelude::*;
 
 use crate::reign::{ControllerReign, RowChange, RowChanges};
 
-/// Returns the changes that have become due: groups that became whole, and machines of dissolved
-/// groups that acknowledged that they left, or that were replaced.
+/// Returns the changes that are due: forming groups that all members have confirmed start to serve,
+/// and members of dissolving groups are released once they have left, restarted or disappeared. A
+/// group without members left is deleted.
 pub fn due_changes(reign: &ControllerReign, fleet: &FleetState) -> RowChanges {
     let mut changes = RowChanges::default();
     for group in fleet.groups.values() {
@@ -58,7 +59,7 @@
     })
 }
 
-/// Returns whether a machine's life has ended.
+/// Returns whether a VM has disappeared or been replaced by another incarnation.
 fn is_gone(facts: Option<&VmFacts>, incarnation: Incarnation) -> bool {
     facts.is_none_or(|facts| facts.vm.incarnation != incarnation)
 }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -1,4 +1,5 @@
-//! Passes a stream on to its caller, resuming it where the engine can.
+//! Relays a streamed response to its caller and resumes it after a broken connection, if the engine
+//! supports that.
 
 use std::io;
 use std::pin::Pin;
@@ -19,18 +20,18 @@
 use crate::reply::error_event;
 use crate::trace::RequestTrace;
 
-/// Times a stream is resumed at its target before it is given up.
-const RESUMES: usize = 3;
+/// Maximum number of times that a stream is resumed.
+const MAX_RESUMES: usize = 3;
 
-/// The run behind a stream.
+/// The run that produces a stream.
 pub struct RelayRun {
-    /// Whose it is.
+    /// Request that is run.
     pub subject: RunSubject,
-    /// The run.
+    /// Run at the target.
     pub run: TargetRun,
 }
 
-/// A stream on its way to a caller.
+/// A stream that is being relayed to a caller.
 pub struct StreamRelay {
     dispatcher: Arc<RequestDispatcher>,
     outgoing: TargetRequest,
@@ -38,15 +39,15 @@
     attempt: AttemptId,
     body: Option<TargetBody>,
     run: RelayRun,
-    /// Runs whose connection broke.
+    /// Number of runs whose connection broke.
     broken_runs: usize,
     scanner: EventScanner,
     pending: Option<Bytes>,
     resumes: usize,
     stage: RelayStage,
     trace: RequestTrace,
-    /// Wakes the relay when the stream has been silent for too long. It is set anew only when it
-    /// fires early, since setting it for each event would cost more than passing the event on.
+    /// Fires when the stream may have been silent for too long. It is reset only when it fires, and
+    /// not for each event, because that would cost more than relaying the event.
     silence_timer: Pin<Box<Sleep>>,
     last_chunk_at: Instant,
 }
@@ -54,14 +55,14 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum RelayStage {
     Streaming,
-    /// The whole answer was passed on.
+    /// The complete response was relayed.
     Done,
-    /// The caller was told that the stream is broken; the connection is cut next.
+    /// The error event was sent; the connection is closed next.
     ErrorSent,
     Closed,
 }
 
-/// What the target's side of the stream did next.
+/// What happened next on the connection to the target.
 enum RelayStep {
     Chunk(Bytes),
     End,
@@ -69,10 +70,10 @@
 }
 
 impl StreamRelay {
-    /// Starts to relay the answer to an attempt.
+    /// Starts to relay the response to an attempt.
     pub fn start(
         dispatcher: Arc<RequestDispatcher>,
-        ask: TargetRequest,
+        outgoing: TargetRequest,
         permit: TargetPermit,
         attempt: AttemptId,
         body: TargetBody,
@@ -84,7 +85,7 @@
             silence_timer: Box::pin(tokio::time::sleep(silence)),
             last_chunk_at: Instant::now(),
             dispatcher,
-            outgoing: ask,
+            outgoing,
             permit,
             attempt,
             body: Some(body),
@@ -102,16 +103,16 @@
     }
 
     async fn next(&mut self) -> Option<Result<Bytes, io::Error>> {
-        if let Some(piece) = self.pending.take() {
-            return Some(Ok(piece));
+        if let Some(chunk) = self.pending.take() {
+            return Some(Ok(chunk));
         }
         match self.stage {
             RelayStage::Streaming => self.next_chunk().await,
             RelayStage::Done | RelayStage::Closed => None,
             RelayStage::ErrorSent => {
                 self.stage = RelayStage::Closed;
-                // The library writes buffered bytes out when the body has nothing ready; without
-                // this pause the error event would be dropped together with the connection.
+                // The HTTP library flushes its buffer when the body has nothing ready. Without this
+                // yield the error event would be dropped with the connection.
                 tokio::task::yield_now().await;
                 Some(Err(io::Error::other("the stream is broken")))
             }
@@ -121,16 +122,16 @@
     async fn next_chunk(&mut self) -> Option<Result<Bytes, io::Error>> {
         loop {
             match self.next_step().await {
-                RelayStep::Chunk(piece) => {
-                    if let Some(whole) = self.accept_chunk(&piece) {
-                        return Some(Ok(whole));
+                RelayStep::Chunk(chunk) => {
+                    if let Some(complete) = self.accept_chunk(&chunk) {
+                        return Some(Ok(complete));
                     }
                 }
                 RelayStep::End if self.scanner.is_ended() => {
                     self.stage = RelayStage::Done;
                     return None;
                 }
-                // A clean end of the body without the end mark is no end of the answer.
+                // A body that ends cleanly but without the end marker is not a complete response.
                 RelayStep::End | RelayStep::Broken => {
                     self.run.run.report_broken("stream_broken");
                     self.broken_runs += 1;
@@ -150,10 +151,10 @@
         loop {
             tokio::select! {
                 biased;
-                piece = body.next() => {
+                chunk = body.next() => {
                     self.last_chunk_at = Instant::now();
-                    return match piece {
-                        Ok(Some(piece)) => RelayStep::Chunk(piece),
+                    return match chunk {
+                        Ok(Some(chunk)) => RelayStep::Chunk(chunk),
                         Ok(None) => RelayStep::End,
                         Err(_) => RelayStep::Broken,
                     };
@@ -170,18 +171,18 @@
         }
     }
 
-    /// Takes a piece and returns what of it and of earlier ones may be passed on.
-    fn accept_chunk(&mut self, piece: &Bytes) -> Option<Bytes> {
+    /// Takes a chunk of the body and returns the complete events that can be relayed now.
+    fn accept_chunk(&mut self, chunk: &Bytes) -> Option<Bytes> {
         let before = self.scanner.events();
-        let (held, scanned) = self.scanner.scan(piece);
-        let fresh = piece.slice(..scanned.complete_bytes);
+        let (held, scanned) = self.scanner.scan(chunk);
+        let fresh = chunk.slice(..scanned.complete_bytes);
         let events = self.scanner.events();
         if before == 0 && events > 0 {
             self.trace.record_first_token(&self.permit);
         }
         self.trace.tokens = events as u64;
         if self.scanner.is_ended() {
-            // Settled at the end mark, which is the engine's word that the answer is whole.
+            // Settled at the end marker, by which the engine declares the response complete.
             self.trace.settle(Outcome::Answered);
             self.run.run.complete(self.dispatcher.suspects());
             self.stage = RelayStage::Done;
@@ -194,7 +195,7 @@
         }
     }
 
-    /// Reads the body to its end in the background, so that its connection can be kept.
+    /// Reads the body to its end in the background, so that its connection can be reused.
     fn finish_body(&mut self) {
         if let Some(mut body) = self.body.take() {
             tokio::spawn(async move {
@@ -203,16 +204,16 @@
         }
     }
 
-    /// Asks the target to go on after the events already passed on.
+    /// Asks the target to continue after the events that were already relayed.
     async fn resume(&mut self) -> bool {
         self.body = None;
         self.scanner.discard_partial();
-        let print = self.run.subject.fingerprint();
-        let may_go_on = self
+        let fingerprint = self.run.subject.fingerprint();
+        let may_retry = self
             .dispatcher
             .suspects()
-            .may_retry(print, self.broken_runs);
-        if self.resumes >= RESUMES || !may_go_on {
+            .may_retry(fingerprint, self.broken_runs);
+        if self.resumes >= MAX_RESUMES || !may_retry {
             return false;
         }
         self.resumes += 1;
--- a/crates/node/src/reply.rs
+++ b/crates/node/src/reply.rs
@@ -1,4 +1,4 @@
-//! Replies to callers: errors in the shape their clients expect, and the headers of answers.
+//! Replies to callers: error documents in the format that API clients expect, and reply headers.
 
 use std::time::Duration;
 
@@ -11,23 +11,23 @@
 use http::header::{HeaderName, RETRY_AFTER};
 use http::{HeaderValue, StatusCode};
 
-/// Why a caller gets no answer.
+/// A failure reported to a caller in place of a response.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CallerFailure {
-    /// Status of the reply.
+    /// HTTP status of the reply.
     pub status: StatusCode,
-    /// Point of failure.
+    /// Point at which the request failed.
     pub point: FailurePoint,
-    /// Code in place of the point's own.
+    /// Error code that replaces the one of the failure point.
     pub code: Option<&'static str>,
-    /// Text for a person.
+    /// Human-readable message.
     pub message: String,
-    /// When to come back.
+    /// Time after which the caller may retry.
     pub retry_after: Option<Duration>,
 }
 
 impl CallerFailure {
-    /// Makes the failure of a request that was refused before anything was tried.
+    /// Creates the failure of a request that was refused before any attempt.
     pub fn refused(status: StatusCode, code: &'static str, message: impl Into<String>) -> Self {
         Self {
             status,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Makes the failure that belongs to a point.
+    /// Creates the failure for a failure point.
     pub fn at(point: FailurePoint) -> Self {
         let (status, message) = describe(point);
         Self {
@@ -50,19 +50,19 @@
         }
     }
 
-    /// Adds the time to come back.
+    /// Sets the time after which the caller may retry.
     #[must_use]
     pub fn retry_after(mut self, delay: Duration) -> Self {
         self.retry_after = Some(delay);
         self
     }
 
-    /// Returns what the caller is told.
+    /// Returns the outcome reported to the caller.
     pub fn outcome(&self) -> Outcome {
         self.point.outcome()
     }
 
-    /// Builds the reply.
+    /// Builds the HTTP reply.
     pub fn reply(&self) -> Response {
         let doc = ErrorDoc {
             error: ErrorDetail {
@@ -86,12 +86,12 @@
     }
 }
 
-/// Makes the failure of a request that can not be understood.
+/// Creates the failure of a malformed request.
 pub fn bad_request(code: &'static str, message: impl Into<String>) -> CallerFailure {
     CallerFailure::refused(StatusCode::BAD_REQUEST, code, message)
 }
 
-/// Names an answer's request, node and target in its headers.
+/// Sets the headers that name the request, the node and, unless empty, the target of a reply.
 pub fn mark_reply(reply: &mut Response, request: &str, node: &str, target: &str) {
     set_header(reply, REQUEST_HEADER, request);
     set_header(reply, NODE_HEADER, node);
@@ -100,7 +100,7 @@
     }
 }
 
-/// Sets one header, leaving it out when its value can not stand in a header.
+/// Sets a header, unless the value is not valid in a header.
 pub fn set_header(reply: &mut Response, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         reply
@@ -109,7 +109,7 @@
     }
 }
 
-/// Builds the last event of a stream that broke.
+/// Builds the error event that ends a broken stream.
 ///
 /// ```
 /// use briarswitch_core::outcome::FailurePoint;
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the control thread publishes and the traffic threads read.
+//! State that the control thread publishes and the traffic threads read.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::atomic::{AtomicU8, AtomicUsize, Ordering};
@@ -16,12 +16,12 @@
 use crate::settings::NodeSettings;
 use crate::usage::UsageMeter;
 
-/// From whom a node learned that no older configuration may be used.
+/// Where a node learned its configuration floor: the oldest version it may serve with.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FloorSource {
-    /// From the platform's table.
+    /// The platform's table.
     Platform,
-    /// From the nodes of its zone, the platform being out of reach.
+    /// The nodes of its zone, because the platform was unreachable.
     Peers,
 }
 
@@ -35,112 +35,112 @@
     }
 }
 
-/// The configuration in force, with what traffic needs at hand.
+/// The configuration in force, with indexes for the traffic threads.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigView {
-    /// Configuration.
+    /// The configuration and its version.
     pub config: VersionedConfig,
-    /// Organisations by the hash of their key.
+    /// Organisations by the hash of their API key.
     pub keys: HashMap<String, OrganisationId>,
-    /// Newest entries, for peers that lack them.
+    /// Most recent configuration entries, sent to peers that lack them.
     pub log: VecDeque<EntryDoc>,
-    /// From whom the floor was learned; `None` while the node must not serve.
+    /// Source of the configuration floor; `None` while the node must not serve requests.
     pub floor: Option<FloorSource>,
 }
 
-/// One other node as last heard.
+/// Status of another node, from its latest exchange reply.
 #[derive(Clone, Debug)]
 pub struct PeerStatus {
     /// Its zone.
     pub zone: ZoneId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// Its configuration version.
     pub config: ConfigVersion,
-    /// When the exchange that was answered was sent.
+    /// Time at which the exchange request was sent that produced this status.
     pub last_heard: Moment,
     /// Whether it is shutting down.
     pub is_leaving: bool,
 }
 
-/// The other nodes, by name.
+/// Status of the other nodes, by node.
 pub type PeerRoster = IndexMap<NodeId, PeerStatus>;
-/// The zones' groups, by zone.
+/// Replica groups of each zone.
 pub type ZoneViews = IndexMap<ZoneId, ZoneView>;
 
-/// The zone's machines and the reports that are still good.
+/// The zone's VMs and their unexpired reports.
 #[derive(Clone, Debug, Default)]
 pub struct FleetView {
-    /// Machines as the platform last listed them.
+    /// VMs in the latest list from the platform.
     pub vms: IndexMap<VmId, Vm>,
-    /// Reports by machine.
+    /// Latest report of each VM, with the time from which it counts.
     pub reports: IndexMap<VmId, (MemberReport, Moment)>,
-    /// Whether the list was ever read.
+    /// Whether the VM list has been read at least once.
     pub is_loaded: bool,
 }
 
-/// What the controller wants known of it.
+/// Controller state shown in status replies and state dumps.
 #[derive(Clone, Debug, Default)]
 pub struct ControlView {
-    /// Lease row as last read.
+    /// Lease row, as last read.
     pub record: Option<LeaseRecord>,
-    /// Epoch held by this node, as of the last round.
+    /// Epoch of the lease that this node held in the last control round.
     pub epoch: Option<Epoch>,
-    /// Accelerators that belong to no working group.
+    /// Accelerators that belong to no routable group.
     pub stranded: u32,
-    /// Time that wanted groups could not serve, summed over groups.
+    /// Time during which configured groups could not serve, summed over groups.
     pub downtime: std::time::Duration,
-    /// Newest plan, as text.
+    /// Latest plan, one line per step.
     pub plan: Vec<String>,
 }
 
-/// Stage of the process's life.
+/// Lifecycle phase of the process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[repr(u8)]
 pub enum Phase {
-    /// Serving, or about to.
+    /// Starting or serving.
     Running = 0,
-    /// Not ready any more, but still accepting.
+    /// Reports itself as not ready, but still accepts requests.
     Leaving = 1,
-    /// Refusing new requests and finishing those in flight.
+    /// Refuses new requests and finishes those in flight.
     Draining = 2,
 }
 
-/// State that every thread of the node reaches.
+/// State shared by all threads of the node.
 pub struct NodeShared {
-    /// Settings.
+    /// Settings of the node.
     pub settings: NodeSettings,
-    /// Life of this process.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
-    /// Configuration.
+    /// Configuration in force.
     pub config: Snapshot<ConfigView>,
-    /// Where requests may go.
+    /// Targets that requests may be sent to.
     pub routes: Snapshot<RouteTable>,
-    /// Zones' groups.
+    /// Replica groups of each zone.
     pub views: Snapshot<ZoneViews>,
-    /// Evidence gathered by this node's own probes.
+    /// Evidence from this node's own probes.
     pub own_evidence: Snapshot<EvidenceBoard>,
-    /// Evidence for the whole zone.
+    /// Evidence from all watchers of the zone.
     pub zone_evidence: Snapshot<EvidenceBoard>,
-    /// Other nodes.
+    /// Status of the other nodes.
     pub roster: Snapshot<PeerRoster>,
-    /// Machines of the zone.
+    /// VMs of the zone and their reports.
     pub fleet: Snapshot<FleetView>,
     /// The controller's state.
     pub control: Snapshot<ControlView>,
     /// Metrics.
     pub metrics: NodeMetrics,
-    /// Metered use.
+    /// Usage to be written for billing.
     pub usage: UsageMeter,
-    /// Platform.
+    /// Client of the platform.
     pub platform: Platform,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub in_flight: AtomicUsize,
     phase: AtomicU8,
 }
 
 impl NodeShared {
-    /// Opens the state of a process that knows nothing yet.
+    /// Creates the initial state of a process.
     pub fn new(settings: NodeSettings, incarnation: Incarnation, platform: Platform) -> Arc<Self> {
         Arc::new(Self {
             settings,
@@ -161,7 +161,7 @@
         })
     }
 
-    /// Returns the stage of the process's life.
+    /// Returns the lifecycle phase of the process.
     pub fn phase(&self) -> Phase {
         match self.phase.load(Ordering::SeqCst) {
             0 => Phase::Running,
@@ -170,17 +170,17 @@
         }
     }
 
-    /// Moves on to a stage.
+    /// Sets the lifecycle phase of the process.
     pub fn set_phase(&self, phase: Phase) {
         self.phase.store(phase as u8, Ordering::SeqCst);
     }
 
-    /// Returns whether the balancer should send requests here.
+    /// Returns whether the load balancer should send requests to this node.
     pub fn is_ready(&self) -> bool {
         self.phase() == Phase::Running && self.config.read().floor.is_some()
     }
 
-    /// Returns the nodes of this zone that count as watchers at `now`, this one included.
+    /// Returns this node and the other nodes of its zone that count as watchers of VMs at `now`.
     pub fn watchers(&self, now: Moment) -> Vec<NodeId> {
         let timeout = self.settings.gate.peer_timeout;
         let mut nodes: Vec<NodeId> = self
