--- a/crates/node/src/admission.rs
+++ b/crates/node/src/admission.rs
@@ -1,4 +1,5 @@
-//! Admission to one deployment's targets: places in flight, choice of target, and the queue.
+//! Admission of requests to the targets of a deployment: in-flight limits, load balancing and the
+//! fair queue.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -12,42 +13,42 @@
 use crate::routes::{Target, TargetId};
 use crate::shared::NodeShared;
 
-/// Prompt blocks remembered for each target.
+/// Number of prompt blocks kept in the prefix index of each target.
 const PREFIX_BLOCKS: usize = 8192;
-/// Time between a waiter's looks at whether its targets are still there.
-const RECHECK: Duration = Duration::from_millis(100);
-/// Weight of the newest sample in a smoothed time.
+/// Interval at which a queued request checks whether there still are targets.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Weight of the latest sample in an exponential moving average.
 const SMOOTHING: f64 = 0.2;
-/// Shortest time after which a caller is told to come back.
-const LEAST_RETRY_AFTER: Duration = Duration::from_millis(200);
+/// Minimum retry delay given to a caller.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// What a request asks of a gate.
+/// A request for admission to a deployment.
 #[derive(Clone, Debug)]
 pub struct AdmissionRequest {
-    /// Deployment to be served by.
+    /// Deployment that serves the request.
     pub deployment: DeploymentId,
-    /// Organisation that calls.
+    /// Organisation of the caller.
     pub organisation: OrganisationId,
-    /// Its weight.
+    /// Weight of the organisation in the fair queue.
     pub weight: u32,
-    /// Priority; a higher one goes first.
+    /// Priority; requests of higher priority are admitted first.
     pub priority: u8,
-    /// Tokens the request is expected to cost.
+    /// Expected cost of the request in tokens.
     pub tokens: u64,
-    /// Leading blocks of its prompt.
+    /// Hashes of the leading blocks of the prompt.
     pub chain: PrefixChain,
-    /// Local time by which it has to be admitted.
+    /// Local time by which the request must be admitted.
     pub deadline: Moment,
-    /// Requests one target takes from this node.
+    /// Maximum number of requests in flight from this node to one target.
     pub target_in_flight: u32,
 }
 
 /// Why a request was not admitted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct AdmissionRefusal {
-    /// Point of failure.
+    /// Point at which the request failed.
     pub point: FailurePoint,
-    /// When to come back.
+    /// Time after which the caller may retry.
     pub retry_after: Duration,
 }
 
@@ -79,7 +80,7 @@
     service_time: Duration,
 }
 
-/// Admits requests to one deployment.
+/// Admits requests to the targets of one deployment.
 pub struct DeploymentAdmission {
     shared: Arc<NodeShared>,
     deployment: DeploymentId,
@@ -87,15 +88,15 @@
     state: Mutex<AdmissionState>,
 }
 
-/// A place at a target; dropping it lets the next request in.
+/// An in-flight slot at a target. Dropping it admits the next queued request.
 pub struct TargetPermit {
     admission: Arc<DeploymentAdmission>,
-    /// Target that the place is at.
+    /// Target that the request may be sent to.
     pub target: Arc<Target>,
     since: Moment,
 }
 
-/// How a request that found no place leaves a gate.
+/// Result of choosing a target for a request.
 enum PickResult {
     Picked(Arc<Target>),
     AllFull,
@@ -103,7 +104,7 @@
 }
 
 impl DeploymentAdmission {
-    /// Opens the gate of a deployment.
+    /// Creates the admission of a deployment.
     pub fn new(shared: Arc<NodeShared>, deployment: &str) -> Arc<Self> {
         Arc::new(Self {
             shared,
@@ -113,31 +114,31 @@
         })
     }
 
-    /// Admits a request to a target outside `excluded`, waiting in turn while all are full.
+    /// Admits a request to a target not in `excluded`, and queues it while all are full.
     ///
-    /// A request that can not be admitted is refused at once: when there is no target, when the
-    /// queue is full, or when its deadline has come.
+    /// The request is refused immediately when there is no target, when the queue is full, or when
+    /// its deadline has passed.
     ///
     /// # Errors
     ///
-    /// Returns [`AdmissionRefusal`] with the time to come back.
+    /// Returns [`AdmissionRefusal`] with the time after which the caller may retry.
     pub async fn admit(
         self: &Arc<Self>,
-        ask: &AdmissionRequest,
+        request: &AdmissionRequest,
         excluded: &[TargetId],
     ) -> Result<TargetPermit, AdmissionRefusal> {
-        let mut is_turn = false;
+        let mut is_woken = false;
         loop {
-            match self.pick(ask, excluded, is_turn) {
+            match self.pick(request, excluded, is_woken) {
                 PickResult::Picked(target) => return Ok(self.permit(target)),
                 PickResult::NoTarget => return Err(self.refusal(FailurePoint::NoTarget)),
-                PickResult::AllFull => self.wait(ask, excluded).await?,
+                PickResult::AllFull => self.wait(request, excluded).await?,
             }
-            is_turn = true;
+            is_woken = true;
         }
     }
 
-    /// Returns a deployment's queue length and requests in flight.
+    /// Returns the queue length and the number of requests in flight.
     pub fn load(&self) -> (usize, u32) {
         let state = self.lock();
         let in_flight = state.targets.values().map(|stats| stats.in_flight).sum();
@@ -163,31 +164,36 @@
         }
     }
 
-    fn pick(&self, ask: &AdmissionRequest, excluded: &[TargetId], is_turn: bool) -> PickResult {
+    fn pick(
+        &self,
+        request: &AdmissionRequest,
+        excluded: &[TargetId],
+        is_woken: bool,
+    ) -> PickResult {
         let now = BootClock::now();
         let routes = self.shared.routes.read();
-        let open: Vec<&Arc<Target>> = routes
+        let routable: Vec<&Arc<Target>> = routes
             .targets(&self.deployment)
             .iter()
             .filter(|target| target.is_routable(now) && !excluded.contains(&target.id))
             .collect();
-        if open.is_empty() {
+        if routable.is_empty() {
             return PickResult::NoTarget;
         }
         let mut state = self.lock();
-        if !is_turn && !state.queue.is_empty() {
+        if !is_woken && !state.queue.is_empty() {
             return PickResult::AllFull;
         }
-        let mut roomy = Vec::with_capacity(open.len());
-        let mut loads = Vec::with_capacity(open.len());
-        let home = ask
+        let mut candidates = Vec::with_capacity(routable.len());
+        let mut loads = Vec::with_capacity(routable.len());
+        let affinity_index = request
             .chain
-            .affinity_target(open.iter().map(|target| target.id.as_str()));
-        for (index, target) in open.into_iter().enumerate() {
-            let is_home = home == Some(index);
-            let load = self.load_of(&mut state, target, &ask.chain, is_home);
-            if load.in_flight < ask.target_in_flight {
-                roomy.push(target);
+            .affinity_target(routable.iter().map(|target| target.id.as_str()));
+        for (index, target) in routable.into_iter().enumerate() {
+            let is_affinity_target = affinity_index == Some(index);
+            let load = self.load_of(&mut state, target, &request.chain, is_affinity_target);
+            if load.in_flight < request.target_in_flight {
+                candidates.push(target);
                 loads.push(load);
             }
         }
@@ -198,11 +204,11 @@
         let Some(index) = self.picker.pick(&loads, draws) else {
             return PickResult::AllFull;
         };
-        let target = roomy[index];
+        let target = candidates[index];
         if let Some(stats) = state.targets.get_mut(&target.id) {
             stats.in_flight += 1;
             stats.sent_since_report += 1;
-            stats.prefix.record(&ask.chain);
+            stats.prefix.record(&request.chain);
         }
         PickResult::Picked(Arc::clone(target))
     }
@@ -212,7 +218,7 @@
         state: &mut AdmissionState,
         target: &Target,
         chain: &PrefixChain,
-        is_home: bool,
+        is_affinity_target: bool,
     ) -> TargetLoad {
         if !state.targets.contains_key(&target.id) {
             state.targets.insert(target.id.clone(), TargetStats::new());
@@ -228,26 +234,26 @@
             sent_since_report: stats.sent_since_report,
             cached_share: stats.prefix.cached_share(chain),
             latency: stats.latency,
-            is_affinity_target: is_home,
+            is_affinity_target,
             is_remote: target.zone != self.shared.settings.zone,
         }
     }
 
     async fn wait(
         &self,
-        ask: &AdmissionRequest,
+        request: &AdmissionRequest,
         excluded: &[TargetId],
     ) -> Result<(), AdmissionRefusal> {
-        let (ticket, mut turn) = self.enqueue(ask)?;
+        let (ticket, mut wake_up) = self.enqueue(request)?;
         let _queued = QueuedGuard::new(&self.shared);
         loop {
             let now = BootClock::now();
-            let left = ask.deadline.saturating_sub(now);
+            let left = request.deadline.saturating_sub(now);
             if left.is_zero() {
                 self.lock().queue.cancel(ticket);
                 return Err(self.refusal(FailurePoint::QueueDeadline));
             }
-            if tokio::time::timeout(left.min(RECHECK), &mut turn)
+            if tokio::time::timeout(left.min(RECHECK_INTERVAL), &mut wake_up)
                 .await
                 .is_ok()
             {
@@ -257,13 +263,13 @@
                 self.lock().queue.cancel(ticket);
                 return Err(self.refusal(FailurePoint::NoTarget));
             }
-            self.wake_if_available(ask.target_in_flight);
+            self.wake_if_available(request.target_in_flight);
         }
     }
 
     fn enqueue(
         &self,
-        ask: &AdmissionRequest,
+        request: &AdmissionRequest,
     ) -> Result<(u64, oneshot::Receiver<()>), AdmissionRefusal> {
         let limit = self.shared.settings.requests.queue;
         let mut state = self.lock();
@@ -271,15 +277,15 @@
             drop(state);
             return Err(self.refusal(FailurePoint::NoTarget));
         }
-        let (sender, turn) = oneshot::channel();
+        let (sender, wake_up) = oneshot::channel();
         let ticket = state.queue.push(
-            ask.priority,
-            &ask.organisation,
-            ask.weight,
-            ask.tokens,
+            request.priority,
+            &request.organisation,
+            request.weight,
+            request.tokens,
             sender,
         );
-        Ok((ticket, turn))
+        Ok((ticket, wake_up))
     }
 
     fn has_routable(&self, excluded: &[TargetId]) -> bool {
@@ -292,7 +298,9 @@
             .any(|target| target.is_routable(now) && !excluded.contains(&target.id))
     }
 
-    /// Lets the next waiter in when a target that was not there before has room.
+    /// Admits the next queued request if a target has a free slot.
+    ///
+    /// Releasing a permit does the same. This check covers targets that appeared later.
     fn wake_if_available(&self, target_in_flight: u32) {
         let now = BootClock::now();
         let routes = self.shared.routes.read();
@@ -315,7 +323,7 @@
         let estimate = state.service_time * (ahead + 1) / in_flight.max(1);
         AdmissionRefusal {
             point,
-            retry_after: estimate.max(LEAST_RETRY_AFTER),
+            retry_after: estimate.max(MIN_RETRY_AFTER),
         }
     }
 
@@ -339,7 +347,7 @@
 }
 
 impl TargetPermit {
-    /// Notes the time the target took to its first token.
+    /// Records the time from the start of the request to the first token from the target.
     pub fn record_latency(&self, latency: Duration) {
         self.admission.record_latency(&self.target.id, latency);
     }
@@ -352,7 +360,7 @@
     }
 }
 
-/// Counts a waiter while it waits.
+/// Counts a request as queued until it is dropped.
 struct QueuedGuard<'a> {
     shared: &'a NodeShared,
 }
@@ -370,7 +378,7 @@
     }
 }
 
-/// Gives the turn to the first waiter that is still there.
+/// Wakes the first queued request that is still waiting.
 fn wake_next(state: &mut AdmissionState) {
     while let Some(waiter) = state.queue.pop() {
         if waiter.send(()).is_ok() {
@@ -379,9 +387,9 @@
     }
 }
 
-fn smooth(held: Duration, sample: Duration) -> Duration {
-    if held.is_zero() {
+fn smooth(average: Duration, sample: Duration) -> Duration {
+    if average.is_zero() {
         return sample;
     }
-    held.mul_f64(1.0 - SMOOTHING) + sample.mul_f64(SMOOTHING)
+    average.mul_f64(1.0 - SMOOTHING) + sample.mul_f64(SMOOTHING)
 }
--- a/crates/node/src/availability.rs
+++ b/crates/node/src/availability.rs
@@ -1,4 +1,4 @@
-//! Adds up the two measures the users weigh: group downtime and stranded accelerators.
+//! Counts group downtime and stranded accelerators, the two measures of a zone's availability.
 
 use std::time::Duration;
 
@@ -8,35 +8,35 @@
 use crate::reign::ControllerReign;
 use crate::shared::NodeShared;
 
-/// The measures of one zone since this process began to control it.
+/// Availability of one zone since this process became its controller.
 #[derive(Clone, Debug, Default)]
 pub struct AvailabilityCounters {
-    /// Time that wanted groups could not serve, summed over groups.
+    /// Time during which configured groups could not serve, summed over groups.
     pub downtime: Duration,
-    /// Accelerators that belong to no working group now.
+    /// Accelerators that currently belong to no routable group.
     pub stranded: u32,
     last_update: Option<Moment>,
 }
 
 impl AvailabilityCounters {
-    /// Stops counting time until the next call of [`AvailabilityCounters::count`].
+    /// Stops counting time until the next call of [`AvailabilityCounters::update`].
     pub fn pause(&mut self) {
         self.last_update = None;
     }
 
-    /// Counts the time since the last call.
+    /// Adds the downtime since the last call and counts the stranded accelerators.
     pub fn update(&mut self, shared: &NodeShared, reign: &ControllerReign, now: Moment) {
         let elapsed = self.last_update.map_or(Duration::ZERO, |at| now - at);
         self.last_update = Some(now);
         let routes = shared.routes.read();
         let config = shared.config.load();
-        let mut working: IndexSet<&VmId> = IndexSet::new();
+        let mut in_use: IndexSet<&VmId> = IndexSet::new();
         let mut serving: IndexMap<&DeploymentId, u32> = IndexMap::new();
         for row in reign.groups.values() {
             let group = &row.value;
             if routes.is_routable(&group.id, now) {
                 *serving.entry(&group.deployment).or_default() += 1;
-                working.extend(group.members.iter().map(|member| &member.vm));
+                in_use.extend(group.members.iter().map(|member| &member.vm));
             }
         }
         let mut pools: IndexSet<&PoolId> = IndexSet::new();
@@ -48,14 +48,14 @@
                 continue;
             };
             pools.insert(&deployment.pool);
-            let standing = serving.get(&deployment.id).copied().unwrap_or(0);
-            self.downtime += elapsed * replicas_per_zone.saturating_sub(standing);
+            let routable = serving.get(&deployment.id).copied().unwrap_or(0);
+            self.downtime += elapsed * replicas_per_zone.saturating_sub(routable);
         }
         let fleet = shared.fleet.read();
         let idle = fleet
             .vms
             .values()
-            .filter(|vm| pools.contains(&vm.pool) && !working.contains(&vm.id));
+            .filter(|vm| pools.contains(&vm.pool) && !in_use.contains(&vm.id));
         self.stranded = idle.map(|vm| vm.accelerators).sum();
         shared.metrics.set_fleet(self.stranded, self.downtime);
     }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,4 +1,4 @@
-//! The service that asks other nodes what they know.
+//! Service that polls the other nodes for their configuration, views and evidence.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,38 +19,38 @@
 
 /// Name of the service.
 pub const PEERS_SERVICE: &str = "peers";
-/// Path of the exchange.
+/// Path of the exchange request.
 pub const EXCHANGE_PATH: &str = "/peer/exchange";
 
-/// What the service is sent.
+/// Messages of the service.
 #[derive(Debug)]
 pub enum PeersMessage {
-    /// Time to ask a peer.
+    /// The peer at this index of the settings is due to be polled.
     PollDue(usize),
-    /// What a peer said.
+    /// A poll has returned.
     Answered {
         /// Index of the peer in the settings.
         index: usize,
-        /// Local time before it was asked.
+        /// Local time just before the request was sent.
         requested_at: Moment,
-        /// Its answer.
+        /// Reply of the peer.
         reply: Box<Result<ExchangeReply, CallError>>,
     },
 }
 
-/// Exchanges state with the other nodes.
+/// Polls the other nodes and passes their state on to the services that need it.
 pub struct PeerExchange {
     shared: Arc<NodeShared>,
     client: CallerClient,
     roster: PeerRoster,
     marks: IndexMap<NodeId, EvidenceMark>,
-    /// Peers of the zone that were asked at least once.
+    /// Peers of this node's zone that were polled at least once, successfully or not.
     polled: IndexSet<NodeId>,
     knows_floor: bool,
 }
 
 impl PeerExchange {
-    /// Opens an exchange that has heard nobody.
+    /// Creates an exchange that has not polled any peer.
     pub fn new(shared: Arc<NodeShared>) -> Self {
         let token = shared.settings.peer_token.clone();
         Self {
@@ -71,9 +71,10 @@
         self.peer(index).zone == self.shared.settings.zone
     }
 
-    /// Returns whether a peer is asked at all: every one of the zone, and of each other zone only
-    /// two, so that the exchange grows with the zone's nodes and the number of zones and not with
-    /// all nodes.
+    /// Returns whether a peer is polled.
+    ///
+    /// All peers of this node's zone are polled, but only two of each other zone, so that the cost
+    /// grows with the nodes of the zone and the number of zones instead of with all nodes.
     fn is_polled(&self, index: usize) -> bool {
         if self.is_same_zone(index) {
             return true;
@@ -86,14 +87,14 @@
             .iter()
             .filter(|peer| peer.zone == *zone)
             .filter(|peer| {
-                let standing = self.roster.get(&peer.node);
-                standing.is_none_or(|standing| now < standing.last_heard + timeout * 2)
+                let status = self.roster.get(&peer.node);
+                status.is_none_or(|status| now < status.last_heard + timeout * 2)
             })
             .map(|peer| peer.node.clone())
             .collect();
         let chosen = watchers(&self.shared.settings.node, &nodes);
         let is_silent = !nodes.contains(&self.peer(index).node);
-        // A peer that fell silent is still asked, since asking is how the end of a cut is noticed.
+        // Unreachable peers are polled too, because only polling shows when they are reachable again.
         is_silent || chosen.contains(&&self.peer(index).node)
     }
 
@@ -108,11 +109,11 @@
         let client = self.client.clone();
         let limit = gate.peer_timeout.min(Duration::from_secs(1));
         link.spawn(async move {
-            let asked = BootClock::now();
+            let requested_at = BootClock::now();
             let reply = client.call(Method::POST, &url, Some(&request), limit).await;
             PeersMessage::Answered {
                 index,
-                requested_at: asked,
+                requested_at,
                 reply: Box::new(reply),
             }
         });
@@ -134,24 +135,29 @@
     fn record_reply(
         &mut self,
         reply: ExchangeReply,
-        asked: Moment,
+        requested_at: Moment,
         link: &ServiceLink<PeersMessage>,
     ) {
-        let standing = PeerStatus {
+        let status = PeerStatus {
             zone: reply.zone.clone(),
             incarnation: reply.incarnation,
             config: reply.config,
-            last_heard: asked,
+            last_heard: requested_at,
             is_leaving: reply.is_leaving,
         };
-        self.roster.insert(reply.node.clone(), standing);
+        self.roster.insert(reply.node.clone(), status);
         self.shared.roster.publish(self.roster.clone());
         self.marks.insert(reply.node.clone(), reply.evidence.mark);
         self.knows_floor |= reply.has_floor && reply.zone == self.shared.settings.zone;
-        self.distribute(reply, asked, link);
+        self.distribute(reply, requested_at, link);
     }
 
-    fn distribute(&self, reply: ExchangeReply, asked: Moment, link: &ServiceLink<PeersMessage>) {
+    fn distribute(
+        &self,
+        reply: ExchangeReply,
+        requested_at: Moment,
+        link: &ServiceLink<PeersMessage>,
+    ) {
         let has_config = !reply.entries.is_empty() || reply.snapshot.is_some();
         if let (true, Some(config)) = (has_config, link.kernel().find(CONFIG_SERVICE)) {
             let _ = config.post(ConfigMessage::Learned {
@@ -168,11 +174,12 @@
         let _ = watch.post(WatchMessage::PeerEvidence {
             node: reply.node,
             evidence: reply.evidence,
-            asked,
+            asked: requested_at,
         });
     }
 
-    /// Tells the configuration service once every peer of the zone was asked and one knew a floor.
+    /// Records that a peer was polled. Once all peers of the zone were polled and one of them knows
+    /// the configuration floor, the configuration service is notified.
     fn record_poll(&mut self, index: usize, link: &ServiceLink<PeersMessage>) {
         if !self.is_same_zone(index) {
             return;
@@ -209,11 +216,11 @@
             PeersMessage::PollDue(index) => self.poll(index, link),
             PeersMessage::Answered {
                 index,
-                requested_at: asked,
+                requested_at,
                 reply,
             } => {
                 match *reply {
-                    Ok(reply) => self.record_reply(reply, asked, link),
+                    Ok(reply) => self.record_reply(reply, requested_at, link),
                     Err(error) => {
                         let node = self.peer(index).node.as_str();
                         log::debug!(peer = node, error:% = error; "exchange_failed");
--- a/crates/node/src/routes.rs
+++ b/crates/node/src/routes.rs
@@ -1,4 +1,4 @@
-//! Where requests may go, published by the control thread and read by traffic.
+//! Targets that requests may be sent to, published by the control thread for the traffic threads.
 
 use std::sync::Arc;
 
@@ -6,40 +6,42 @@
 use briarswitch_http::TargetAddress;
 use indexmap::IndexMap;
 
-/// Names one target: a replica group at one generation, or a plain service's machine in one life.
+/// Identifies a target: a replica group at one generation, or one incarnation of a VM that runs a
+/// plain service.
 pub type TargetId = String;
 
 /// A back end that requests can be sent to.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Target {
-    /// Name, unique over generations and lives.
+    /// Id, unique over generations and incarnations.
     pub id: TargetId,
-    /// Group or machine, as operators know it.
+    /// Id of the group or VM, as shown to operators.
     pub label: String,
-    /// Zone it stands in.
+    /// Zone of the target.
     pub zone: ZoneId,
-    /// Where requests go.
+    /// Address that requests are sent to.
     pub address: TargetAddress,
-    /// Machine that takes the requests.
+    /// VM that receives the requests.
     pub vm: VmId,
-    /// Local time until which the evidence for every member is good.
+    /// Local time at which the evidence for its members expires.
     pub fresh_until: Moment,
-    /// Requests running and queued there by its last report.
+    /// Number of running and queued requests, according to its latest report.
     pub reported: u32,
-    /// Whether it takes no new requests.
+    /// Whether the target is shutting down and takes no new requests.
     pub is_leaving: bool,
 }
 
 impl Target {
-    /// Returns whether a request may be sent to it at `now`.
+    /// Returns whether a request may be sent to the target at `now`.
     ///
-    /// A node that was frozen finds here that its evidence has run out, since the clock went on.
+    /// The expiry is checked for each request, so that a node whose process was suspended does not
+    /// use evidence that expired meanwhile.
     pub fn is_routable(&self, now: Moment) -> bool {
         now < self.fresh_until && !self.is_leaving
     }
 }
 
-/// The targets of every deployment.
+/// The targets of each deployment.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     targets: IndexMap<DeploymentId, Vec<Arc<Target>>>,
@@ -48,41 +50,41 @@
 impl RouteTable {
     /// Builds the table.
     ///
-    /// Groups come from the zones' views and the evidence for their members; the targets of plain
-    /// services are the machines of their pool that report themselves ready.
+    /// The targets of a model are its serving groups for whose members there is fresh evidence. The
+    /// targets of a plain service are the VMs of its pool that report that they are ready.
     pub fn build(
-        book: &VersionedConfig,
+        config: &VersionedConfig,
         views: &IndexMap<ZoneId, ZoneView>,
         service_vms: &IndexMap<VmId, Vm>,
-        ledger: &EvidenceCache,
-        leaving: &dyn Fn(&str, Incarnation) -> bool,
+        evidence: &EvidenceCache,
+        is_vm_leaving: &dyn Fn(&str, Incarnation) -> bool,
         now: Moment,
     ) -> Self {
         let mut table = Self::default();
         for view in views.values() {
             for group in view.groups.values() {
-                table.add_group(book, &view.zone, group, ledger, leaving, now);
+                table.add_group(config, &view.zone, group, evidence, is_vm_leaving, now);
             }
         }
-        for deployment in book.deployments().values() {
+        for deployment in config.deployments().values() {
             if deployment.kind == DeploymentKind::Service {
-                table.add_service(deployment, service_vms, ledger, leaving, now);
+                table.add_service(deployment, service_vms, evidence, is_vm_leaving, now);
             }
         }
         table
     }
 
-    /// Returns a deployment's targets.
+    /// Returns the targets of a deployment.
     pub fn targets(&self, deployment: &str) -> &[Arc<Target>] {
         self.targets.get(deployment).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns every target.
+    /// Returns the targets of all deployments.
     pub fn all(&self) -> impl Iterator<Item = &Arc<Target>> {
         self.targets.values().flatten()
     }
 
-    /// Returns whether a group is open at `now`.
+    /// Returns whether requests may be sent to a group at `now`.
     pub fn is_routable(&self, group: &str, now: Moment) -> bool {
         self.all()
             .any(|target| target.label == group && target.is_routable(now))
@@ -90,30 +92,30 @@
 
     fn add_group(
         &mut self,
-        book: &VersionedConfig,
+        config: &VersionedConfig,
         zone: &str,
         group: &GroupRecord,
-        ledger: &EvidenceCache,
-        leaving: &dyn Fn(&str, Incarnation) -> bool,
+        evidence: &EvidenceCache,
+        is_vm_leaving: &dyn Fn(&str, Incarnation) -> bool,
         now: Moment,
     ) {
-        let is_known = book.deployments().contains_key(&group.deployment);
+        let is_known = config.deployments().contains_key(&group.deployment);
         if group.state != GroupState::Serving || !is_known {
             return;
         }
-        let Some(fresh_until) = ledger.complete_until(group, now) else {
+        let Some(fresh_until) = evidence.complete_until(group, now) else {
             return;
         };
         let Some(leader) = group.leader() else {
             return;
         };
-        let reported = ledger.fresh(&leader.vm, now).map_or(0, |evidence| {
-            evidence.report.running + evidence.report.queued
-        });
+        let reported = evidence
+            .fresh(&leader.vm, now)
+            .map_or(0, |member| member.report.running + member.report.queued);
         let is_leaving = group
             .members
             .iter()
-            .any(|member| leaving(&member.vm, member.incarnation));
+            .any(|member| is_vm_leaving(&member.vm, member.incarnation));
         let target = Target {
             id: format!("{}@{}", group.id, group.generation),
             label: group.id.clone(),
@@ -135,20 +137,21 @@
         &mut self,
         deployment: &Deployment,
         vms: &IndexMap<VmId, Vm>,
-        ledger: &EvidenceCache,
-        leaving: &dyn Fn(&str, Incarnation) -> bool,
+        evidence: &EvidenceCache,
+        is_vm_leaving: &dyn Fn(&str, Incarnation) -> bool,
         now: Moment,
     ) {
         for vm in vms.values().filter(|vm| vm.pool == deployment.pool) {
-            let Some(evidence) = ledger.fresh(&vm.id, now) else {
+            let Some(member) = evidence.fresh(&vm.id, now) else {
                 continue;
             };
-            let is_ready = evidence.report.state == MemberState::Ready
-                && evidence.report.incarnation == vm.incarnation;
+            let is_ready = member.report.state == MemberState::Ready
+                && member.report.incarnation == vm.incarnation;
             if !is_ready {
                 continue;
             }
-            let is_leaving = vm.status == VmStatus::Leaving || leaving(&vm.id, vm.incarnation);
+            let is_leaving =
+                vm.status == VmStatus::Leaving || is_vm_leaving(&vm.id, vm.incarnation);
             let target = Target {
                 id: format!("{}@{}", vm.id, vm.incarnation),
                 label: vm.id.clone(),
@@ -158,8 +161,8 @@
                     incarnation: vm.incarnation,
                 },
                 vm: vm.id.clone(),
-                fresh_until: ledger.expires_at(evidence),
-                reported: evidence.report.running + evidence.report.queued,
+                fresh_until: evidence.expires_at(member),
+                reported: member.report.running + member.report.queued,
                 is_leaving,
             };
             let targets = self.targets.entry(deployment.id.clone()).or_default();
--- a/crates/node/src/trace.rs
+++ b/crates/node/src/trace.rs
@@ -1,4 +1,4 @@
-//! What is known of one request from its beginning to its settlement.
+//! Accounting of one request, from its admission to its outcome.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -12,34 +12,34 @@
 use crate::reply::CallerFailure;
 use crate::shared::NodeShared;
 
-/// What is counted of a request when it ends.
+/// Collects the figures of a request and records them, with its outcome, when it ends.
 pub struct RequestTrace {
     shared: Arc<NodeShared>,
-    /// Request id.
+    /// Id of the request.
     pub request: RequestId,
     organisation: OrganisationId,
     /// Deployment that serves it.
     pub deployment: DeploymentId,
     started: Moment,
-    /// Tokens delivered so far.
+    /// Tokens delivered to the caller so far.
     pub tokens: u64,
-    /// Group or machine of the last attempt.
+    /// Group or VM of the latest attempt.
     pub target: String,
-    /// Attempts made.
+    /// Number of attempts made.
     pub attempts: u32,
     settled: Option<Outcome>,
     key: Option<ClaimedKey>,
     _flight: InFlightGuard,
 }
 
-/// A key claimed for a request that is still going on.
+/// An idempotency key claimed for a request that has not ended.
 struct ClaimedKey {
     cache: Arc<Mutex<ClaimCache>>,
     key: String,
 }
 
 impl RequestTrace {
-    /// Opens the trace of a request that begins now.
+    /// Creates the trace of a request that starts now.
     pub fn new(shared: &Arc<NodeShared>, matched: &MatchedRequest) -> Self {
         Self {
             shared: Arc::clone(shared),
@@ -56,20 +56,20 @@
         }
     }
 
-    /// Notes the key claimed for the request; its outcome goes into the book.
-    pub fn set_claimed_key(&mut self, book: &Arc<Mutex<ClaimCache>>, key: &str) {
+    /// Sets the key claimed for the request. Its outcome is recorded in `cache` when the request ends.
+    pub fn set_claimed_key(&mut self, cache: &Arc<Mutex<ClaimCache>>, key: &str) {
         self.key = Some(ClaimedKey {
-            cache: Arc::clone(book),
+            cache: Arc::clone(cache),
             key: key.to_owned(),
         });
     }
 
-    /// Forgets the key claimed for the request and returns it.
+    /// Removes and returns the key claimed for the request, so that no outcome is recorded for it.
     pub fn take_claimed_key(&mut self) -> Option<String> {
-        self.key.take().map(|open| open.key)
+        self.key.take().map(|claimed| claimed.key)
     }
 
-    /// Notes that the first token came.
+    /// Records the time to the first token.
     pub fn record_first_token(&self, permit: &TargetPermit) {
         let latency = BootClock::now().saturating_sub(self.started);
         self.shared
@@ -78,7 +78,7 @@
         permit.record_latency(latency);
     }
 
-    /// Counts the request with its outcome, once.
+    /// Records the outcome of the request; later calls have no effect.
     pub fn settle(&mut self, outcome: Outcome) {
         if self.settled.is_some() {
             return;
@@ -95,9 +95,9 @@
         if outcome == Outcome::Answered || self.tokens > 0 {
             self.shared.usage.charge(&self.organisation, self.tokens);
         }
-        if let Some(open) = self.key.take() {
-            let mut book = open.cache.lock().unwrap_or_else(PoisonError::into_inner);
-            book.settle(&open.key, outcome, now);
+        if let Some(claimed) = self.key.take() {
+            let mut cache = claimed.cache.lock().unwrap_or_else(PoisonError::into_inner);
+            cache.settle(&claimed.key, outcome, now);
         }
         log::info!(
             request = self.request.as_str(),
@@ -112,7 +112,7 @@
         );
     }
 
-    /// Counts the request as failed and hands the failure on.
+    /// Records the outcome of a failed request and returns the failure.
     pub fn fail(&mut self, failure: CallerFailure) -> CallerFailure {
         self.settle(failure.outcome());
         failure
@@ -120,7 +120,7 @@
 }
 
 impl Drop for RequestTrace {
-    /// A caller that left before its answer was over leaves the outcome open.
+    /// Records an unknown outcome if the caller disconnected before the response was complete.
     fn drop(&mut self) {
         self.settle(Outcome::Unknown);
     }
