--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -117,7 +117,7 @@
     pub fn start_run(&self, run: &RunSubject, target: &Target) -> TargetRun {
         let fleet = self.shared.fleet.read();
         let domain = fleet.vms.get(&target.vm).map(|vm| vm.domain.clone());
-        let facts = RunInfo {
+        let info = RunInfo {
             request: run.request.clone(),
             fingerprint: run.fingerprint,
             organisation: run.organisation.clone(),
@@ -130,7 +130,7 @@
             group: String::new(),
             sent: BootClock::now(),
         };
-        TargetRun::start(facts, self.listeners.clone())
+        TargetRun::start(info, self.listeners.clone())
     }
 
     /// Returns the failure to reply with if the request is quarantined.
@@ -224,7 +224,7 @@
         })
     }
 
-    /// Claims an idempotency key, so that at most one node starts work under it, once.
+    /// Claims an idempotency key, so that work under it starts at most once among all nodes.
     ///
     /// A key that this node minted needs no claim in the table, because no other node may start
     /// work under it.
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -94,7 +94,8 @@
             .collect();
         let chosen = watchers(&self.shared.settings.node, &nodes);
         let is_silent = !nodes.contains(&self.peer(index).node);
-        // Unreachable peers are polled too, because only polling shows when they are reachable again.
+        // Unreachable peers are polled too, because only polling shows when they are reachable
+        // again.
         is_silent || chosen.contains(&&self.peer(index).node)
     }
 
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -162,7 +162,8 @@
                 () = self.silence_timer.as_mut() => {
                     let end = self.last_chunk_at + silence;
                     let is_silent = Instant::now() >= end;
-                    self.silence_timer.as_mut().reset(if is_silent { Instant::now() + silence } else { end });
+                    let next = if is_silent { Instant::now() + silence } else { end };
+                    self.silence_timer.as_mut().reset(next);
                     if is_silent {
                         return RelayStep::Broken;
                     }
--- a/crates/node/src/trace.rs
+++ b/crates/node/src/trace.rs
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Sets the key claimed for the request. Its outcome is recorded in `cache` when the request ends.
+    /// Sets the key claimed for the request. Its outcome is recorded in `cache` when the request
+    /// ends.
     pub fn set_claimed_key(&mut self, cache: &Arc<Mutex<ClaimCache>>, key: &str) {
         self.key = Some(ClaimedKey {
             cache: Arc::clone(cache),
--- a/crates/node/tests/limits.rs
+++ b/crates/node/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Shares, priorities, rates and retries under load, on real processes.
+//! Fair shares, priorities, rate limits and retry budgets under load, with real node processes.
 
 mod support;
 
@@ -14,7 +14,7 @@
 const LARGE: &str = "Bearer large-key";
 const SMALL: &str = "Bearer small-key";
 
-/// Starts one node before one group that takes one request at a time.
+/// Starts one node with a single group that takes one request at a time.
 async fn narrow_cluster() -> Cluster {
     let plan = Plan {
         engines_per_zone: 0,
@@ -63,9 +63,9 @@
     names.map(str::to_owned).collect()
 }
 
-/// Symptom: a large organisation's backlog kept a small one waiting for its end.
-/// Sequence: both send far more than one target takes at a time; weights are three to one.
-/// Cause: first come, first served; the queue gives service by weight while both wait.
+/// The requests of a small organisation waited for the whole backlog of a large one, because they
+/// were served in order of arrival. Both send far more than one target takes at a time, with
+/// weights of three to one, and are to be served by weight while both have a backlog.
 #[tokio::test(flavor = "multi_thread")]
 async fn service_follows_weights_while_all_wait() {
     let cluster = narrow_cluster().await;
@@ -91,17 +91,16 @@
         .filter(|answer| answer.outcome() == "answered");
     assert_that!(answered.count(), eq(160));
 
-    // The first few ran before both had a backlog. After that both wait for long enough that three
-    // to one gives the small one 15 of 60, and equal turns would give it 30.
+    // The first requests run before both have a backlog. In the window both have one: weights of
+    // three to one give the small organisation 15 of 60 requests, equal shares would give it 30.
     let order = order_of(&cluster);
     let window = &order[20..80];
     let small = window.iter().filter(|name| *name == "small").count();
     assert_that!(small, all!(ge(10), le(21)));
 }
 
-/// Symptom: fin design waited behind ordinary assistant traffic.
-/// Sequence: a backlog stands; requests arrive that a rule gives a higher priority.
-/// Cause: one queue for all; a higher class is served first.
+/// Requests that a rule gives a higher priority waited behind a backlog of ordinary ones, because
+/// all were in one queue. A higher priority is served first.
 #[tokio::test(flavor = "multi_thread")]
 async fn higher_priority_goes_first() {
     let cluster = narrow_cluster().await;
@@ -134,7 +133,7 @@
     });
     let fin = async {
         cluster
-            .wait("a backlog stands", async |cluster| {
+            .wait("there is a backlog", async |cluster| {
                 let dump: Option<serde_json::Value> =
                     cluster.operate(0, "GET", "/v1/dump", "").await;
                 dump.is_some_and(|dump| dump["traffic"][0]["queued"].as_u64() > Some(30))
@@ -145,13 +144,13 @@
     let (_, answer) = futures::future::join(futures::future::join_all(plain), fin).await;
     assert_that!(answer.expect("an answer").outcome(), eq("answered"));
     let order = order_of(&cluster);
-    let place = order.iter().position(|name| name == "fin").expect("it ran");
-    assert_that!(order.len() - place, gt(20));
+    let position = order.iter().position(|name| name == "fin").expect("it ran");
+    assert_that!(order.len() - position, gt(20));
 }
 
-/// Symptom: an organisation got more than its rate by calling through several nodes.
-/// Sequence: sixty calls at once through six nodes against a rate of six a second.
-/// Cause: each node allowed the whole rate; each holds a sixth of it.
+/// An organisation exceeded its rate limit by calling through several nodes, because each node
+/// allowed the whole rate. With six nodes each allows a sixth. Sixty calls are sent at once against
+/// a limit of six per second.
 #[tokio::test(flavor = "multi_thread")]
 async fn rate_holds_in_sum_over_nodes() {
     const RATE: u32 = 6;
@@ -194,9 +193,9 @@
         .flatten()
         .filter(|answer| answer.status == 429);
     let refused: Vec<&Answer> = refused.collect();
-    // A second's worth may be saved up, and more is earned while the calls go on.
-    let most = f64::from(RATE) * (1.0 + start.elapsed().as_secs_f64());
-    assert_that!(cluster.calls("/bill") as f64, le(most));
+    // A burst of one second's worth is allowed, and more is allowed as time passes.
+    let max_calls = f64::from(RATE) * (1.0 + start.elapsed().as_secs_f64());
+    assert_that!(cluster.calls("/bill") as f64, le(max_calls));
     assert_that!(refused.len() + cluster.calls("/bill"), eq(60));
     for answer in refused {
         assert_that!(answer.outcome(), eq("not_run"));
@@ -204,9 +203,9 @@
     }
 }
 
-/// Symptom: a brown-out multiplied the load on targets that could bear least.
-/// Sequence: every answer of every group is an error; two hundred requests that may be repeated come.
-/// Cause: each was tried at every group; retries come from a budget that successes earn.
+/// Retries multiplied the load on overloaded targets: all groups returned errors, and each of two
+/// hundred repeatable requests was tried at every group. Retries are limited by a budget that only
+/// successful requests replenish.
 #[tokio::test(flavor = "multi_thread")]
 async fn brown_out_does_not_multiply_load() {
     const REQUESTS: usize = 200;
--- a/crates/node/tests/requests.rs
+++ b/crates/node/tests/requests.rs
@@ -1,4 +1,4 @@
-//! What callers are told, caused for real at every point of failure.
+//! Replies to callers, with a real failure caused at each failure point.
 
 mod support;
 
@@ -21,7 +21,7 @@
     cluster.services.values().next().expect("a service")
 }
 
-/// A chat answer comes whole, streamed or not, with who served it.
+/// A chat response arrives complete, streamed or not.
 #[tokio::test(flavor = "multi_thread")]
 async fn answers_are_whole() {
     let cluster = Cluster::start(Plan::default()).await;
@@ -35,9 +35,9 @@
     assert_that!(streamed.has_end_mark() && streamed.is_whole, eq(true));
 }
 
-/// Symptom: a caller was told "unknown" although nothing listened at the target.
-/// Sequence: the service's machine dies; a call arrives before its evidence has run out.
-/// Cause: a connection that was never opened was not told apart from one that broke.
+/// A caller was told `unknown` although nothing listened at the target: the VM of the service
+/// crashed and a call arrived before the evidence for it expired. A connection that was never
+/// opened has to be distinguished from one that broke.
 #[tokio::test(flavor = "multi_thread")]
 async fn call_to_a_dead_target_did_not_run() {
     let mut cluster = Cluster::start(service_plan()).await;
@@ -50,9 +50,8 @@
     assert_that!(cluster.calls("/bill"), eq(0));
 }
 
-/// Symptom: an order was billed twice.
-/// Sequence: the service runs the call and breaks off before answering.
-/// Cause: the call was sent again, although it may not be repeated.
+/// An order was billed twice: the service ran the call and closed the connection without a
+/// response, and the call was sent again although it must not be repeated.
 #[tokio::test(flavor = "multi_thread")]
 async fn broken_call_is_not_sent_again() {
     let cluster = Cluster::start(Plan {
@@ -69,9 +68,8 @@
     assert_that!(cluster.calls("/bill"), eq(1));
 }
 
-/// Symptom: a caller waited for ever, or was told "not run" of a call that ran.
-/// Sequence: the service runs the call and stays silent past the caller's deadline.
-/// Cause: silence proves nothing; only the deadline ends the wait, and the outcome is open.
+/// A caller waited for ever, or was told `not_run` about a call that had run, because the service
+/// ran the call and sent no response. The deadline has to end the wait, with an unknown outcome.
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_target_leaves_the_outcome_open() {
     let cluster = Cluster::start(service_plan()).await;
@@ -84,7 +82,7 @@
     assert_that!(cluster.calls("/bill"), eq(1));
 }
 
-/// A request that may be repeated goes to another group after each kind of failure.
+/// A repeatable request is sent to another group after each kind of failure.
 #[tokio::test(flavor = "multi_thread")]
 async fn repeatable_request_is_tried_at_another_group() {
     let cluster = Cluster::start(Plan {
@@ -102,7 +100,7 @@
             "refusals" => faults.refusals = 1,
             _ => faults.errors = 1,
         });
-        // Requests go to either group; the leader runs one once its fault is used up.
+        // Requests go to either group. The leader completes one only after its fault has been used.
         let before = leader.record().executions.len();
         while leader.record().executions.len() < before + 2 {
             let answer = cluster.chat(0, 3, false).await.expect("an answer");
@@ -112,7 +110,8 @@
     }
 }
 
-/// A request that may not be repeated is told the truth after each kind of failure.
+/// The caller of a request that must not be repeated gets the correct outcome and code after each
+/// kind of failure.
 #[tokio::test(flavor = "multi_thread")]
 async fn unrepeatable_request_is_told_the_truth() {
     let cluster = Cluster::start(Plan::default()).await;
@@ -145,9 +144,9 @@
     }
 }
 
-/// Symptom: tokens were missing or doubled in a stream whose connection broke half way.
-/// Sequence: the engine's connection breaks after three events; the engine lives and can resume.
-/// Cause: the stream was begun anew, or from a wrong place, instead of after what was passed on.
+/// Tokens were missing or duplicated in a stream whose connection broke after three events: it was
+/// restarted, or resumed at a wrong offset, instead of after the events already relayed. The engine
+/// keeps running and can resume the stream.
 #[tokio::test(flavor = "multi_thread")]
 async fn broken_stream_is_resumed_at_its_offset() {
     let cluster = Cluster::start(Plan::default()).await;
@@ -165,9 +164,9 @@
     assert_that!(answer.has_end_mark() && answer.is_whole, eq(true));
 }
 
-/// Symptom: a caller took half an answer for a whole one.
-/// Sequence: the stream breaks and the engine has forgotten it, or ends it without the end mark.
-/// Cause: the broken stream was ended tidily; it has to be visibly broken.
+/// A caller took a partial response for a complete one. The stream breaks and the engine no longer
+/// has it, or ends without the end marker; the node must not end it cleanly then, but with an error
+/// event and a closed connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_that_can_not_be_resumed_is_visibly_broken() {
     let cluster = Cluster::start(Plan::default()).await;
@@ -198,9 +197,8 @@
     assert_that!(answer.body, contains_substring(r#""outcome":"unknown""#));
 }
 
-/// Symptom: engines went on generating for callers that had left.
-/// Sequence: a caller closes its connection after the first token.
-/// Cause: the stream from the engine was read on; dropping it closes its connection.
+/// An engine went on generating after the caller had disconnected, because the node read its stream
+/// to the end. Dropping the stream closes the connection to the engine, which cancels the request.
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_caller_cancels_its_stream() {
     let cluster = Cluster::start(Plan::default()).await;
@@ -218,16 +216,16 @@
     drop(body);
 
     cluster
-        .wait("the engine stops", async |cluster| {
+        .wait("the engine cancels the request", async |cluster| {
             let mut engines = cluster.engines.values();
             engines.any(|engine| engine.record().cancelled == 1)
         })
         .await;
 }
 
-/// Symptom: one key's work ran more than once.
-/// Sequence: the same keys come through all six nodes at once, again and again.
-/// Cause: each node knew only of its own requests; the key is claimed in the table first.
+/// Work under one idempotency key ran more than once when the same keys were sent repeatedly
+/// through all six nodes at the same time, because each node knew only its own requests. A key is
+/// claimed in the platform's table before work under it starts.
 #[tokio::test(flavor = "multi_thread")]
 async fn key_runs_at_most_once_through_six_nodes() {
     const KEYS: usize = 50;
@@ -265,9 +263,9 @@
     assert_that!(answered, eq(KEYS));
 }
 
-/// Symptom: a billing call ran twice after its node died.
-/// Sequence: the node dies while the service works; the caller tries again through another node.
-/// Cause: the claim lived in the dead node's memory; it is in the table.
+/// A billing call ran twice when its node crashed while the service was working and the caller
+/// retried through another node, because the claim was kept only in the memory of the crashed node.
+/// It is stored in the table.
 #[tokio::test(flavor = "multi_thread")]
 async fn key_survives_the_death_of_its_node() {
     let mut cluster = Cluster::start(Plan {
@@ -283,11 +281,11 @@
     ];
     let path = format!("/services/{SERVICE}/bill");
     let first = cluster.send(&address, "POST", &path, &headers, "{}");
-    let killing = cluster.wait("the service works", async |cluster| {
+    let killing = cluster.wait("the service has received the call", async |cluster| {
         cluster.calls("/bill") == 1
     });
     tokio::select! {
-        _ = first => panic!("the service never answers"),
+        _ = first => panic!("the service must not respond"),
         () = killing => {}
     }
     cluster.nodes[0].kill();
@@ -301,9 +299,9 @@
     assert_that!(cluster.calls("/bill"), eq(1));
 }
 
-/// Symptom: a key stayed burnt although its request was told "not run".
-/// Sequence: a keyed call finds the target dead; the target is replaced; the caller tries again.
-/// Cause: the claim was kept; a key under which nothing ran is given back.
+/// A key could not be used again although its request was reported as `not_run`: the target was
+/// down, was replaced, and the caller retried. The claim of a key under which nothing ran is
+/// released.
 #[tokio::test(flavor = "multi_thread")]
 async fn key_of_a_call_that_did_not_run_can_be_used_again() {
     let mut cluster = Cluster::start(service_plan()).await;
@@ -315,7 +313,7 @@
 
     cluster.add_service("kakkanad", &name, 2, "127.0.0.1:0");
     cluster
-        .wait("the replacement answers", async |cluster| {
+        .wait("the replacement responds", async |cluster| {
             let answer = cluster.call(0, "/ping", &[]).await;
             answer.is_some_and(|answer| answer.status == 200)
         })
@@ -325,10 +323,9 @@
     assert_that!(cluster.calls("/bill"), eq(1));
 }
 
-/// Symptom: a call went out on a connection to a machine that had been replaced.
-/// Sequence: calls that may be repeated keep a connection; the machine is replaced at its very
-/// address; more calls come.
-/// Cause: connections were kept by address alone; they are kept by the machine's life.
+/// A call was sent on an idle connection to a VM that had been replaced at the same address,
+/// because idle connections were kept by address alone. They are kept by address and incarnation.
+/// Only repeatable calls reuse connections.
 #[tokio::test(flavor = "multi_thread")]
 async fn kept_connections_die_with_the_machine() {
     let mut cluster = Cluster::start(service_plan()).await;
@@ -341,10 +338,10 @@
     }
     cluster.services.get_mut(&name).expect("a service").kill();
     cluster.add_service("kakkanad", &name, 2, &address);
-    // Until the platform lists the new life a call is refused as not run, and it must be true.
+    // Until the platform lists the new incarnation, calls are refused as not run and must not run.
     for _ in 0..5 {
         cluster
-            .wait("the new life answers", async |cluster| {
+            .wait("the new incarnation responds", async |cluster| {
                 let answer = cluster.call(0, "/look", &headers).await.expect("an answer");
                 let outcome = answer.outcome();
                 assert_that!(outcome, any!(eq("answered"), eq("not_run")));
@@ -355,10 +352,9 @@
     assert_that!(cluster.calls("/look"), eq(5));
 }
 
-/// Symptom: billing ran twice, or stopped altogether, while the platform was away.
-/// Sequence: the platform goes down; calls come with and without a key.
-/// Cause: without the table a key can not be claimed, so keyed calls are refused as not run; calls
-/// without a key need no table and go on, each sent at most once.
+/// During an outage of the platform, billing ran twice or stopped altogether. Keyed calls can not
+/// be claimed then and are refused as `not_run`. Calls without a key do not need the table and
+/// continue, each sent at most once.
 #[tokio::test(flavor = "multi_thread")]
 async fn platform_outage_refuses_keys_honestly() {
     let cluster = Cluster::start(service_plan()).await;
@@ -376,9 +372,9 @@
     assert_that!(cluster.calls("/bill"), eq(1));
 }
 
-/// Symptom: a call ran twice because the answer to its claim was lost.
-/// Sequence: the claim takes effect; its answer is lost; the caller's call goes on.
-/// Cause: the claim was taken for somebody else's, or written again; it is read back by its id.
+/// A call ran twice because the claim of its key took effect but the response to it was lost, and
+/// the claim was then taken for another one or written again. It is read back and recognised by its
+/// id.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_answer_to_a_claim_is_read_back() {
     let cluster = Cluster::start(service_plan()).await;
@@ -395,10 +391,8 @@
     assert_that!(outcomes[1..], each(eq("unknown")));
 }
 
-/// Symptom: a machine that was leaving went on getting new work.
-/// Sequence: the platform marks one of two machines as leaving, then lists it as live again for a
-/// moment, as a lagging list may.
-/// Cause: the mark was taken back by an older list; it holds for that life of the machine.
+/// A leaving VM still got new requests: the platform marked one of two VMs as leaving, and a stale
+/// list showed it as live again. The leaving state holds for the rest of the VM's incarnation.
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_target_gets_nothing_new() {
     let cluster = Cluster::start(Plan {
@@ -409,7 +403,7 @@
     let (name, leaving) = cluster.services.iter().next().expect("a service");
     cluster.platform.mark_leaving(name);
     cluster
-        .wait("the mark is seen", async |cluster| {
+        .wait("the VM is known to be leaving", async |cluster| {
             let dump = cluster.dump(0, "watch").await;
             dump["leaving"].as_array().is_some_and(|vms| vms.len() == 1)
         })
@@ -422,9 +416,8 @@
     assert_that!(leaving.calls(), len(eq(before)));
 }
 
-/// Symptom: a target that said it was leaving was asked again and again.
-/// Sequence: the target refuses a call as not run and says that it is leaving.
-/// Cause: only the platform's list was believed; the target's own word counts too.
+/// Requests were still sent to a target that had refused a call as not run and had declared that it
+/// was leaving, because only the platform's list was used. The target's own declaration counts too.
 #[tokio::test(flavor = "multi_thread")]
 async fn target_that_says_it_leaves_is_believed() {
     let cluster = Cluster::start(Plan {
@@ -443,9 +436,8 @@
     assert_that!(dump["leaving"].as_array().map(Vec::len), some(eq(1)));
 }
 
-/// Symptom: answers were cut off when a node was shut down.
-/// Sequence: twenty streams run; the node is told to end.
-/// Cause: the process ended with its listeners; it has to wait for the last answer.
+/// Responses were truncated when a node was shut down during twenty streams, because the process
+/// exited as soon as its listeners were closed. It has to wait for the last response.
 #[tokio::test(flavor = "multi_thread")]
 async fn graceful_shutdown_cuts_no_answer() {
     let mut cluster = Cluster::start_bare(&Plan {
@@ -473,7 +465,7 @@
     }
     cluster.nodes[0].signal(Signal::SIGTERM);
     cluster
-        .wait("the balancer's check fails", async |cluster| {
+        .wait("the readiness check fails", async |cluster| {
             !cluster.is_ready(0).await
         })
         .await;
@@ -505,7 +497,7 @@
     assert_that!(tokens, eq(20 * 60));
 }
 
-/// Every malformed request gets its documented error, and the node goes on serving.
+/// Each malformed request gets its documented error, and the node continues to serve.
 #[tokio::test(flavor = "multi_thread")]
 async fn malformed_requests_get_their_errors() {
     let cluster = Cluster::start(Plan {
@@ -633,9 +625,9 @@
     assert_that!(answer.outcome(), eq("answered"));
 }
 
-/// What is no HTTP at all, or breaks off, costs its connection and nothing more.
+/// Invalid or truncated HTTP closes its own connection and has no other effect.
 #[tokio::test(flavor = "multi_thread")]
-async fn broken_http_costs_only_its_connection() {
+async fn malformed_http_closes_only_its_connection() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
     let cluster = Cluster::start(Plan::default()).await;
@@ -659,7 +651,7 @@
         let reading = stream.read_to_end(&mut answer);
         let _ = tokio::time::timeout(support::LIMIT, reading)
             .await
-            .expect("the node lets go");
+            .expect("the node closes the connection");
         assert_that!(
             String::from_utf8_lossy(&answer),
             not(contains_substring("200 OK"))
@@ -670,17 +662,16 @@
     assert_that!(answer.outcome(), eq("answered"));
 }
 
-/// Symptom: a request that could not be served was held until its deadline.
-/// Sequence: every group is gone; a request with a long deadline arrives.
-/// Cause: it waited for a target to appear; it is refused at once and told when to come back.
+/// A request with a long deadline was queued until the deadline although there was no group left.
+/// It has to be refused immediately, with a `retry-after` header.
 #[tokio::test(flavor = "multi_thread")]
-async fn hopeless_request_is_refused_at_once() {
+async fn request_without_targets_is_refused_at_once() {
     let mut cluster = Cluster::start(Plan::default()).await;
     for engine in cluster.engines.values_mut() {
         engine.kill();
     }
     cluster
-        .wait("the group is out", async |cluster| {
+        .wait("no group is routable", async |cluster| {
             cluster.routable(0).await == 0
         })
         .await;
--- a/crates/node/tests/routes.rs
+++ b/crates/node/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Whether a target may be sent a request, decided at the moment of sending.
+//! Whether a request may be sent to a target, decided when it is sent.
 
 use std::time::Duration;
 
@@ -22,9 +22,8 @@
     }
 }
 
-/// Symptom: a request was sent on evidence that had run out between publication and sending.
-/// Sequence: the control thread publishes a route and stands still; its evidence runs out.
-/// Cause: publication was taken for freshness; the clock is read again for each request.
+/// A request was sent on expired evidence: the control thread published a route and then stalled,
+/// and the published route was used without a check. The expiry is checked for each request.
 #[test]
 fn route_closes_by_itself_when_its_evidence_runs_out() {
     let end = Duration::from_secs(10);
