--- a/crates/node/src/admission.rs
+++ b/crates/node/src/admission.rs
@@ -327,10 +327,10 @@
         }
     }
 
-    fn release(&self, target: &str, took: Duration) {
+    fn release(&self, target: &str, elapsed: Duration) {
         let routes = self.shared.routes.load();
         let mut state = self.lock();
-        state.service_time = smooth(state.service_time, took);
+        state.service_time = smooth(state.service_time, elapsed);
         if let Some(stats) = state.targets.get_mut(target) {
             stats.in_flight -= 1;
             let is_gone = stats.in_flight == 0
@@ -355,8 +355,8 @@
 
 impl Drop for TargetPermit {
     fn drop(&mut self) {
-        let took = BootClock::now().saturating_sub(self.since);
-        self.admission.release(&self.target.id, took);
+        let elapsed = BootClock::now().saturating_sub(self.since);
+        self.admission.release(&self.target.id, elapsed);
     }
 }
 
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -296,21 +296,21 @@
     ) -> Result<Response, CallerFailure> {
         let admission = self.admission(&matched.admission.deployment);
         let mut tried: Vec<TargetId> = Vec::new();
-        let mut last: Option<FailurePoint> = None;
+        let mut earlier: Option<FailurePoint> = None;
         let mut broken_runs = 0;
         loop {
             let permit = match admission.admit(&matched.admission, &tried).await {
                 Ok(permit) => permit,
                 Err(refusal) => {
                     // If an earlier attempt may have run, the outcome stays unknown.
-                    let point = combine_failures(last, refusal.point);
+                    let point = combine_failures(earlier, refusal.point);
                     let failure = CallerFailure::at(point).retry_after(refusal.retry_after);
                     return Err(self.finish_failed(failure, trace).await);
                 }
             };
             // Checked again, because the request may have been quarantined while it was queued.
             if let Some(failure) = self.quarantined(&matched.fingerprint) {
-                let point = combine_failures(last, failure.point);
+                let point = combine_failures(earlier, failure.point);
                 let failure = CallerFailure { point, ..failure };
                 return Err(self.finish_failed(failure, trace).await);
             }
@@ -327,8 +327,8 @@
             broken_runs += usize::from(is_broken_connection(point));
             let may_retry = point.allows_retry(matched.outgoing.is_repeatable)
                 && self.suspects().may_retry(&matched.fingerprint, broken_runs);
-            let point = combine_failures(last, point);
-            last = Some(point);
+            let point = combine_failures(earlier, point);
+            earlier = Some(point);
             if !may_retry || !self.withdraw_retry(&trace) {
                 let failure = CallerFailure::at(point);
                 let failure = failure.retry_after(std::time::Duration::from_secs(1));
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -186,8 +186,9 @@
             return;
         }
         self.polled.insert(self.peer(index).node.clone());
-        let near = (0..self.shared.settings.peers.len()).filter(|index| self.is_same_zone(*index));
-        let is_complete = near
+        let zone_peers =
+            (0..self.shared.settings.peers.len()).filter(|index| self.is_same_zone(*index));
+        let is_complete = zone_peers
             .map(|index| &self.peer(index).node)
             .all(|node| self.polled.contains(node));
         if !(is_complete && self.knows_floor) {
--- a/crates/node/src/progress.rs
+++ b/crates/node/src/progress.rs
@@ -29,7 +29,7 @@
     fleet: &FleetState,
     changes: &mut RowChanges,
 ) {
-    let held: Vec<_> = group
+    let claimed: Vec<_> = group
         .members
         .iter()
         .filter(|member| {
@@ -37,14 +37,14 @@
             claim.is_some_and(|row| row.value.group == group.id)
         })
         .collect();
-    let (left, stays): (Vec<_>, Vec<_>) = held.into_iter().partition(|member| {
+    let (released, remaining): (Vec<_>, Vec<_>) = claimed.into_iter().partition(|member| {
         let facts = fleet.vms.get(&member.vm);
         is_gone(facts, member.incarnation) || reign.has_left(&member.vm)
     });
-    for member in left {
+    for member in released {
         changes.rows.push(RowChange::DropClaim(member.vm.clone()));
     }
-    if stays.is_empty() {
+    if remaining.is_empty() {
         changes.rows.push(RowChange::DropGroup(group.id.clone()));
     }
 }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -175,7 +175,7 @@
     /// Takes a chunk of the body and returns the complete events that can be relayed now.
     fn accept_chunk(&mut self, chunk: &Bytes) -> Option<Bytes> {
         let before = self.scanner.events();
-        let (held, scanned) = self.scanner.scan(chunk);
+        let (earlier, scanned) = self.scanner.scan(chunk);
         let fresh = chunk.slice(..scanned.complete_bytes);
         let events = self.scanner.events();
         if before == 0 && events > 0 {
@@ -189,10 +189,10 @@
             self.stage = RelayStage::Done;
             self.finish_body();
         }
-        match (held.is_empty(), fresh.is_empty()) {
+        match (earlier.is_empty(), fresh.is_empty()) {
             (true, true) => None,
             (true, false) => Some(fresh),
-            (false, _) => Some(Bytes::from(held)),
+            (false, _) => Some(Bytes::from(earlier)),
         }
     }
 
--- a/crates/node/tests/limits.rs
+++ b/crates/node/tests/limits.rs
@@ -39,7 +39,7 @@
     ValueDoc::Organisation(OrganisationDoc { weight, ..doc })
 }
 
-async fn ask(cluster: &Cluster, name: &str, headers: &[(&str, &str)]) -> Option<Answer> {
+async fn send_chat(cluster: &Cluster, name: &str, headers: &[(&str, &str)]) -> Option<Answer> {
     let mut all = vec![("x-request-id", name), ("x-deadline-ms", "60000")];
     all.extend_from_slice(headers);
     let body = support::chat_body(4, false);
@@ -82,7 +82,7 @@
             ("small", SMALL)
         };
         let cluster = &cluster;
-        async move { ask(cluster, name, &[("authorization", key)]).await }
+        async move { send_chat(cluster, name, &[("authorization", key)]).await }
     });
     let answers = futures::future::join_all(calls).await;
     let answered = answers
@@ -129,7 +129,7 @@
     let key = ("authorization", "Bearer kayal-key");
     let plain = (0..60).map(|_| {
         let cluster = &cluster;
-        async move { ask(cluster, "plain", &[key]).await }
+        async move { send_chat(cluster, "plain", &[key]).await }
     });
     let fin = async {
         cluster
@@ -139,7 +139,7 @@
                 dump.is_some_and(|dump| dump["traffic"][0]["queued"].as_u64() > Some(30))
             })
             .await;
-        ask(&cluster, "fin", &[key, ("x-task", "fin")]).await
+        send_chat(&cluster, "fin", &[key, ("x-task", "fin")]).await
     };
     let (_, answer) = futures::future::join(futures::future::join_all(plain), fin).await;
     assert_that!(answer.expect("an answer").outcome(), eq("answered"));
--- a/crates/node/tests/requests.rs
+++ b/crates/node/tests/requests.rs
@@ -26,9 +26,9 @@
 async fn answers_are_whole() {
     let cluster = Cluster::start(Plan::default()).await;
 
-    let whole = cluster.chat(0, 5, false).await.expect("an answer");
-    assert_that!(whole.body, contains_substring("w0 w1 w2 w3 w4 "));
-    assert_that!(whole.outcome(), eq("answered"));
+    let complete = cluster.chat(0, 5, false).await.expect("an answer");
+    assert_that!(complete.body, contains_substring("w0 w1 w2 w3 w4 "));
+    assert_that!(complete.outcome(), eq("answered"));
 
     let streamed = cluster.chat(0, 5, true).await.expect("an answer");
     assert_that!(streamed.events(), len(eq(5)));
@@ -596,12 +596,12 @@
         .collect();
     let wide = "w".repeat(20_000);
     let mut cases = cases;
-    let mut crowd = vec![key];
-    crowd.extend(
+    let mut many_headers = vec![key];
+    many_headers.extend(
         many.iter()
             .map(|(name, value)| (name.as_str(), value.as_str())),
     );
-    cases.push(("POST", chat, crowd, &good, 431, "headers_too_large"));
+    cases.push(("POST", chat, many_headers, &good, 431, "headers_too_large"));
     cases.push((
         "POST",
         chat,
@@ -648,8 +648,8 @@
         let _ = stream.write_all(text.as_bytes()).await;
         let _ = stream.shutdown().await;
         let mut answer = Vec::new();
-        let reading = stream.read_to_end(&mut answer);
-        let _ = tokio::time::timeout(support::LIMIT, reading)
+        let read = stream.read_to_end(&mut answer);
+        let _ = tokio::time::timeout(support::LIMIT, read)
             .await
             .expect("the node closes the connection");
         assert_that!(
