--- a/crates/node/src/controller.rs
+++ b/crates/node/src/controller.rs
@@ -15,11 +15,11 @@
 use serde_json::{json, Value};
 use tokio::sync::oneshot;
 
-use crate::account::FleetAccount;
+use crate::availability::AvailabilityCounters;
 use crate::keys::{epoch_key, group_prefix, vm_prefix};
 use crate::lease::{LeaseCall, LeaseDriver};
 use crate::orders::{orders_due, DueOrder};
-use crate::progress::finished_changes;
+use crate::progress::due_changes;
 use crate::shared::{ControlView, FleetView, NodeShared};
 use crate::steps::{describe_step, load_count};
 use crate::term::{ControllerTerm, RowChanges, TermCounters};
@@ -86,7 +86,7 @@
     is_loading: bool,
     lost_since: IndexMap<VmId, Moment>,
     pending_orders: IndexSet<VmId>,
-    account: FleetAccount,
+    account: AvailabilityCounters,
     plan: Vec<String>,
 }
 
@@ -105,7 +105,7 @@
             is_loading: false,
             lost_since: IndexMap::new(),
             pending_orders: IndexSet::new(),
-            account: FleetAccount::default(),
+            account: AvailabilityCounters::default(),
             plan: Vec::new(),
             shared,
         }
@@ -117,7 +117,7 @@
         self.update_term(now, link);
         if self.is_in_control(now) {
             if let Some(term) = &self.term {
-                self.account.count(&self.shared, term, now);
+                self.account.update(&self.shared, term, now);
             }
             self.send_orders(now, link);
             self.advance(now, link);
@@ -226,7 +226,7 @@
     /// arrived or can no longer arrive. If all engines check fencing numbers, no wait is needed.
     fn order_wait(&self) -> Duration {
         let config = self.shared.config.read();
-        let all_check = config.book.deployments().values().all(|deployment| {
+        let all_check = config.config.deployments().values().all(|deployment| {
             matches!(
                 deployment.kind,
                 DeploymentKind::Service
@@ -288,7 +288,7 @@
         FleetState {
             vms,
             groups,
-            deployments: config.book.deployments().clone(),
+            deployments: config.config.deployments().clone(),
             load_budget,
         }
     }
@@ -307,13 +307,13 @@
 
     /// Starts the next change: first completed or emptied groups, then the steps of a new plan.
     fn advance(&mut self, now: Moment, link: &ServiceLink<ControllerMessage>) {
-        let is_listed = self.shared.fleet.read().is_listed;
+        let is_listed = self.shared.fleet.read().is_loaded;
         if self.is_change_pending || !is_listed {
             return;
         }
         let fleet = self.fleet(now, UNLIMITED_LOADS);
         let finished = match &self.term {
-            Some(term) => finished_changes(term, &fleet),
+            Some(term) => due_changes(term, &fleet),
             None => return,
         };
         if !finished.rows.is_empty() {
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Takes an identified request through admission, attempts and settlement.
+//! Runs an authenticated and routed request: admission, attempts and accounting.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
@@ -19,10 +19,10 @@
 use http::{HeaderValue, StatusCode};
 use serde::Deserialize;
 
-use crate::attempt::{read_whole, AttemptReply, AttemptRunner, TargetAsk};
+use crate::admission::{AdmissionRequest, DeploymentAdmission, TargetPermit};
+use crate::attempt::{read_to_end, AttemptReply, AttemptRunner, TargetRequest};
 use crate::claims::{outcome_of, ClaimVerdict, ClaimWriter};
-use crate::flight::FlightGuard;
-use crate::gate::{AdmitAsk, DeploymentGate, TargetPermit};
+use crate::in_flight::InFlightGuard;
 use crate::keys::claim_key;
 use crate::relay::{RelayRun, StreamRelay};
 use crate::reply::{mark_reply, set_header, CallerFailure};
@@ -31,41 +31,41 @@
 use crate::suspect_host::NodeSuspectHost;
 use crate::trace::RequestTrace;
 
-/// Time a key that settled is remembered.
-const KEY_MEMORY: std::time::Duration = std::time::Duration::from_secs(3600);
+/// Time for which the outcome of a settled idempotency key is kept.
+const KEY_RETENTION: std::time::Duration = std::time::Duration::from_secs(3600);
 
-/// A request that was identified and matched by a rule.
+/// A request of a known organisation, with the deployment that a rule selected for it.
 pub struct MatchedRequest {
-    /// Fingerprint, the same for each repeat.
-    pub print: RequestFingerprint,
-    /// What admission needs.
-    pub admit: AdmitAsk,
-    /// What targets are sent.
-    pub ask: TargetAsk,
-    /// Caller's idempotency key.
+    /// Fingerprint, identical for every repeat of the request.
+    pub fingerprint: RequestFingerprint,
+    /// Input of admission.
+    pub admission: AdmissionRequest,
+    /// Request as it is sent to targets.
+    pub outgoing: TargetRequest,
+    /// Idempotency key of the caller.
     pub key: Option<String>,
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub is_stream: bool,
-    /// Request id.
+    /// Id of the request.
     pub request: RequestId,
-    /// Counts the request as in flight until its answer is over.
-    pub flight: FlightGuard,
+    /// Counts the request as in flight until its response has ended.
+    pub in_flight: InFlightGuard,
 }
 
-/// Carries requests out.
+/// Runs requests at targets.
 pub struct RequestDispatcher {
     shared: Arc<NodeShared>,
     runner: AttemptRunner,
     claims: ClaimWriter,
     suspects: Arc<NodeSuspectHost>,
-    reports: RunListeners,
+    listeners: RunListeners,
     keys: Arc<Mutex<ClaimCache>>,
     budget: Mutex<RetryBudget>,
-    gates: RwLock<HashMap<DeploymentId, Arc<DeploymentGate>>>,
+    admissions: RwLock<HashMap<DeploymentId, Arc<DeploymentAdmission>>>,
     rates: Mutex<HashMap<OrganisationId, (u32, RateShare)>>,
 }
 
-/// Tokens that an answer reports.
+/// The part of a response that reports the tokens it used.
 #[derive(Deserialize)]
 struct UsageProbe {
     usage: Option<UsageTokens>,
@@ -78,48 +78,48 @@
 }
 
 impl RequestDispatcher {
-    /// Opens a dispatcher; `reports` hear how runs end.
-    pub fn open(
+    /// Creates a dispatcher; `listeners` are notified when runs end.
+    pub fn new(
         shared: Arc<NodeShared>,
         runner: AttemptRunner,
         claims: ClaimWriter,
         suspects: Arc<NodeSuspectHost>,
-        reports: RunListeners,
+        listeners: RunListeners,
     ) -> Arc<Self> {
         let settings = shared.settings.requests;
         Arc::new(Self {
             runner,
             claims,
             suspects,
-            reports,
-            keys: Arc::new(Mutex::new(ClaimCache::new(settings.keys, KEY_MEMORY))),
+            listeners,
+            keys: Arc::new(Mutex::new(ClaimCache::new(settings.keys, KEY_RETENTION))),
             budget: Mutex::new(RetryBudget::new(
                 settings.retry_permille,
                 settings.retry_burst,
             )),
-            gates: RwLock::default(),
+            admissions: RwLock::default(),
             rates: Mutex::default(),
             shared,
         })
     }
 
-    /// Returns the node's state.
+    /// Returns the shared state of the node.
     pub fn shared(&self) -> &Arc<NodeShared> {
         &self.shared
     }
 
-    /// Returns what is held of requests under which targets have ended.
+    /// Returns the ledger of requests during which targets crashed.
     pub fn suspects(&self) -> &SuspectLedger {
         self.suspects.suspects()
     }
 
-    /// Begins a run of a request at a target.
-    pub fn open_run(&self, run: &RunSubject, target: &Target) -> TargetRun {
+    /// Starts a run of a request at a target.
+    pub fn start_run(&self, run: &RunSubject, target: &Target) -> TargetRun {
         let fleet = self.shared.fleet.read();
         let domain = fleet.vms.get(&target.vm).map(|vm| vm.domain.clone());
-        let facts = RunInfo {
+        let info = RunInfo {
             request: run.request.clone(),
-            fingerprint: run.print,
+            fingerprint: run.fingerprint,
             organisation: run.organisation.clone(),
             target: TargetIncarnation {
                 id: target.vm.clone(),
@@ -130,36 +130,39 @@
             group: String::new(),
             sent: BootClock::now(),
         };
-        TargetRun::start(facts, self.reports.clone())
+        TargetRun::start(info, self.listeners.clone())
     }
 
-    /// Returns the refusal of a request that is not to run now.
-    fn quarantined(&self, print: &RequestFingerprint) -> Option<CallerFailure> {
-        let left = self.suspects().quarantine_left(print)?;
+    /// Returns the failure to reply with if the request is quarantined.
+    fn quarantined(&self, fingerprint: &RequestFingerprint) -> Option<CallerFailure> {
+        let left = self.suspects().quarantine_left(fingerprint)?;
         let failure = CallerFailure::at(FailurePoint::Quarantined);
         Some(failure.retry_after(left))
     }
 
-    /// Returns what sends attempts.
+    /// Returns the runner that sends attempts to targets.
     pub fn runner(&self) -> &AttemptRunner {
         &self.runner
     }
 
     /// Returns each deployment's queue length and requests in flight.
     pub fn loads(&self) -> Vec<(DeploymentId, usize, u32)> {
-        let gates = self.gates.read().unwrap_or_else(PoisonError::into_inner);
-        let loads = gates.iter().map(|(id, gate)| {
-            let (queued, in_flight) = gate.load();
+        let admissions = self
+            .admissions
+            .read()
+            .unwrap_or_else(PoisonError::into_inner);
+        let loads = admissions.iter().map(|(id, admission)| {
+            let (queued, in_flight) = admission.load();
             (id.clone(), queued, in_flight)
         });
         loads.collect()
     }
 
-    /// Carries a request out and builds its reply.
+    /// Runs a request and builds its reply.
     pub async fn run(self: &Arc<Self>, matched: MatchedRequest) -> Response {
-        let trace = RequestTrace::open(&self.shared, &matched);
+        let trace = RequestTrace::new(&self.shared, &matched);
         let request = matched.request.clone();
-        let result = self.run_limited(matched, trace).await;
+        let result = self.run_checked(matched, trace).await;
         let node = &self.shared.settings.node;
         match result {
             Ok(reply) => reply,
@@ -171,19 +174,19 @@
         }
     }
 
-    async fn run_limited(
+    async fn run_checked(
         self: &Arc<Self>,
         matched: MatchedRequest,
         mut trace: RequestTrace,
     ) -> Result<Response, CallerFailure> {
-        if let Some(failure) = self.quarantined(&matched.print) {
+        if let Some(failure) = self.quarantined(&matched.fingerprint) {
             return Err(trace.fail(failure));
         }
-        if let Err(failure) = self.take_rate(&matched.admit.organisation) {
+        if let Err(failure) = self.check_rate(&matched.admission.organisation) {
             return Err(trace.fail(failure));
         }
         if let Some(key) = &matched.key {
-            let row = claim_key(&matched.admit.organisation, key);
+            let row = claim_key(&matched.admission.organisation, key);
             let is_minted = MintedKey::parse(key).is_some();
             if let Err(failure) = self.claim(&row, is_minted, &mut trace).await {
                 return Err(trace.fail(failure));
@@ -192,10 +195,10 @@
         self.attempt_all(matched, trace).await
     }
 
-    fn take_rate(&self, organisation: &str) -> Result<(), CallerFailure> {
+    fn check_rate(&self, organisation: &str) -> Result<(), CallerFailure> {
         let config = self.shared.config.read();
         let limit = config
-            .book
+            .config
             .organisations()
             .get(organisation)
             .and_then(|organisation| organisation.requests_per_second);
@@ -221,9 +224,10 @@
         })
     }
 
-    /// Claims a caller's key, so that work under it is begun at most once on all nodes.
+    /// Claims an idempotency key, so that work under it starts at most once among all nodes.
     ///
-    /// A key that this node minted needs no claim in the table: nobody else may begin work under it.
+    /// A key that this node minted needs no claim in the table, because no other node may start
+    /// work under it.
     async fn claim(
         &self,
         row: &str,
@@ -234,7 +238,7 @@
         if is_minted {
             return match self.lock_keys().begin_minted(row, now) {
                 None => {
-                    trace.hold_key(&self.keys, row);
+                    trace.set_claimed_key(&self.keys, row);
                     Ok(())
                 }
                 Some(state) => Err(claimed_failure(state)),
@@ -246,7 +250,7 @@
         }
         match self.claims.claim(row.to_owned()).await {
             ClaimVerdict::Won => {
-                trace.hold_key(&self.keys, row);
+                trace.set_claimed_key(&self.keys, row);
                 Ok(())
             }
             ClaimVerdict::Taken => {
@@ -266,17 +270,23 @@
         self.keys.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn gate(&self, deployment: &str) -> Arc<DeploymentGate> {
-        let gates = self.gates.read().unwrap_or_else(PoisonError::into_inner);
-        if let Some(gate) = gates.get(deployment) {
-            return Arc::clone(gate);
+    fn admission(&self, deployment: &str) -> Arc<DeploymentAdmission> {
+        let admissions = self
+            .admissions
+            .read()
+            .unwrap_or_else(PoisonError::into_inner);
+        if let Some(admission) = admissions.get(deployment) {
+            return Arc::clone(admission);
         }
-        drop(gates);
-        let mut gates = self.gates.write().unwrap_or_else(PoisonError::into_inner);
-        let gate = gates
+        drop(admissions);
+        let mut admissions = self
+            .admissions
+            .write()
+            .unwrap_or_else(PoisonError::into_inner);
+        let admission = admissions
             .entry(deployment.to_owned())
-            .or_insert_with(|| DeploymentGate::open(Arc::clone(&self.shared), deployment));
-        Arc::clone(gate)
+            .or_insert_with(|| DeploymentAdmission::new(Arc::clone(&self.shared), deployment));
+        Arc::clone(admission)
     }
 
     async fn attempt_all(
@@ -284,48 +294,50 @@
         matched: MatchedRequest,
         mut trace: RequestTrace,
     ) -> Result<Response, CallerFailure> {
-        let gate = self.gate(&matched.admit.deployment);
+        let admission = self.admission(&matched.admission.deployment);
         let mut tried: Vec<TargetId> = Vec::new();
-        let mut last: Option<FailurePoint> = None;
-        let mut broken = 0;
+        let mut earlier: Option<FailurePoint> = None;
+        let mut broken_runs = 0;
         loop {
-            let permit = match gate.admit(&matched.admit, &tried).await {
+            let permit = match admission.admit(&matched.admission, &tried).await {
                 Ok(permit) => permit,
                 Err(refusal) => {
-                    // Once an attempt may have run, running out of targets does not undo that.
-                    let point = worst(last, refusal.point);
+                    // If an earlier attempt may have run, the outcome stays unknown.
+                    let point = combine_failures(earlier, refusal.point);
                     let failure = CallerFailure::at(point).retry_after(refusal.retry_after);
-                    return Err(self.end_failed(failure, trace).await);
+                    return Err(self.finish_failed(failure, trace).await);
                 }
             };
-            // It may have waited since it came, and may have ended a target elsewhere meanwhile.
-            if let Some(failure) = self.quarantined(&matched.print) {
-                let point = worst(last, failure.point);
+            // Checked again, because the request may have been quarantined while it was queued.
+            if let Some(failure) = self.quarantined(&matched.fingerprint) {
+                let point = combine_failures(earlier, failure.point);
                 let failure = CallerFailure { point, ..failure };
-                return Err(self.end_failed(failure, trace).await);
+                return Err(self.finish_failed(failure, trace).await);
             }
             let point = match self.attempt_once(&matched, permit, &mut trace).await {
-                Ok(AttemptEnd::Whole(reply)) => return Ok(reply),
-                Ok(AttemptEnd::Stream(start)) => return Ok(self.stream(matched, *start, trace)),
+                Ok(AttemptResult::Complete(reply)) => return Ok(reply),
+                Ok(AttemptResult::Stream(start)) => {
+                    return Ok(self.stream_reply(matched, *start, trace))
+                }
                 Err((point, target)) => {
                     tried.push(target);
                     point
                 }
             };
-            broken += usize::from(breaks_run(point));
-            let may_retry = point.allows_retry(matched.ask.is_repeatable)
-                && self.suspects().may_retry(&matched.print, broken);
-            let point = worst(last, point);
-            last = Some(point);
-            if !may_retry || !self.spend_retry(&trace) {
+            broken_runs += usize::from(is_broken_connection(point));
+            let may_retry = point.allows_retry(matched.outgoing.is_repeatable)
+                && self.suspects().may_retry(&matched.fingerprint, broken_runs);
+            let point = combine_failures(earlier, point);
+            earlier = Some(point);
+            if !may_retry || !self.withdraw_retry(&trace) {
                 let failure = CallerFailure::at(point);
                 let failure = failure.retry_after(std::time::Duration::from_secs(1));
-                return Err(self.end_failed(failure, trace).await);
+                return Err(self.finish_failed(failure, trace).await);
             }
         }
     }
 
-    fn spend_retry(&self, trace: &RequestTrace) -> bool {
+    fn withdraw_retry(&self, trace: &RequestTrace) -> bool {
         let is_left = self
             .budget
             .lock()
@@ -342,19 +354,19 @@
         matched: &MatchedRequest,
         permit: TargetPermit,
         trace: &mut RequestTrace,
-    ) -> Result<AttemptEnd, (FailurePoint, TargetId)> {
+    ) -> Result<AttemptResult, (FailurePoint, TargetId)> {
         trace.attempts += 1;
         trace.target.clone_from(&permit.target.label);
         let attempt = format!("{}.{}", trace.request, trace.attempts);
         let target = Arc::clone(&permit.target);
         let failed = |point| (point, target.id.clone());
-        let mut run = self.open_run(&RunSubject::of(matched), &target);
+        let mut run = self.start_run(&RunSubject::of(matched), &target);
         let begun = self
             .runner
-            .begin(&matched.ask, &target, &attempt, None)
+            .begin(&matched.outgoing, &target, &attempt, None)
             .await;
         let reply = begun.map_err(|point| {
-            end_run(&mut run, point);
+            end_failed_run(&mut run, point);
             failed(point)
         })?;
         if matched.is_stream && reply.head.status == StatusCode::OK {
@@ -364,29 +376,36 @@
                 reply,
                 run,
             };
-            return Ok(AttemptEnd::Stream(Box::new(start)));
+            return Ok(AttemptResult::Stream(Box::new(start)));
         }
         let AttemptReply { head, body } = reply;
-        let read = read_whole(body, matched.ask.deadline).await;
+        let read = read_to_end(body, matched.outgoing.deadline).await;
         let bytes = read.map_err(|point| {
-            end_run(&mut run, point);
+            end_failed_run(&mut run, point);
             failed(point)
         })?;
         run.complete(self.suspects());
         trace.tokens = tokens_of(&bytes);
         trace.settle(Outcome::Answered);
-        self.earn_retry();
-        Ok(AttemptEnd::Whole(self.whole(&head, bytes, trace)))
+        self.deposit_retry();
+        Ok(AttemptResult::Complete(
+            self.complete_reply(&head, bytes, trace),
+        ))
     }
 
-    fn earn_retry(&self) {
+    fn deposit_retry(&self) {
         self.budget
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .deposit();
     }
 
-    fn whole(&self, head: &http::response::Parts, bytes: Bytes, trace: &RequestTrace) -> Response {
+    fn complete_reply(
+        &self,
+        head: &http::response::Parts,
+        bytes: Bytes,
+        trace: &RequestTrace,
+    ) -> Response {
         let length = HeaderValue::from(bytes.len() as u64);
         let mut reply = Response::new(bytes.into());
         *reply.status_mut() = head.status;
@@ -400,19 +419,19 @@
         reply
     }
 
-    fn stream(
+    fn stream_reply(
         self: &Arc<Self>,
         matched: MatchedRequest,
         start: StreamStart,
         trace: RequestTrace,
     ) -> Response {
-        self.earn_retry();
+        self.deposit_retry();
         let (request, target) = (trace.request.clone(), trace.target.clone());
         let subject = RunSubject::of(&matched);
         let kind = start.reply.head.headers.get(CONTENT_TYPE).cloned();
-        let relay = StreamRelay::spawn(
+        let relay = StreamRelay::start(
             Arc::clone(self),
-            matched.ask,
+            matched.outgoing,
             start.permit,
             start.attempt,
             start.reply.body,
@@ -430,11 +449,15 @@
         reply
     }
 
-    /// Ends a request that failed; a key under which nothing ran is given back first.
-    async fn end_failed(&self, failure: CallerFailure, mut trace: RequestTrace) -> CallerFailure {
+    /// Finishes a failed request. If nothing ran, its idempotency key is released first.
+    async fn finish_failed(
+        &self,
+        failure: CallerFailure,
+        mut trace: RequestTrace,
+    ) -> CallerFailure {
         if failure.outcome() == Outcome::NotRun {
-            if let Some(key) = trace.drop_key() {
-                self.give_back(&key).await;
+            if let Some(key) = trace.take_claimed_key() {
+                self.release_key(&key).await;
             }
         }
         trace.fail(failure)
@@ -442,7 +465,7 @@
 }
 
 impl RequestDispatcher {
-    /// Mints a key for an organisation; `None` when as many as are kept are out already.
+    /// Mints a key for an organisation, or returns `None` if the limit of cached keys is reached.
     pub fn mint(&self, organisation: &str) -> Option<MintedKey> {
         let key = MintedKey {
             node: self.shared.settings.node.clone(),
@@ -454,8 +477,8 @@
         is_kept.then_some(key)
     }
 
-    /// Makes a key usable again, nothing having run under it.
-    async fn give_back(&self, row: &str) {
+    /// Makes a key usable again after nothing has run under it.
+    async fn release_key(&self, row: &str) {
         let is_minted = row
             .rsplit('/')
             .next()
@@ -469,8 +492,8 @@
     }
 }
 
-enum AttemptEnd {
-    Whole(Response),
+enum AttemptResult {
+    Complete(Response),
     Stream(Box<StreamStart>),
 }
 
@@ -481,11 +504,11 @@
     run: TargetRun,
 }
 
-/// Whose runs are watched.
+/// Identifies the request whose runs are reported to the listeners.
 #[derive(Clone, Debug)]
 pub struct RunSubject {
     request: RequestId,
-    print: RequestFingerprint,
+    fingerprint: RequestFingerprint,
     organisation: OrganisationId,
 }
 
@@ -493,28 +516,30 @@
     fn of(matched: &MatchedRequest) -> Self {
         Self {
             request: matched.request.clone(),
-            print: matched.print,
-            organisation: matched.admit.organisation.clone(),
+            fingerprint: matched.fingerprint,
+            organisation: matched.admission.organisation.clone(),
         }
     }
 
     /// Returns the request's fingerprint.
-    pub fn print(&self) -> &RequestFingerprint {
-        &self.print
+    pub fn fingerprint(&self) -> &RequestFingerprint {
+        &self.fingerprint
     }
 }
 
-/// Returns whether a failure means that the connection broke while the target had the request.
-fn breaks_run(point: FailurePoint) -> bool {
+/// Returns whether a failure means that the connection broke after the target may have received
+/// the request.
+fn is_broken_connection(point: FailurePoint) -> bool {
     matches!(
         point,
         FailurePoint::BrokenBeforeHead | FailurePoint::Truncated
     )
 }
 
-/// Notes how a run ended that failed; one that nobody waits for any more is left to its watch.
-pub fn end_run(run: &mut TargetRun, point: FailurePoint) {
-    if breaks_run(point) {
+/// Ends a failed run. After a deadline the run may still go on at the target, so that it is left
+/// open; dropping it reports it as abandoned.
+pub fn end_failed_run(run: &mut TargetRun, point: FailurePoint) {
+    if is_broken_connection(point) {
         run.report_broken(point.code());
     } else if point != FailurePoint::AnswerDeadline {
         run.end_unreported();
@@ -530,8 +555,9 @@
     failure
 }
 
-/// Returns the point to report after several failures: one that leaves the outcome open stays.
-fn worst(earlier: Option<FailurePoint>, later: FailurePoint) -> FailurePoint {
+/// Returns the failure point to report after several attempts: an earlier one whose outcome is
+/// unknown takes precedence.
+fn combine_failures(earlier: Option<FailurePoint>, later: FailurePoint) -> FailurePoint {
     match earlier {
         Some(point) if point.outcome() == Outcome::Unknown => point,
         _ => later,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -12,9 +12,10 @@
 //! # }
 //! ```
 
-pub mod account;
+pub mod admission;
 pub mod attempt;
 pub mod auth;
+pub mod availability;
 pub mod caller;
 pub mod claims;
 pub mod cli;
@@ -24,11 +25,10 @@
 pub mod editor;
 pub mod evidence_feed;
 pub mod fields;
-pub mod flight;
 pub mod forward;
-pub mod gate;
 pub mod headers;
 pub mod health;
+pub mod in_flight;
 pub mod keys;
 pub mod layers;
 pub mod lease;
--- a/crates/node/src/peer_api.rs
+++ b/crates/node/src/peer_api.rs
@@ -12,7 +12,7 @@
 use http::StatusCode;
 
 use crate::auth::{is_bearer, is_token};
-use crate::caller::CallerSurface;
+use crate::caller::CallerApi;
 use crate::peers::EXCHANGE_PATH;
 use crate::shared::{ConfigView, NodeShared, Phase};
 
@@ -22,12 +22,12 @@
 /// HTTP handler of the peer API.
 pub struct PeerApi {
     shared: Arc<NodeShared>,
-    callers: Arc<CallerSurface>,
+    callers: Arc<CallerApi>,
 }
 
 impl PeerApi {
     /// Creates the handler; forwarded requests are passed to `callers`.
-    pub fn new(shared: Arc<NodeShared>, callers: Arc<CallerSurface>) -> Arc<Self> {
+    pub fn new(shared: Arc<NodeShared>, callers: Arc<CallerApi>) -> Arc<Self> {
         Arc::new(Self { shared, callers })
     }
 
@@ -75,7 +75,7 @@
             node: settings.node.clone(),
             zone: settings.zone.clone(),
             incarnation: self.shared.incarnation,
-            config: config.book.version(),
+            config: config.config.version(),
             has_floor: config.floor.is_some(),
             entries,
             snapshot,
@@ -89,12 +89,12 @@
 /// Returns the configuration that a peer at `version` lacks: the log entries since then, or a
 /// snapshot if the log no longer reaches back that far.
 fn missing_config(config: &ConfigView, version: u64) -> (Vec<EntryDoc>, Option<SnapshotDoc>) {
-    if version >= config.book.version() {
+    if version >= config.config.version() {
         return (Vec::new(), None);
     }
     let first = config.log.front().map(|entry| entry.version);
     if first.is_none_or(|first| first > version + 1) {
-        return (Vec::new(), Some(SnapshotDoc::from(&config.book)));
+        return (Vec::new(), Some(SnapshotDoc::from(&config.config)));
     }
     let entries = config.log.iter().filter(|entry| entry.version > version);
     (entries.cloned().collect(), None)
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,4 +1,4 @@
-//! The service that asks other nodes what they know.
+//! Service that polls the other nodes for their configuration, views and evidence.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,51 +14,51 @@
 
 use crate::config::{ConfigMessage, CONFIG_SERVICE};
 use crate::settings::PeerSettings;
-use crate::shared::{NodeShared, PeerRoster, PeerStanding};
+use crate::shared::{NodeShared, PeerRoster, PeerStatus};
 use crate::watch::{WatchMessage, WATCH_SERVICE};
 
 /// Name of the service.
 pub const PEERS_SERVICE: &str = "peers";
-/// Path of the exchange.
+/// Path of the exchange request.
 pub const EXCHANGE_PATH: &str = "/peer/exchange";
 
-/// What the service is sent.
+/// Messages of the service.
 #[derive(Debug)]
 pub enum PeersMessage {
-    /// Time to ask a peer.
-    TestRequest(usize),
-    /// What a peer said.
+    /// The peer at this index of the settings is due to be polled.
+    PollDue(usize),
+    /// A poll has returned.
     Answered {
         /// Index of the peer in the settings.
         index: usize,
-        /// Local time before it was asked.
-        asked: Moment,
-        /// Its answer.
+        /// Local time just before the request was sent.
+        requested_at: Moment,
+        /// Reply of the peer.
         reply: Box<Result<ExchangeReply, CallError>>,
     },
 }
 
-/// Exchanges state with the other nodes.
+/// Polls the other nodes and passes their state on to the services that need it.
 pub struct PeerExchange {
     shared: Arc<NodeShared>,
     client: CallerClient,
     roster: PeerRoster,
     marks: IndexMap<NodeId, EvidenceMark>,
-    /// Peers of the zone that were asked at least once.
-    asked: IndexSet<NodeId>,
+    /// Peers of this node's zone that were polled at least once, successfully or not.
+    polled: IndexSet<NodeId>,
     knows_floor: bool,
 }
 
 impl PeerExchange {
-    /// Opens an exchange that has heard nobody.
-    pub fn open(shared: Arc<NodeShared>) -> Self {
+    /// Creates an exchange that has not polled any peer.
+    pub fn new(shared: Arc<NodeShared>) -> Self {
         let token = shared.settings.peer_token.clone();
         Self {
             shared,
             client: CallerClient::open(Codec::Packed, Some(token)),
             roster: PeerRoster::new(),
             marks: IndexMap::new(),
-            asked: IndexSet::new(),
+            polled: IndexSet::new(),
             knows_floor: false,
         }
     }
@@ -67,15 +67,16 @@
         &self.shared.settings.peers[index]
     }
 
-    fn is_near(&self, index: usize) -> bool {
+    fn is_same_zone(&self, index: usize) -> bool {
         self.peer(index).zone == self.shared.settings.zone
     }
 
-    /// Returns whether a peer is asked at all: every one of the zone, and of each other zone only
-    /// two, so that the exchange grows with the zone's nodes and the number of zones and not with
-    /// all nodes.
-    fn is_asked(&self, index: usize) -> bool {
-        if self.is_near(index) {
+    /// Returns whether a peer is polled.
+    ///
+    /// All peers of this node's zone are polled, but only two of each other zone, so that the cost
+    /// grows with the nodes of the zone and the number of zones instead of with all nodes.
+    fn is_polled(&self, index: usize) -> bool {
+        if self.is_same_zone(index) {
             return true;
         }
         let zone = &self.peer(index).zone;
@@ -86,70 +87,78 @@
             .iter()
             .filter(|peer| peer.zone == *zone)
             .filter(|peer| {
-                let standing = self.roster.get(&peer.node);
-                standing.is_none_or(|standing| now < standing.heard + timeout * 2)
+                let status = self.roster.get(&peer.node);
+                status.is_none_or(|status| now < status.last_heard + timeout * 2)
             })
             .map(|peer| peer.node.clone())
             .collect();
         let chosen = watchers(&self.shared.settings.node, &nodes);
         let is_silent = !nodes.contains(&self.peer(index).node);
-        // A peer that fell silent is still asked, since asking is how the end of a cut is noticed.
+        // Unreachable peers are polled too, because only polling shows when they are reachable
+        // again.
         is_silent || chosen.contains(&&self.peer(index).node)
     }
 
-    fn ask(&self, index: usize, link: &ServiceLink<PeersMessage>) {
+    fn poll(&self, index: usize, link: &ServiceLink<PeersMessage>) {
         let gate = self.shared.settings.gate;
-        if !self.is_asked(index) {
-            link.later(
-                gate.remote_exchange_interval,
-                PeersMessage::TestRequest(index),
-            );
+        if !self.is_polled(index) {
+            link.later(gate.remote_exchange_interval, PeersMessage::PollDue(index));
             return;
         }
-        let request = self.request(index);
+        let request = self.build_request(index);
         let url = format!("http://{}{EXCHANGE_PATH}", self.peer(index).address);
         let client = self.client.clone();
         let limit = gate.peer_timeout.min(Duration::from_secs(1));
         link.spawn(async move {
-            let asked = BootClock::now();
+            let requested_at = BootClock::now();
             let reply = client.call(Method::POST, &url, Some(&request), limit).await;
             PeersMessage::Answered {
                 index,
-                asked,
+                requested_at,
                 reply: Box::new(reply),
             }
         });
     }
 
-    fn request(&self, index: usize) -> ExchangeRequest {
+    fn build_request(&self, index: usize) -> ExchangeRequest {
         let views = self.shared.views.read();
         let node = &self.peer(index).node;
         ExchangeRequest {
             node: self.shared.settings.node.clone(),
             zone: self.shared.settings.zone.clone(),
             incarnation: self.shared.incarnation,
-            config: self.shared.config.read().book.version(),
+            config: self.shared.config.read().config.version(),
             views: views.values().map(ViewMark::from).collect(),
             evidence: self.marks.get(node).copied().unwrap_or_default(),
         }
     }
 
-    fn take(&mut self, reply: ExchangeReply, asked: Moment, link: &ServiceLink<PeersMessage>) {
-        let standing = PeerStanding {
+    fn record_reply(
+        &mut self,
+        reply: ExchangeReply,
+        requested_at: Moment,
+        link: &ServiceLink<PeersMessage>,
+    ) {
+        let status = PeerStatus {
             zone: reply.zone.clone(),
             incarnation: reply.incarnation,
             config: reply.config,
-            heard: asked,
+            last_heard: requested_at,
             is_leaving: reply.is_leaving,
         };
-        self.roster.insert(reply.node.clone(), standing);
+        self.roster.insert(reply.node.clone(), status);
         self.shared.roster.publish(self.roster.clone());
         self.marks.insert(reply.node.clone(), reply.evidence.mark);
         self.knows_floor |= reply.has_floor && reply.zone == self.shared.settings.zone;
-        self.pass_on(reply, asked, link);
+        self.distribute(reply, requested_at, link);
     }
 
-    fn pass_on(&self, reply: ExchangeReply, asked: Moment, link: &ServiceLink<PeersMessage>) {
+    fn distribute(
+        &self,
+        reply: ExchangeReply,
+        requested_at: Moment,
+        link: &ServiceLink<PeersMessage>,
+    ) {
         let has_config = !reply.entries.is_empty() || reply.snapshot.is_some();
         if let (true, Some(config)) = (has_config, link.kernel().find(CONFIG_SERVICE)) {
             let _ = config.post(ConfigMessage::Learned {
@@ -166,20 +175,22 @@
         let _ = watch.post(WatchMessage::PeerEvidence {
             node: reply.node,
             evidence: reply.evidence,
-            requested_at: asked,
+            requested_at,
         });
     }
 
-    /// Tells the configuration service once every peer of the zone was asked and one knew a floor.
-    fn note_asked(&mut self, index: usize, link: &ServiceLink<PeersMessage>) {
-        if !self.is_near(index) {
+    /// Records that a peer was polled. Once all peers of the zone were polled and one of them knows
+    /// the configuration floor, the configuration service is notified.
+    fn record_poll(&mut self, index: usize, link: &ServiceLink<PeersMessage>) {
+        if !self.is_same_zone(index) {
             return;
         }
-        self.asked.insert(self.peer(index).node.clone());
-        let near = (0..self.shared.settings.peers.len()).filter(|index| self.is_near(*index));
-        let is_complete = near
+        self.polled.insert(self.peer(index).node.clone());
+        let zone_peers =
+            (0..self.shared.settings.peers.len()).filter(|index| self.is_same_zone(*index));
+        let is_complete = zone_peers
             .map(|index| &self.peer(index).node)
-            .all(|node| self.asked.contains(node));
+            .all(|node| self.polled.contains(node));
         if !(is_complete && self.knows_floor) {
             return;
         }
@@ -198,33 +209,33 @@
 
     fn start(&mut self, link: &ServiceLink<PeersMessage>) {
         for index in 0..self.shared.settings.peers.len() {
-            self.ask(index, link);
+            self.poll(index, link);
         }
     }
 
     fn handle(&mut self, message: PeersMessage, link: &ServiceLink<PeersMessage>) {
         match message {
-            PeersMessage::TestRequest(index) => self.ask(index, link),
+            PeersMessage::PollDue(index) => self.poll(index, link),
             PeersMessage::Answered {
                 index,
-                asked,
+                requested_at,
                 reply,
             } => {
                 match *reply {
-                    Ok(reply) => self.take(reply, asked, link),
+                    Ok(reply) => self.record_reply(reply, requested_at, link),
                     Err(error) => {
                         let node = self.peer(index).node.as_str();
                         log::debug!(peer = node, error:% = error; "exchange_failed");
                     }
                 }
-                self.note_asked(index, link);
+                self.record_poll(index, link);
                 let gate = self.shared.settings.gate;
-                let interval = if self.is_near(index) {
+                let interval = if self.is_same_zone(index) {
                     gate.exchange_interval
                 } else {
                     gate.remote_exchange_interval
                 };
-                link.later(interval, PeersMessage::TestRequest(index));
+                link.later(interval, PeersMessage::PollDue(index));
             }
         }
     }
@@ -239,7 +250,7 @@
                     "zone": peer.zone,
                     "incarnation": peer.incarnation,
                     "config_version": peer.config,
-                    "heard_ms": (now.saturating_sub(peer.heard)).as_millis(),
+                    "heard_ms": (now.saturating_sub(peer.last_heard)).as_millis(),
                     "leaving": peer.is_leaving,
                 });
                 (node, state)
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -16,7 +16,7 @@
 
 use crate::evidence_feed::EvidenceFeed;
 use crate::routes::RouteTable;
-use crate::shared::{FleetView, NodeShared, ViewBook};
+use crate::shared::{FleetView, NodeShared, ZoneViews};
 
 /// Name under which the service is registered in the kernel.
 pub const WATCH_SERVICE: &str = "watch";
@@ -87,7 +87,7 @@
     evidence: EvidenceCache,
     fleet: FleetView,
     /// Latest view of each zone. VMs of other zones are routed to only through these.
-    views: ViewBook,
+    views: ZoneViews,
     own_feed: EvidenceFeed,
     zone_feed: EvidenceFeed,
     peers: IndexMap<NodeId, PeerReports>,
@@ -115,7 +115,7 @@
             evidence: EvidenceCache::new(shared.settings.gate.evidence_ttl),
             client: CallerClient::open(Codec::Json, None),
             fleet: FleetView::default(),
-            views: ViewBook::default(),
+            views: ZoneViews::default(),
             own_feed: EvidenceFeed::new(incarnation),
             zone_feed: EvidenceFeed::new(incarnation),
             peers: IndexMap::new(),
@@ -141,7 +141,7 @@
             }
         }
         self.fleet.vms = vms.into_iter().map(|vm| (vm.id.clone(), vm)).collect();
-        self.fleet.is_listed = true;
+        self.fleet.is_loaded = true;
         let zone = &self.shared.settings.zone;
         let fleet = &self.fleet;
         let view = self.views.get(zone);
@@ -309,7 +309,7 @@
         let is_leaving =
             |vm: &str, incarnation: Incarnation| leaving.contains(&(vm.to_owned(), incarnation));
         let routes = RouteTable::build(
-            &config.book,
+            &config.config,
             &self.views,
             &self.fleet.vms,
             &self.evidence,
@@ -397,7 +397,7 @@
             .map(|(view, group)| dump_group(view, group, &self.evidence, now))
             .collect();
         json!({
-            "listed": self.fleet.is_listed,
+            "listed": self.fleet.is_loaded,
             "vms": self.fleet.vms.len(),
             "evidence_age_ms": evidence,
             "groups": groups,
