--- a/crates/ctl/tests/commands.rs
+++ b/crates/ctl/tests/commands.rs
@@ -23,7 +23,7 @@
             .enable_all()
             .build()
             .expect("a runtime");
-        let mut layers = SettingsLayers::open();
+        let mut layers = SettingsLayers::with_defaults();
         for service in ["table", "objects", "vms", "weights"] {
             layers.add_flag(&format!("platform.{service}=http://{}", platform.address()));
         }
--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -8,7 +8,7 @@
 use briarswitch_wire::platform::{KeyClaimDoc, ReadRequest, TransactReply};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::config::row_value;
+use crate::config::parse_row;
 use crate::shared::NodeShared;
 
 /// Claims written in one transaction at most.
@@ -77,7 +77,7 @@
         let Some(row) = reply.rows.first() else {
             return;
         };
-        let is_own = row_value::<KeyClaimDoc>(&row.value)
+        let is_own = parse_row::<KeyClaimDoc>(&row.value)
             .is_some_and(|claim| claim.write.starts_with(&write_prefix(&self.shared)));
         if !is_own {
             return;
@@ -172,7 +172,7 @@
     };
     for job in jobs {
         let row = reply.rows.iter().find(|row| row.key == job.key);
-        let claim = row.and_then(|row| row_value::<KeyClaimDoc>(&row.value));
+        let claim = row.and_then(|row| parse_row::<KeyClaimDoc>(&row.value));
         let verdict = match claim {
             Some(claim) if claim.write == write => ClaimVerdict::Won,
             Some(_) => ClaimVerdict::Taken,
--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -57,7 +57,7 @@
     /// Print a text and end well.
     Print(String),
     /// Print findings and end badly.
-    Refuse(Vec<Finding>),
+    InvalidSettings(Vec<Finding>),
 }
 
 impl NodeOptions {
@@ -80,7 +80,7 @@
         match self.load() {
             Ok(_) if is_check => Startup::Print("settings are valid".to_owned()),
             Ok(settings) => Startup::Run(Box::new(settings)),
-            Err(findings) => Startup::Refuse(findings),
+            Err(findings) => Startup::InvalidSettings(findings),
         }
     }
 
@@ -89,18 +89,18 @@
             Ok(text) => text,
             Err(error) => {
                 let finding = Finding::new(name, format!("can not be read: {error}"));
-                return Startup::Refuse(vec![finding]);
+                return Startup::InvalidSettings(vec![finding]);
             }
         };
         match FleetSettings::parse(name, &text) {
             Ok(_) if self.dry_run => Startup::Print("settings are valid".to_owned()),
             Ok(settings) => Startup::RunFleet(Box::new(settings)),
-            Err(findings) => Startup::Refuse(findings),
+            Err(findings) => Startup::InvalidSettings(findings),
         }
     }
 
     fn load(&self) -> Result<NodeSettings, Vec<Finding>> {
-        let mut layers = SettingsLayers::open();
+        let mut layers = SettingsLayers::with_defaults();
         let mut unread = Vec::new();
         for name in self.settings.iter().chain(&self.check) {
             match fs::read_to_string(name) {
@@ -126,11 +126,11 @@
             FieldDefault::Text(text) => text.to_owned(),
             FieldDefault::Number(number) => number.to_string(),
         };
-        let accepted = field.kind.accepted();
+        let accepted = field.kind.expected();
         let _ = writeln!(
             table,
             "{:<36} {:<24} {} ({accepted})",
-            field.path, default, field.meaning
+            field.path, default, field.description
         );
     }
     table
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -10,7 +10,7 @@
 use serde::de::DeserializeOwned;
 use serde_json::{json, Value};
 
-use crate::keys::{entity_prefix, log_key, HEAD_KEY};
+use crate::row_keys::{entity_prefix, log_key, HEAD_KEY};
 use crate::shared::{ConfigView, FloorSource, NodeShared};
 
 /// Name of the service.
@@ -28,14 +28,14 @@
     /// What the table said.
     Polled(Result<TableState, StoreError>),
     /// What a peer said.
-    Learned {
+    Received {
         /// Entries that follow some version.
         entries: Vec<EntryDoc>,
         /// The whole configuration.
         snapshot: Option<SnapshotDoc>,
     },
     /// Every node of the zone that can be reached was asked, and one at least knew its floor.
-    ZoneAsked,
+    ZonePolled,
 }
 
 /// What was read of the configuration's rows.
@@ -49,19 +49,19 @@
         entries: Vec<EntryDoc>,
     },
     /// Every entity at the head's version.
-    Whole(SnapshotDoc),
+    Snapshot(SnapshotDoc),
 }
 
 /// Keeps the configuration in force.
-pub struct ConfigKeeper {
+pub struct ConfigSync {
     shared: Arc<NodeShared>,
     view: ConfigView,
     is_platform_lost: bool,
 }
 
-impl ConfigKeeper {
+impl ConfigSync {
     /// Opens a keeper that knows nothing.
-    pub fn open(shared: Arc<NodeShared>) -> Self {
+    pub fn new(shared: Arc<NodeShared>) -> Self {
         Self {
             shared,
             view: ConfigView::default(),
@@ -82,7 +82,7 @@
                 self.take_entries(entries);
                 self.view.book.version() >= head
             }
-            TableState::Whole(snapshot) => {
+            TableState::Snapshot(snapshot) => {
                 self.take_snapshot(snapshot);
                 true
             }
@@ -136,7 +136,7 @@
     }
 }
 
-impl Service for ConfigKeeper {
+impl Service for ConfigSync {
     type Message = ConfigMessage;
 
     fn name(&self) -> &'static str {
@@ -160,7 +160,7 @@
                     ConfigMessage::Poll,
                 );
             }
-            ConfigMessage::Learned { entries, snapshot } => {
+            ConfigMessage::Received { entries, snapshot } => {
                 let before = self.view.book.version();
                 if let Some(snapshot) = snapshot {
                     self.take_snapshot(snapshot);
@@ -168,7 +168,7 @@
                 self.take_entries(entries);
                 self.publish_if(before, false);
             }
-            ConfigMessage::ZoneAsked => {
+            ConfigMessage::ZonePolled => {
                 // Only a node that cannot reach the platform may trust its zone for the floor.
                 if self.view.floor.is_none() && self.is_platform_lost {
                     self.view.floor = Some(FloorSource::Peers);
@@ -207,15 +207,15 @@
         prefixes: Vec::new(),
     };
     let reply = shared.platform.table.read(request).await?;
-    let head = head_of(&reply);
+    let head = head_version(&reply);
     if head > version && (version == 0 || head > version + ENTRIES_PER_POLL) {
-        return read_whole(shared).await.map(TableState::Whole);
+        return read_snapshot(shared).await.map(TableState::Snapshot);
     }
     let entries = reply
         .rows
         .iter()
         .filter(|row| row.key != HEAD_KEY)
-        .filter_map(|row| row_value::<LogDoc>(&row.value))
+        .filter_map(|row| parse_row::<LogDoc>(&row.value))
         .map(|log| log.entry)
         .collect();
     Ok(TableState::Log { head, entries })
@@ -226,7 +226,7 @@
 /// # Errors
 ///
 /// Returns [`StoreError`] when the table gives no answer.
-pub async fn read_whole(shared: &NodeShared) -> Result<SnapshotDoc, StoreError> {
+pub async fn read_snapshot(shared: &NodeShared) -> Result<SnapshotDoc, StoreError> {
     let request = ReadRequest {
         keys: vec![HEAD_KEY.to_owned()],
         prefixes: vec![entity_prefix()],
@@ -236,24 +236,24 @@
         .rows
         .iter()
         .filter(|row| row.key != HEAD_KEY)
-        .filter_map(|row| row_value::<EntryDoc>(&row.value));
+        .filter_map(|row| parse_row::<EntryDoc>(&row.value));
     Ok(SnapshotDoc {
-        version: head_of(&reply),
+        version: head_version(&reply),
         entries: entries.collect(),
     })
 }
 
 /// Returns the version that the head row names; zero when there is none.
-pub fn head_of(reply: &ReadReply) -> ConfigVersion {
+pub fn head_version(reply: &ReadReply) -> ConfigVersion {
     reply
         .rows
         .iter()
         .find(|row| row.key == HEAD_KEY)
-        .and_then(|row| row_value::<HeadDoc>(&row.value))
+        .and_then(|row| parse_row::<HeadDoc>(&row.value))
         .map_or(0, |head| head.version)
 }
 
 /// Reads a row's value as a type.
-pub fn row_value<T: DeserializeOwned>(value: &Value) -> Option<T> {
+pub fn parse_row<T: DeserializeOwned>(value: &Value) -> Option<T> {
     T::deserialize(value).ok()
 }
--- a/crates/node/src/controller.rs
+++ b/crates/node/src/controller.rs
@@ -15,11 +15,11 @@
 use tokio::sync::oneshot;
 
 use crate::account::FleetAccount;
-use crate::keys::{epoch_key, group_prefix, vm_prefix};
 use crate::lease::{LeaseCall, LeaseTender};
 use crate::orders::{orders_due, DueOrder};
 use crate::progress::finished_changes;
 use crate::reign::{ControllerReign, ReignCounts, RowChanges};
+use crate::row_keys::{epoch_key, group_prefix, vm_prefix};
 use crate::shared::{ControlView, FleetView, NodeShared};
 use crate::steps::{describe_step, loads_of};
 use crate::watch::{ProbeResult, WatchMessage, WATCH_SERVICE};
--- a/crates/node/src/editor.rs
+++ b/crates/node/src/editor.rs
@@ -9,8 +9,8 @@
 use briarswitch_wire::platform::{HeadDoc, LogDoc, ReadReply, ReadRequest, RowDoc, TransactReply};
 use serde_json::Value;
 
-use crate::config::{head_of, read_whole, row_value};
-use crate::keys::{entity_key, log_key, log_prefix, void_key, HEAD_KEY};
+use crate::config::{head_version, parse_row, read_snapshot};
+use crate::row_keys::{entity_key, log_key, log_prefix, void_key, HEAD_KEY};
 use crate::shared::NodeShared;
 
 /// Rows of the log kept in the table.
@@ -24,7 +24,7 @@
 }
 
 /// Rows that decide an edit, read at one moment.
-struct EditGround {
+struct EditContext {
     head: ConfigVersion,
     head_row: RowVersion,
     entity: Option<EntryDoc>,
@@ -34,7 +34,7 @@
 
 impl ConfigEditor {
     /// Opens an editor.
-    pub fn open(shared: Arc<NodeShared>) -> Self {
+    pub fn new(shared: Arc<NodeShared>) -> Self {
         Self { shared }
     }
 
@@ -79,7 +79,7 @@
     async fn write(
         &self,
         request: &EditRequest,
-        ground: &EditGround,
+        ground: &EditContext,
         sent: &mut Vec<ConfigVersion>,
     ) -> Result<Option<(EditReply, Option<EntryDoc>)>, StoreError> {
         let version = ground.head + 1;
@@ -120,7 +120,7 @@
         }
     }
 
-    async fn read_ground(&self, request: &EditRequest) -> Result<EditGround, StoreError> {
+    async fn read_ground(&self, request: &EditRequest) -> Result<EditContext, StoreError> {
         let key = entity_key(request.kind, &request.id);
         let void = void_key(&request.write);
         let read = ReadRequest {
@@ -129,10 +129,10 @@
         };
         let reply = self.shared.platform.table.read(read).await?;
         let entity = find_row(&reply, &key);
-        Ok(EditGround {
-            head: head_of(&reply),
+        Ok(EditContext {
+            head: head_version(&reply),
             head_row: find_row(&reply, HEAD_KEY).map_or(0, |row| row.version),
-            entity: entity.and_then(|row| row_value(&row.value)),
+            entity: entity.and_then(|row| parse_row(&row.value)),
             entity_row: entity.map_or(0, |row| row.version),
             is_void: find_row(&reply, &void).is_some(),
         })
@@ -178,7 +178,7 @@
         let findings = if held.book.version() == head {
             held.book.check_edit(&entry.key, &entry.value)
         } else {
-            let snapshot = read_whole(&self.shared).await?;
+            let snapshot = read_snapshot(&self.shared).await?;
             let book = VersionedConfig::try_from(snapshot).unwrap_or_default();
             book.check_edit(&entry.key, &entry.value)
         };
@@ -229,7 +229,7 @@
     }
 }
 
-fn refuse(request: &EditRequest, ground: &EditGround) -> Option<EditReply> {
+fn refuse(request: &EditRequest, ground: &EditContext) -> Option<EditReply> {
     if ground.is_void {
         let finding = Finding::new("write", "this write was settled as void; send it anew");
         return Some(EditReply::Refused {
@@ -256,7 +256,7 @@
     reply
         .rows
         .iter()
-        .filter_map(|row| row_value::<LogDoc>(&row.value))
+        .filter_map(|row| parse_row::<LogDoc>(&row.value))
         .find(|log| log.write == write)
         .map(|log| log.entry)
 }
--- a/crates/node/src/fields.rs
+++ b/crates/node/src/fields.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FieldKind {
     /// Text that is not empty.
-    Name,
+    Text,
     /// An address as `ip:port`.
     Address,
     /// A service as `http://ip:port`.
@@ -14,9 +14,9 @@
     /// A whole number within bounds.
     Number {
         /// Least value.
-        least: u64,
+        min: u64,
         /// Greatest value.
-        most: u64,
+        max: u64,
     },
     /// A log level.
     Level,
@@ -24,30 +24,36 @@
 
 impl FieldKind {
     /// Returns what is wrong with a value, or `None` when it is accepted.
-    pub fn fault(self, value: &Value) -> Option<String> {
+    pub fn mismatch(self, value: &Value) -> Option<String> {
         let is_accepted = match self {
-            Self::Name => value.as_str().is_some_and(|text| !text.is_empty()),
+            Self::Text => value.as_str().is_some_and(|text| !text.is_empty()),
             Self::Address => value
                 .as_str()
                 .is_some_and(|text| text.parse::<std::net::SocketAddr>().is_ok()),
             Self::Url => value.as_str().is_some_and(is_url),
-            Self::Number { least, most } => value
+            Self::Number {
+                min: least,
+                max: most,
+            } => value
                 .as_u64()
                 .is_some_and(|number| (least..=most).contains(&number)),
             Self::Level => value
                 .as_str()
                 .is_some_and(|text| text.parse::<log::LevelFilter>().is_ok()),
         };
-        (!is_accepted).then(|| format!("expected {}, found {value}", self.accepted()))
+        (!is_accepted).then(|| format!("expected {}, found {value}", self.expected()))
     }
 
     /// Returns what is accepted, in words.
-    pub fn accepted(self) -> String {
+    pub fn expected(self) -> String {
         match self {
-            Self::Name => "text that is not empty".to_owned(),
+            Self::Text => "text that is not empty".to_owned(),
             Self::Address => "an address such as 127.0.0.1:7000".to_owned(),
             Self::Url => "a service such as http://127.0.0.1:7000".to_owned(),
-            Self::Number { least, most } => format!("a whole number from {least} to {most}"),
+            Self::Number {
+                min: least,
+                max: most,
+            } => format!("a whole number from {least} to {most}"),
             Self::Level => "one of off, error, warn, info, debug, trace".to_owned(),
         }
     }
@@ -77,7 +83,7 @@
     /// Value when none is given.
     pub default: FieldDefault,
     /// Meaning, as `--list-settings` shows it.
-    pub meaning: &'static str,
+    pub description: &'static str,
 }
 
 impl Field {
@@ -93,12 +99,12 @@
 /// Finds a setting by its path.
 ///
 /// ```
-/// use briarswitch_node::fields::field_named;
+/// use briarswitch_node::fields::find_field;
 ///
-/// assert!(field_named("lease.duration_ms").is_some());
-/// assert!(field_named("lease.colour").is_none());
+/// assert!(find_field("lease.duration_ms").is_some());
+/// assert!(find_field("lease.colour").is_none());
 /// ```
-pub fn field_named(path: &str) -> Option<&'static Field> {
+pub fn find_field(path: &str) -> Option<&'static Field> {
     FIELDS.iter().find(|field| field.path == path)
 }
 
@@ -114,7 +120,7 @@
         path,
         kind,
         default: FieldDefault::Text(default),
-        meaning,
+        description: meaning,
     }
 }
 
@@ -122,11 +128,11 @@
     Field {
         path,
         kind: FieldKind::Number {
-            least,
-            most: HOUR_MS,
+            min: least,
+            max: HOUR_MS,
         },
         default: FieldDefault::Number(default),
-        meaning,
+        description: meaning,
     }
 }
 
@@ -139,17 +145,20 @@
 ) -> Field {
     Field {
         path,
-        kind: FieldKind::Number { least, most },
+        kind: FieldKind::Number {
+            min: least,
+            max: most,
+        },
         default: FieldDefault::Number(default),
-        meaning,
+        description: meaning,
     }
 }
 
 /// Every setting outside the list of peers.
 #[rustfmt::skip]
 pub const FIELDS: &[Field] = &[
-    text("node", FieldKind::Name, "node-1", "Name of this node."),
-    text("zone", FieldKind::Name, "zone-1", "Availability zone of this node."),
+    text("node", FieldKind::Text, "node-1", "Name of this node."),
+    text("zone", FieldKind::Text, "zone-1", "Availability zone of this node."),
     text("listen.callers", FieldKind::Address, "127.0.0.1:0", "Listener for callers."),
     text("listen.operators", FieldKind::Address, "127.0.0.1:0", "Listener for operators."),
     text("listen.peers", FieldKind::Address, "127.0.0.1:0", "Listener for other nodes."),
@@ -158,8 +167,8 @@
     text("platform.objects", FieldKind::Url, "http://127.0.0.1:7900", "Object store."),
     text("platform.vms", FieldKind::Url, "http://127.0.0.1:7900", "List of machines."),
     text("platform.weights", FieldKind::Url, "http://127.0.0.1:7900", "Weight store."),
-    text("operator_token", FieldKind::Name, "change-me-operator", "Credential of operators."),
-    text("peer_token", FieldKind::Name, "change-me-peer", "Credential of nodes."),
+    text("operator_token", FieldKind::Text, "change-me-operator", "Credential of operators."),
+    text("peer_token", FieldKind::Text, "change-me-peer", "Credential of nodes."),
     text("log_level", FieldKind::Level, "info", "Least severe level written."),
     number("traffic_threads", 1, 256, 2, "Threads that carry traffic."),
     millis("lease.duration_ms", 100, 6_000, "Time a renewal of the zone lease is good for."),
@@ -201,7 +210,7 @@
 /// Settings of one peer; all are needed.
 #[rustfmt::skip]
 pub const PEER_FIELDS: &[Field] = &[
-    text("node", FieldKind::Name, "", "Name of the node."),
-    text("zone", FieldKind::Name, "", "Its availability zone."),
+    text("node", FieldKind::Text, "", "Name of the node."),
+    text("zone", FieldKind::Text, "", "Its availability zone."),
     text("address", FieldKind::Address, "", "Address of its peer listener."),
 ];
--- a/crates/node/src/gate.rs
+++ b/crates/node/src/gate.rs
@@ -352,14 +352,14 @@
 
 impl<'a> QueueMark<'a> {
     fn open(shared: &'a NodeShared) -> Self {
-        shared.metrics.move_queue(true);
+        shared.metrics.adjust_queued(true);
         Self { shared }
     }
 }
 
 impl Drop for QueueMark<'_> {
     fn drop(&mut self) {
-        self.shared.metrics.move_queue(false);
+        self.shared.metrics.adjust_queued(false);
     }
 }
 
--- a/crates/node/src/health.rs
+++ b/crates/node/src/health.rs
@@ -10,14 +10,14 @@
 use crate::shared::NodeShared;
 
 /// Answers health checks and scrapes.
-pub struct HealthSurface {
+pub struct HealthApi {
     shared: Arc<NodeShared>,
     kernel: Kernel,
 }
 
-impl HealthSurface {
+impl HealthApi {
     /// Opens the surface.
-    pub fn open(shared: Arc<NodeShared>, kernel: Kernel) -> Arc<Self> {
+    pub fn new(shared: Arc<NodeShared>, kernel: Kernel) -> Arc<Self> {
         Arc::new(Self { shared, kernel })
     }
 
@@ -36,7 +36,7 @@
     }
 }
 
-impl Handler for HealthSurface {
+impl Handler for HealthApi {
     fn handle(&self, request: Request) -> BoxFuture<'_, Response> {
         let reply = self.answer(request.uri().path());
         Box::pin(async move { reply })
--- a/crates/node/src/layers.rs
+++ b/crates/node/src/layers.rs
@@ -7,7 +7,7 @@
 use briarswitch_platform::PlatformAddresses;
 use serde_json::Value;
 
-use crate::fields::{field_named, FIELDS, PEER_FIELDS};
+use crate::fields::{find_field, FIELDS, PEER_FIELDS};
 use crate::settings::{
     ControlSettings, GateSettings, ListenSettings, NodeSettings, PeerSettings, RequestSettings,
     ShutdownSettings,
@@ -26,7 +26,7 @@
 
 impl SettingsLayers {
     /// Opens the layer of defaults.
-    pub fn open() -> Self {
+    pub fn with_defaults() -> Self {
         let values = FIELDS
             .iter()
             .map(|field| (field.path.to_owned(), field.default_value()))
@@ -57,7 +57,7 @@
             return;
         };
         let value = serde_json::from_str(text).unwrap_or_else(|_| Value::from(text));
-        match field_named(path) {
+        match find_field(path) {
             Some(_) => self.add_field("--set", path, value),
             None => self.note("--set", path, "no such setting"),
         }
@@ -72,7 +72,7 @@
     /// ```
     /// use briarswitch_node::layers::SettingsLayers;
     ///
-    /// let mut layers = SettingsLayers::open();
+    /// let mut layers = SettingsLayers::with_defaults();
     /// layers.add_file("node.json", r#"{"colour": 1, "log_level": "loud"}"#);
     /// let findings = layers.build().unwrap_err();
     /// assert_eq!(findings.len(), 2);
@@ -91,7 +91,7 @@
             self.add_peers(name, value);
             return;
         }
-        if field_named(path).is_some() {
+        if find_field(path).is_some() {
             self.add_field(name, path, value);
             return;
         }
@@ -110,11 +110,11 @@
     }
 
     fn add_field(&mut self, name: &str, path: &str, value: Value) {
-        let Some(field) = field_named(path) else {
+        let Some(field) = find_field(path) else {
             return;
         };
-        match field.kind.fault(&value) {
-            Some(fault) => self.note(name, path, &fault),
+        match field.kind.mismatch(&value) {
+            Some(mismatch) => self.note(name, path, &mismatch),
             None => {
                 self.values.insert(path.to_owned(), value);
             }
@@ -138,8 +138,8 @@
             for (key, value) in object {
                 let place = format!("{place}.{key}");
                 match PEER_FIELDS.iter().find(|field| field.path == key) {
-                    Some(field) => match field.kind.fault(&value) {
-                        Some(fault) => self.note(name, &place, &fault),
+                    Some(field) => match field.kind.mismatch(&value) {
+                        Some(mismatch) => self.note(name, &place, &mismatch),
                         None => {
                             peer.insert(key, value);
                         }
@@ -149,7 +149,7 @@
             }
             for field in PEER_FIELDS {
                 if !given.iter().any(|key| key == field.path) {
-                    let fault = format!("missing; expected {}", field.kind.accepted());
+                    let fault = format!("missing; expected {}", field.kind.expected());
                     self.note(name, &format!("{place}.{}", field.path), &fault);
                 }
             }
--- a/crates/node/src/lease.rs
+++ b/crates/node/src/lease.rs
@@ -7,8 +7,8 @@
     EpochDoc, LeaseDoc, ReadReply, ReadRequest, TransactReply, TransactRequest,
 };
 
-use crate::config::row_value;
-use crate::keys::{epoch_key, lease_key};
+use crate::config::parse_row;
+use crate::row_keys::{epoch_key, lease_key};
 use crate::settings::NodeSettings;
 
 /// Reads of the row by a challenger in the time of one lease.
@@ -99,7 +99,7 @@
         };
         let row = reply.rows.first();
         let record = row
-            .and_then(|row| row_value::<LeaseDoc>(&row.value))
+            .and_then(|row| parse_row::<LeaseDoc>(&row.value))
             .map(LeaseRecord::from);
         let version = row.map_or(0, |row| row.version);
         self.keeper.observe(record, version, now);
--- a/crates/node/src/pipe.rs
+++ b/crates/node/src/log_writer.rs
@@ -11,19 +11,19 @@
 /// Bytes written at once.
 const BATCH_BYTES: usize = 32 << 10;
 /// Time in which lines gather before they are written together, which saves a wake-up for each.
-pub const GATHER: Duration = Duration::from_millis(25);
+pub const BATCH_DELAY: Duration = Duration::from_millis(25);
 
 /// A writer whose lines are written by a thread of their own.
 ///
 /// A full pipe would stall every request that logs. Lines that do not fit are dropped instead, and
 /// counted in a line of their own as soon as there is room.
-pub struct LogPipe {
+pub struct LogWriter {
     lines: SyncSender<Vec<u8>>,
     dropped: Arc<AtomicU64>,
     line: Vec<u8>,
 }
 
-impl LogPipe {
+impl LogWriter {
     /// Starts the thread that writes to `out`.
     pub fn spawn(out: impl Write + Send + 'static) -> Self {
         let (lines, receiver) = sync_channel(CAPACITY);
@@ -38,7 +38,7 @@
     }
 }
 
-impl Write for LogPipe {
+impl Write for LogWriter {
     fn write(&mut self, piece: &[u8]) -> io::Result<usize> {
         self.line.extend_from_slice(piece);
         Ok(piece.len())
@@ -58,7 +58,7 @@
 
 fn write_lines(lines: &Receiver<Vec<u8>>, mut out: impl Write, dropped: &AtomicU64) {
     while let Ok(first) = lines.recv() {
-        std::thread::sleep(GATHER);
+        std::thread::sleep(BATCH_DELAY);
         let mut batch = first;
         while batch.len() < BATCH_BYTES {
             let Ok(line) = lines.try_recv() else {
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -6,7 +6,7 @@
 use log::kv::{Key, Value, VisitSource};
 use log::{LevelFilter, Record};
 
-use crate::pipe::LogPipe;
+use crate::log_writer::LogWriter;
 
 /// Appends pairs to a line, quoting values that need it.
 struct PairWriter<'a> {
@@ -28,11 +28,11 @@
 pub fn start(level: LevelFilter, node: &str) -> Result<(), log::SetLoggerError> {
     let node = node.to_owned();
     fern::Dispatch::new()
-        .format(move |out, _, record| out.finish(format_args!("{}", line_of(record, &node))))
+        .format(move |out, _, record| out.finish(format_args!("{}", format_line(record, &node))))
         .level(LevelFilter::Trace)
         .level_for("tracing", LevelFilter::Warn)
         .filter(|metadata| metadata.target().starts_with("briarswitch"))
-        .chain(Box::new(LogPipe::spawn(std::io::stdout())) as Box<dyn Write + Send>)
+        .chain(Box::new(LogWriter::spawn(std::io::stdout())) as Box<dyn Write + Send>)
         .apply()?;
     log::set_max_level(level);
     Ok(())
@@ -41,15 +41,15 @@
 /// Returns the line that stands for a record.
 ///
 /// ```
-/// use briarswitch_node::logging::line_of;
+/// use briarswitch_node::logging::format_line;
 ///
 /// let record = log::Record::builder()
 ///     .args(format_args!("node_started"))
 ///     .level(log::Level::Info)
 ///     .build();
-/// assert!(line_of(&record, "n1").ends_with("level=info node=n1 event=node_started"));
+/// assert!(format_line(&record, "n1").ends_with("level=info node=n1 event=node_started"));
 /// ```
-pub fn line_of(record: &Record<'_>, node: &str) -> String {
+pub fn format_line(record: &Record<'_>, node: &str) -> String {
     let since = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap_or_default();
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use briarswitch_fleet::{FleetNode, FleetSettings};
-use briarswitch_node::pipe::GATHER;
+use briarswitch_node::log_writer::BATCH_DELAY;
 use briarswitch_node::signals::NodeSignals;
 use briarswitch_node::{logging, Node, NodeOptions, NodeSettings, StartError, Startup};
 use gumdrop::Options;
@@ -24,7 +24,7 @@
             println!("{text}");
             ExitCode::SUCCESS
         }
-        Startup::Refuse(findings) => {
+        Startup::InvalidSettings(findings) => {
             for finding in findings {
                 eprintln!("{finding}");
             }
@@ -62,7 +62,7 @@
         (_, Err(error)) => Err(error.into()),
     };
     // The last lines are still on their way to the output.
-    std::thread::sleep(GATHER * 2);
+    std::thread::sleep(BATCH_DELAY * 2);
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -73,18 +73,18 @@
 }
 
 async fn serve(settings: NodeSettings) -> Result<(), StartError> {
-    let mut signals = NodeSignals::open()?;
+    let mut signals = NodeSignals::register()?;
     let node = Node::spawn(settings).await?;
-    signals.end().await;
+    signals.wait_for_shutdown().await;
     node.shutdown().await;
     Ok(())
 }
 
 async fn serve_fleet(settings: FleetSettings) -> Result<(), StartError> {
-    let mut signals = NodeSignals::open()?;
+    let mut signals = NodeSignals::register()?;
     let platform = briarswitch_adapter::open(&settings.store);
     let node = FleetNode::spawn(settings, platform).await?;
-    signals.end().await;
+    signals.wait_for_shutdown().await;
     node.shutdown().await;
     Ok(())
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -143,7 +143,7 @@
     }
 
     /// Notes how many more, or fewer, requests wait.
-    pub fn move_queue(&self, is_longer: bool) {
+    pub fn adjust_queued(&self, is_longer: bool) {
         if is_longer {
             self.gauges.queued.fetch_add(1, Ordering::Relaxed);
         } else {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -20,10 +20,10 @@
 use crate::attempt::AttemptRunner;
 use crate::caller::CallerSurface;
 use crate::claims::ClaimWriter;
-use crate::config::ConfigKeeper;
+use crate::config::ConfigSync;
 use crate::controller::{ControllerMessage, ZoneController};
 use crate::dispatch::RequestDispatcher;
-use crate::health::HealthSurface;
+use crate::health::HealthApi;
 use crate::operator::OperatorSurface;
 use crate::peers::PeerExchange;
 use crate::settings::NodeSettings;
@@ -43,10 +43,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
     /// A listener could not be bound.
-    #[error("{surface} listener at {address}: {source}")]
+    #[error("{listener} listener at {address}: {source}")]
     Bind {
         /// Surface of the listener.
-        surface: &'static str,
+        listener: &'static str,
         /// Address wanted.
         address: String,
         /// What the operating system said.
@@ -102,7 +102,7 @@
             health: health.address(),
         };
         let kernel = Kernel::spawn()?;
-        kernel.mount(ConfigKeeper::open(Arc::clone(&shared)))?;
+        kernel.mount(ConfigSync::new(Arc::clone(&shared)))?;
         let watcher = kernel.mount(FleetWatcher::open(Arc::clone(&shared)))?;
         let controller = kernel.mount(ZoneController::open(Arc::clone(&shared)))?;
         let usage = kernel.mount(UsageWriter::open(Arc::clone(&shared)))?;
@@ -133,7 +133,7 @@
                 stopped.clone(),
             ),
             peers.spawn(peer_surface, stopped.clone()),
-            health.spawn(HealthSurface::open(Arc::clone(&shared), kernel), stopped),
+            health.spawn(HealthApi::new(Arc::clone(&shared), kernel), stopped),
         ];
         log::info!(
             zone = shared.settings.zone.as_str(),
@@ -207,7 +207,7 @@
     HttpServer::bind(address)
         .await
         .map_err(|source| NodeError::Bind {
-            surface,
+            listener: surface,
             address: address.to_owned(),
             source,
         })
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -20,10 +20,10 @@
 use serde_json::{json, Value};
 
 use crate::auth::is_bearer;
-use crate::config::{row_value, ConfigMessage, CONFIG_SERVICE};
+use crate::config::{parse_row, ConfigMessage, CONFIG_SERVICE};
 use crate::dispatch::RequestDispatcher;
 use crate::editor::ConfigEditor;
-use crate::keys::usage_prefix;
+use crate::row_keys::usage_prefix;
 use crate::shared::NodeShared;
 
 /// Largest request of an operator, in bytes.
@@ -45,7 +45,7 @@
         dispatcher: Arc<RequestDispatcher>,
     ) -> Arc<Self> {
         Arc::new(Self {
-            editor: ConfigEditor::open(Arc::clone(&shared)),
+            editor: ConfigEditor::new(Arc::clone(&shared)),
             shared,
             kernel,
             dispatcher,
@@ -92,7 +92,7 @@
         let (reply, entry) = self.editor.edit(request).await;
         log::info!(kind = kind, id = id.as_str(), answer:? = reply; "config_edit");
         if let (Some(entry), Some(config)) = (entry, self.kernel.find(CONFIG_SERVICE)) {
-            let _ = config.post(ConfigMessage::Learned {
+            let _ = config.post(ConfigMessage::Received {
                 entries: vec![entry],
                 snapshot: None,
             });
@@ -233,7 +233,7 @@
         let batches = reply
             .rows
             .iter()
-            .filter_map(|row| row_value::<UsageBatchDoc>(&row.value));
+            .filter_map(|row| parse_row::<UsageBatchDoc>(&row.value));
         for row in batches.flat_map(|batch| batch.rows) {
             let total = totals.entry(row.organisation.clone()).or_insert(UsageRow {
                 organisation: row.organisation,
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -152,7 +152,7 @@
     fn pass_on(&self, reply: ExchangeReply, asked: Moment, link: &ServiceLink<PeersMessage>) {
         let has_config = !reply.entries.is_empty() || reply.snapshot.is_some();
         if let (true, Some(config)) = (has_config, link.kernel().find(CONFIG_SERVICE)) {
-            let _ = config.post(ConfigMessage::Learned {
+            let _ = config.post(ConfigMessage::Received {
                 entries: reply.entries,
                 snapshot: reply.snapshot,
             });
@@ -184,7 +184,7 @@
             return;
         }
         if let Some(config) = link.kernel().find(CONFIG_SERVICE) {
-            let _ = config.post(ConfigMessage::ZoneAsked);
+            let _ = config.post(ConfigMessage::ZonePolled);
         }
     }
 }
--- a/crates/node/src/reign.rs
+++ b/crates/node/src/reign.rs
@@ -7,8 +7,8 @@
 use briarswitch_wire::platform::{ReadReply, TransactRequest, VmClaimDoc};
 use indexmap::{IndexMap, IndexSet};
 
-use crate::config::row_value;
-use crate::keys::{epoch_key, group_key, group_prefix, vm_key, vm_prefix};
+use crate::config::parse_row;
+use crate::row_keys::{epoch_key, group_key, group_prefix, vm_key, vm_prefix};
 
 /// Bits of a fencing number that count the orders of one epoch.
 const ORDER_BITS: u32 = 32;
@@ -93,7 +93,7 @@
         counts: ReignCounts,
     ) -> Option<Self> {
         let epoch_row = reply.rows.iter().find(|row| row.key == epoch_key(zone))?;
-        let holder: briarswitch_wire::platform::EpochDoc = row_value(&epoch_row.value)?;
+        let holder: briarswitch_wire::platform::EpochDoc = parse_row(&epoch_row.value)?;
         if holder.epoch != epoch {
             return None;
         }
@@ -114,12 +114,12 @@
         for row in &reply.rows {
             let version = row.version;
             if let Some(id) = row.key.strip_prefix(&groups) {
-                let value = GroupRecord::from(row_value::<GroupDoc>(&row.value)?);
+                let value = GroupRecord::from(parse_row::<GroupDoc>(&row.value)?);
                 reign
                     .groups
                     .insert(id.to_owned(), HeldRow { value, version });
             } else if let Some(id) = row.key.strip_prefix(&vms) {
-                let value = row_value::<VmClaimDoc>(&row.value)?;
+                let value = parse_row::<VmClaimDoc>(&row.value)?;
                 reign
                     .claims
                     .insert(id.to_owned(), HeldRow { value, version });
--- a/crates/node/src/keys.rs
+++ b/crates/node/src/row_keys.rs
@@ -14,7 +14,7 @@
 /// Returns the key of one entity's row.
 ///
 /// ```
-/// use briarswitch_node::keys::entity_key;
+/// use briarswitch_node::row_keys::entity_key;
 /// use briarswitch_wire::config::KindDoc;
 ///
 /// assert_eq!(entity_key(KindDoc::Rules, "main"), "config/entity/rules/main");
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -17,7 +17,7 @@
     /// # Errors
     ///
     /// Returns the operating system's error when a signal can not be received.
-    pub fn open() -> io::Result<Self> {
+    pub fn register() -> io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
             interrupt: signal(SignalKind::interrupt())?,
@@ -29,7 +29,7 @@
     ///
     /// A signal to reload must not end the process, which is what it does where nobody receives it.
     /// Every setting holds for the life of a process, so nothing else follows from it.
-    pub async fn end(&mut self) {
+    pub async fn wait_for_shutdown(&mut self) {
         loop {
             tokio::select! {
                 _ = self.terminate.recv() => return,
--- a/crates/node/src/usage.rs
+++ b/crates/node/src/usage.rs
@@ -10,7 +10,7 @@
 use indexmap::IndexMap;
 use serde_json::{json, Value};
 
-use crate::keys::usage_key;
+use crate::row_keys::usage_key;
 use crate::shared::NodeShared;
 
 /// Name of the service.
--- a/crates/node/tests/config.rs
+++ b/crates/node/tests/config.rs
@@ -7,14 +7,14 @@
 use briarswitch_wire::operator::{EditReply, EditRequest, SettleReply};
 use briarswitch_wire::platform::{CheckDoc, PutDoc, TransactReply, TransactRequest};
 use googletest::prelude::*;
-use support::{organisation, Cluster, Plan};
+use support::{organisation, Cluster, ClusterSpec};
 
-fn six_nodes() -> Plan {
-    Plan {
+fn six_nodes() -> ClusterSpec {
+    ClusterSpec {
         zones: 3,
         nodes_per_zone: 2,
         engines_per_zone: 0,
-        ..Plan::default()
+        ..ClusterSpec::default()
     }
 }
 
@@ -89,9 +89,9 @@
 /// Cause: a lost answer was taken for a failure; the log is read back for the edit's own write.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_answer_to_an_edit_is_read_back() {
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterSpec {
         engines_per_zone: 0,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     // The lease is written too, so the fault may hit that instead; one of several edits meets it.
@@ -118,9 +118,9 @@
 /// Cause: nothing barred the late write; settling leaves a row that its condition forbids.
 #[tokio::test(flavor = "multi_thread")]
 async fn settled_edit_can_not_take_effect_later() {
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterSpec {
         engines_per_zone: 0,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     cluster.platform.fault(|faults| faults.is_down = true);
@@ -132,7 +132,7 @@
         write: "write-late".to_owned(),
     };
     let text = serde_json::to_string(&request).expect("an edit");
-    let reply: Option<EditReply> = cluster.operate(0, "POST", "/v1/edit", &text).await;
+    let reply: Option<EditReply> = cluster.operator_request(0, "POST", "/v1/edit", &text).await;
     assert_that!(
         reply,
         some(eq(&EditReply::Unknown {
@@ -142,7 +142,7 @@
 
     cluster.platform.fault(|faults| faults.is_down = false);
     let settled: Option<SettleReply> = cluster
-        .operate(0, "POST", "/v1/settle", "\"write-late\"")
+        .operator_request(0, "POST", "/v1/settle", "\"write-late\"")
         .await;
     assert_that!(settled, some(eq(&SettleReply::Void)));
 
@@ -156,7 +156,7 @@
         serde_json::from_str(&answer.expect("an answer").body).expect("a reply");
     assert_that!(matches!(reply, TransactReply::Conflict { .. }), eq(true));
     let again: Option<EditReply> = cluster
-        .operate(0, "POST", "/v1/edit", &{
+        .operator_request(0, "POST", "/v1/edit", &{
             serde_json::to_string(&request).expect("an edit")
         })
         .await;
@@ -189,9 +189,9 @@
 /// Cause: each edit was looked at by itself; what would result is checked whole.
 #[tokio::test(flavor = "multi_thread")]
 async fn edit_is_checked_against_the_whole() {
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterSpec {
         engines_per_zone: 0,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let deleted = briarswitch_wire::config::ValueDoc::Deleted;
@@ -212,10 +212,10 @@
 /// or else from its zone, and is not ready before.
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_node_learns_its_floor_from_its_zone() {
-    let mut cluster = Cluster::start(Plan {
+    let mut cluster = Cluster::start(ClusterSpec {
         nodes_per_zone: 2,
         engines_per_zone: 0,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     cluster.platform.fault(|faults| faults.is_down = true);
@@ -253,14 +253,14 @@
 /// Cause: configuration spread by the platform alone; nodes tell each other, and only upwards.
 #[tokio::test(flavor = "multi_thread")]
 async fn node_cut_from_the_platform_learns_from_its_peers() {
-    let plan = Plan {
+    let plan = ClusterSpec {
         nodes_per_zone: 2,
         engines_per_zone: 0,
-        ..Plan::default()
+        ..ClusterSpec::default()
     };
     let mut cluster = Cluster::start(plan).await;
     let link = LinkRelay::spawn(&cluster.platform.address().to_string()).expect("a link");
-    cluster.reroute_platform(1, &link.address().to_string());
+    cluster.set_platform_address(1, &link.address().to_string());
     cluster.nodes[1].restart();
     cluster
         .wait("the node is back", async |cluster| {
--- a/crates/node/tests/crashes.rs
+++ b/crates/node/tests/crashes.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use googletest::prelude::*;
-use support::{Cluster, Plan};
+use support::{Cluster, ClusterSpec};
 
 /// Runs after which a request is not to run any more, and those that may follow until all nodes know.
 const MOST_RUNS: usize = 3 + 3;
@@ -18,10 +18,10 @@
 /// Cause: nothing remembered what a call did to a target.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_that_ends_targets_is_run_no_more() {
-    let mut cluster = Cluster::start(Plan {
+    let mut cluster = Cluster::start(ClusterSpec {
         engines_per_zone: 0,
         services_per_zone: 1,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let name = cluster.services.keys().next().expect("a service").clone();
@@ -31,12 +31,12 @@
         let node = repeat % cluster.nodes.len();
         cluster
             .wait("the machine is in use", async |cluster| {
-                let answer = cluster.call(node, "/look", &[]).await;
+                let answer = cluster.call_service(node, "/look", &[]).await;
                 answer.is_some_and(|answer| answer.outcome() == "answered")
             })
             .await;
         cluster.services[&name].fault(|faults| faults.breaks = 1);
-        cluster.call(node, "/deadly", &[]).await;
+        cluster.call_service(node, "/deadly", &[]).await;
         runs += cluster.calls("/deadly");
         cluster.services.get_mut(&name).expect("a service").kill();
         let life = 2 + repeat as u64;
@@ -48,11 +48,11 @@
 /// Guards against nodes that go on running what another one has seen end targets, and against other calls refused with it.
 #[tokio::test(flavor = "multi_thread")]
 async fn all_nodes_refuse_a_call_that_ends_targets_and_no_other() {
-    let mut cluster = Cluster::start(Plan {
+    let mut cluster = Cluster::start(ClusterSpec {
         nodes_per_zone: 3,
         engines_per_zone: 0,
         services_per_zone: 1,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let name = cluster.services.keys().next().expect("a service").clone();
@@ -63,12 +63,12 @@
         let node = life as usize % cluster.nodes.len();
         cluster
             .wait("the machine is in use", async |cluster| {
-                let answer = cluster.call(node, "/look", &[]).await;
+                let answer = cluster.call_service(node, "/look", &[]).await;
                 answer.is_some_and(|answer| answer.outcome() == "answered")
             })
             .await;
         cluster.services[&name].fault(|faults| faults.breaks = 1);
-        let answer = cluster.call(node, "/deadly", &[]).await;
+        let answer = cluster.call_service(node, "/deadly", &[]).await;
         refusal = answer.filter(|answer| answer.code() == "quarantined");
         cluster.services.get_mut(&name).expect("a service").kill();
         life += 1;
@@ -83,9 +83,9 @@
             .wait(
                 "the node serves others and refuses this one",
                 async |cluster| {
-                    let other = cluster.call(node, "/look", &[]).await;
+                    let other = cluster.call_service(node, "/look", &[]).await;
                     cluster.services[&name].fault(|faults| faults.breaks = 1);
-                    let same = cluster.call(node, "/deadly", &[]).await;
+                    let same = cluster.call_service(node, "/deadly", &[]).await;
                     cluster.services[&name].fault(|faults| faults.breaks = 0);
                     other.is_some_and(|answer| answer.outcome() == "answered")
                         && same.is_some_and(|answer| answer.code() == "quarantined")
--- a/crates/node/tests/cuts.rs
+++ b/crates/node/tests/cuts.rs
@@ -5,7 +5,7 @@
 use briarswitch_standins::{LinkMode, LinkRelay};
 use briarswitch_wire::config::KindDoc;
 use googletest::prelude::*;
-use support::{check_history, organisation, Cluster, Plan};
+use support::{check_history, organisation, Cluster, ClusterSpec};
 
 /// Symptom: a zone that was cut off stopped serving, sent requests into the other zone, or stayed
 /// behind after the cut.
@@ -14,14 +14,14 @@
 /// Cause: evidence from before the cut was trusted, or the two sides did not ask each other again.
 #[tokio::test(flavor = "multi_thread")]
 async fn cut_zone_serves_what_it_can_and_converges() {
-    let mut cluster = Cluster::start(Plan {
+    let mut cluster = Cluster::start(ClusterSpec {
         zones: 2,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let links = cluster.link_peers();
     let platform = LinkRelay::spawn(&cluster.platform.address().to_string()).expect("a link");
-    cluster.reroute_platform(1, &platform.address().to_string());
+    cluster.set_platform_address(1, &platform.address().to_string());
     for node in &mut cluster.nodes {
         node.restart();
     }
@@ -66,9 +66,9 @@
 /// Cause: hearing a question was taken for being heard; only an answer counts.
 #[tokio::test(flavor = "multi_thread")]
 async fn half_cut_is_seen_by_the_side_that_hears_nothing() {
-    let mut cluster = Cluster::start(Plan {
+    let mut cluster = Cluster::start(ClusterSpec {
         zones: 2,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let links = cluster.link_peers();
@@ -95,13 +95,13 @@
 /// enough for a slow answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn slow_platform_keeps_the_holder() {
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterSpec {
         nodes_per_zone: 2,
         settings: vec![
             "lease.duration_ms=4000".to_owned(),
             "lease.margin_ms=500".to_owned(),
         ],
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let before = cluster.status(0).await.expect("a status").controller;
--- a/crates/node/tests/groups.rs
+++ b/crates/node/tests/groups.rs
@@ -6,7 +6,7 @@
 use briarswitch_wire::engine::{OrderAction, StateDoc};
 use googletest::prelude::*;
 use nix::sys::signal::Signal;
-use support::{check_history, Cluster, Plan, ZONES};
+use support::{check_history, Cluster, ClusterSpec, ZONES};
 
 /// Bits of a fencing number that count orders; what is above them is the epoch.
 const ORDER_BITS: u32 = 32;
@@ -16,7 +16,7 @@
 /// Cause: only the leader was looked at; every member needs evidence of its own.
 #[tokio::test(flavor = "multi_thread")]
 async fn group_stops_serving_when_a_member_dies() {
-    let mut cluster = Cluster::start(Plan::default()).await;
+    let mut cluster = Cluster::start(ClusterSpec::default()).await;
     let answer = cluster.chat(0, 2, false).await.expect("an answer");
     assert_that!(answer.outcome(), eq("answered"));
 
@@ -41,7 +41,7 @@
 /// Cause: only refusals counted as loss; silence has to end the evidence too.
 #[tokio::test(flavor = "multi_thread")]
 async fn group_stops_serving_while_a_member_is_frozen() {
-    let cluster = Cluster::start(Plan::default()).await;
+    let cluster = Cluster::start(ClusterSpec::default()).await;
     let leader = leader(&cluster, 0).await;
     let other = other_member(&cluster, &leader);
 
@@ -66,9 +66,9 @@
 /// Cause: evidence gathered before the freeze was trusted after it.
 #[tokio::test(flavor = "multi_thread")]
 async fn frozen_node_does_not_trust_old_evidence() {
-    let mut cluster = Cluster::start(Plan {
+    let mut cluster = Cluster::start(ClusterSpec {
         settings: vec!["gate.probe_interval_ms=300".to_owned()],
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let leader = leader(&cluster, 0).await;
@@ -92,9 +92,9 @@
 /// Cause: nothing replaced members; the planner mends and raises the generation.
 #[tokio::test(flavor = "multi_thread")]
 async fn group_is_mended_from_a_spare() {
-    let mut cluster = Cluster::start(Plan {
+    let mut cluster = Cluster::start(ClusterSpec {
         engines_per_zone: 3,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let leader = leader(&cluster, 0).await;
@@ -119,7 +119,7 @@
 /// Cause: the dead group still counted as standing, and could not be mended where it stood.
 #[tokio::test(flavor = "multi_thread")]
 async fn group_moves_when_its_fabric_domain_goes_dark() {
-    let mut cluster = Cluster::start(Plan::default()).await;
+    let mut cluster = Cluster::start(ClusterSpec::default()).await;
     let first: Vec<String> = cluster.engines.keys().cloned().collect();
     for name in ["second-0", "second-1"] {
         cluster.add_engine(ZONES[0], "second-fabric", EngineSettings::quick(name));
@@ -156,11 +156,11 @@
 }
 
 async fn pause_and_wake_controller(checks_fencing: bool) {
-    let mut cluster = Cluster::start(Plan {
+    let mut cluster = Cluster::start(ClusterSpec {
         nodes_per_zone: 2,
         engines_per_zone: 3,
         checks_fencing,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let holder = controller(&cluster, 0).await.0;
@@ -201,12 +201,12 @@
 /// Cause: the write was sent again blindly; its fate has to be read back first.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_answers_claim_no_machine_twice() {
-    let plan = Plan {
+    let plan = ClusterSpec {
         engines_per_zone: 4,
         replicas_per_zone: 2,
-        ..Plan::default()
+        ..ClusterSpec::default()
     };
-    let cluster = Cluster::start_bare(&plan).await;
+    let cluster = Cluster::start_unconfigured(&plan).await;
     cluster.platform.fault(|faults| faults.lose_answers = 4);
     let cluster = cluster.configured(&plan).await;
 
@@ -220,10 +220,10 @@
 /// Cause: serving hung on the lease; it hangs on evidence, and only membership on the lease.
 #[tokio::test(flavor = "multi_thread")]
 async fn whole_groups_serve_through_a_platform_outage() {
-    let mut cluster = Cluster::start(Plan {
+    let mut cluster = Cluster::start(ClusterSpec {
         engines_per_zone: 5,
         replicas_per_zone: 2,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     cluster.platform.fault(|faults| faults.is_down = true);
@@ -257,9 +257,9 @@
 /// Cause: its memory was believed; the table and the generation decide.
 #[tokio::test(flavor = "multi_thread")]
 async fn returned_member_is_told_what_the_table_says() {
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterSpec {
         engines_per_zone: 3,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let leader = leader(&cluster, 0).await;
@@ -305,7 +305,7 @@
 
 async fn send_chat(address: String) -> String {
     let client = briarswitch_http::TargetClient::open(briarswitch_http::TargetLimits {
-        connect: support::LIMIT,
+        connect: support::WAIT_TIMEOUT,
         idle: 0,
     });
     let body = briarswitch_http::whole_body(support::chat_body(2, false).into());
@@ -322,7 +322,9 @@
         .send(&target, request, true)
         .await
         .expect("an answer");
-    support::finish(reply.head, reply.body).await.outcome()
+    support::read_response(reply.head, reply.body)
+        .await
+        .outcome()
 }
 
 /// Symptom: a group was down for as long as loading weights takes, although a spare stood idle.
@@ -330,9 +332,9 @@
 /// Cause: spares held no weights; they are loaded while nothing is wrong.
 #[tokio::test(flavor = "multi_thread")]
 async fn spare_holds_the_weights_before_it_is_needed() {
-    let mut cluster = Cluster::start(Plan {
+    let mut cluster = Cluster::start(ClusterSpec {
         engines_per_zone: 3,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let leader = leader(&cluster, 0).await;
--- a/crates/node/tests/limits.rs
+++ b/crates/node/tests/limits.rs
@@ -9,19 +9,19 @@
     HeaderDoc, KindDoc, OrganisationDoc, RouteDoc, RuleDoc, ThenDoc, ValueDoc, WhenDoc,
 };
 use googletest::prelude::*;
-use support::{organisation, route_rule, Answer, Cluster, Plan, MODEL, SERVICE};
+use support::{organisation, route_rule, Cluster, ClusterSpec, TestResponse, MODEL, SERVICE};
 
 const LARGE: &str = "Bearer large-key";
 const SMALL: &str = "Bearer small-key";
 
 /// Starts one node before one group that takes one request at a time.
 async fn narrow_cluster() -> Cluster {
-    let plan = Plan {
+    let plan = ClusterSpec {
         engines_per_zone: 0,
         target_in_flight: 1,
-        ..Plan::default()
+        ..ClusterSpec::default()
     };
-    let mut cluster = Cluster::start_bare(&plan).await;
+    let mut cluster = Cluster::start_unconfigured(&plan).await;
     for index in 0..2 {
         let mut settings = EngineSettings::quick(&format!("kakkanad-gpu-{index}"));
         settings.token_time = Duration::from_millis(2);
@@ -39,7 +39,7 @@
     ValueDoc::Organisation(OrganisationDoc { weight, ..doc })
 }
 
-async fn ask(cluster: &Cluster, name: &str, headers: &[(&str, &str)]) -> Option<Answer> {
+async fn ask(cluster: &Cluster, name: &str, headers: &[(&str, &str)]) -> Option<TestResponse> {
     let mut all = vec![("x-request-id", name), ("x-deadline-ms", "60000")];
     all.extend_from_slice(headers);
     let body = support::chat_body(4, false);
@@ -136,7 +136,7 @@
         cluster
             .wait("a backlog stands", async |cluster| {
                 let dump: Option<serde_json::Value> =
-                    cluster.operate(0, "GET", "/v1/dump", "").await;
+                    cluster.operator_request(0, "GET", "/v1/dump", "").await;
                 dump.is_some_and(|dump| dump["traffic"][0]["queued"].as_u64() > Some(30))
             })
             .await;
@@ -155,12 +155,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn rate_holds_in_sum_over_nodes() {
     const RATE: u32 = 6;
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterSpec {
         zones: 3,
         nodes_per_zone: 2,
         engines_per_zone: 0,
         services_per_zone: 1,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let limited = ValueDoc::Organisation(OrganisationDoc {
@@ -193,7 +193,7 @@
         .iter()
         .flatten()
         .filter(|answer| answer.status == 429);
-    let refused: Vec<&Answer> = refused.collect();
+    let refused: Vec<&TestResponse> = refused.collect();
     // A second's worth may be saved up, and more is earned while the calls go on.
     let most = f64::from(RATE) * (1.0 + start.elapsed().as_secs_f64());
     assert_that!(cluster.calls("/bill") as f64, le(most));
@@ -211,10 +211,10 @@
 async fn brown_out_does_not_multiply_load() {
     const REQUESTS: usize = 200;
     const BURST: usize = 20;
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterSpec {
         engines_per_zone: 6,
         replicas_per_zone: 3,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     for engine in cluster.engines.values() {
--- a/crates/node/tests/logs.rs
+++ b/crates/node/tests/logs.rs
@@ -5,10 +5,10 @@
 use std::io::{self, BufRead, BufReader, Write};
 use std::sync::mpsc::{channel, sync_channel, Receiver, SyncSender};
 
-use briarswitch_node::pipe::LogPipe;
+use briarswitch_node::log_writer::LogWriter;
 use futures::future::join_all;
 use googletest::prelude::*;
-use support::{Cluster, Plan};
+use support::{Cluster, ClusterSpec};
 
 /// Requests sent at a time.
 const AT_ONCE: usize = 50;
@@ -43,7 +43,7 @@
 fn lines_that_nobody_takes_are_dropped_and_counted() {
     let (open, gate) = channel();
     let (written, output) = sync_channel(100_000);
-    let mut pipe = LogPipe::spawn(HeldOutput {
+    let mut pipe = LogWriter::spawn(HeldOutput {
         gate,
         is_open: false,
         written,
@@ -75,13 +75,13 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_go_on_while_nobody_reads_the_output() {
-    let mut cluster = Cluster::start(Plan {
+    let mut cluster = Cluster::start(ClusterSpec {
         engines_per_zone: 0,
         services_per_zone: 1,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
-    let output = cluster.nodes[0].restart_unread();
+    let output = cluster.nodes[0].restart_with_piped_output();
     cluster.wait_ready().await;
     let address = cluster.callers(0);
     let mut refused = 0;
--- a/crates/node/tests/measure.rs
+++ b/crates/node/tests/measure.rs
@@ -9,7 +9,7 @@
 use briarswitch_wire::config::KindDoc;
 use briarswitch_wire::platform::VmDoc;
 use googletest::prelude::*;
-use support::{organisation, Cluster, Plan, MODEL_POOL, ZONES};
+use support::{organisation, Cluster, ClusterSpec, MODEL_POOL, ZONES};
 
 /// Settings as shipped, in place of the tests' short ones.
 fn shipped() -> Vec<String> {
@@ -50,9 +50,9 @@
     for is_freeze in [false, true] {
         let mut times = Vec::new();
         for _ in 0..30 {
-            let mut cluster = Cluster::start(Plan {
+            let mut cluster = Cluster::start(ClusterSpec {
                 settings: shipped(),
-                ..Plan::default()
+                ..ClusterSpec::default()
             })
             .await;
             times.push(lose_member(&mut cluster, is_freeze).await);
@@ -92,10 +92,10 @@
 async fn time_to_take_over() {
     let mut times = Vec::new();
     for _ in 0..10 {
-        let mut cluster = Cluster::start(Plan {
+        let mut cluster = Cluster::start(ClusterSpec {
             nodes_per_zone: 2,
             settings: shipped(),
-            ..Plan::default()
+            ..ClusterSpec::default()
         })
         .await;
         let status = cluster.status(0).await.expect("a status");
@@ -120,12 +120,12 @@
 #[ignore = "a measurement"]
 async fn time_to_be_in_force() {
     for is_down in [false, true] {
-        let cluster = Cluster::start(Plan {
+        let cluster = Cluster::start(ClusterSpec {
             zones: 3,
             nodes_per_zone: 2,
             engines_per_zone: 0,
             settings: shipped(),
-            ..Plan::default()
+            ..ClusterSpec::default()
         })
         .await;
         let mut times = Vec::new();
@@ -163,14 +163,14 @@
 async fn cost_of_control() {
     let window = Duration::from_secs(6);
     for engines in [4, 40, 120] {
-        let plan = Plan {
+        let plan = ClusterSpec {
             nodes_per_zone: 2,
             engines_per_zone: 0,
             replicas_per_zone: engines as u32 / 2,
             settings: shipped(),
-            ..Plan::default()
+            ..ClusterSpec::default()
         };
-        let mut cluster = Cluster::start_bare(&plan).await;
+        let mut cluster = Cluster::start_unconfigured(&plan).await;
         let mut probed = None;
         for index in 0..engines {
             let name = format!("kakkanad-gpu-{index}");
@@ -183,11 +183,11 @@
         cluster.wait_routable(engines / 2).await;
         let link = probed.expect("a relayed machine");
         tokio::time::sleep(Duration::from_secs(2)).await;
-        let (before, bytes) = (cluster.usage_of(0), link.carried());
+        let (before, bytes) = (cluster.process_usage(0), link.carried());
         let peer = cluster.peer_bytes(0).await;
         let calls = cluster.platform.calls();
         tokio::time::sleep(window).await;
-        let (after, probes) = (cluster.usage_of(0), link.carried() - bytes);
+        let (after, probes) = (cluster.process_usage(0), link.carried() - bytes);
         let peer = cluster.peer_bytes(0).await - peer;
         let later = cluster.platform.calls();
         let seconds = window.as_secs_f64();
@@ -225,9 +225,9 @@
 /// Every trial of the measurements starts from a cluster that serves.
 #[tokio::test(flavor = "multi_thread")]
 async fn measured_cluster_serves() {
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterSpec {
         settings: shipped(),
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let answer = cluster.chat(0, 1, false).await.expect("an answer");
--- a/crates/node/tests/minted.rs
+++ b/crates/node/tests/minted.rs
@@ -3,17 +3,17 @@
 mod support;
 
 use googletest::prelude::*;
-use support::{Cluster, Plan};
+use support::{Cluster, ClusterSpec};
 
 const AUTHORIZATION: (&str, &str) = ("authorization", "Bearer kayal-key");
 
 async fn cluster_of(zones: usize) -> Cluster {
-    Cluster::start(Plan {
+    Cluster::start(ClusterSpec {
         zones,
         nodes_per_zone: 2,
         engines_per_zone: 0,
         services_per_zone: 1,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await
 }
@@ -43,12 +43,12 @@
             let (cluster, key) = (&cluster, key.as_str());
             async move {
                 cluster
-                    .call(node, "/bill", &[("idempotency-key", key)])
+                    .call_service(node, "/bill", &[("idempotency-key", key)])
                     .await
             }
         });
         let answers = futures::future::join_all(calls).await;
-        let outcomes = answers.iter().flatten().map(support::Answer::outcome);
+        let outcomes = answers.iter().flatten().map(support::TestResponse::outcome);
         answered += outcomes.filter(|outcome| outcome == "answered").count();
     }
     assert_that!(cluster.calls("/bill"), eq(KEYS));
@@ -64,11 +64,17 @@
     let mut cluster = cluster_of(1).await;
     let key = mint(&cluster, 0).await;
     let headers = [("idempotency-key", key.as_str())];
-    let first = cluster.call(1, "/bill", &headers).await.expect("an answer");
+    let first = cluster
+        .call_service(1, "/bill", &headers)
+        .await
+        .expect("an answer");
     assert_that!(first.outcome(), eq("answered"));
 
     cluster.nodes[0].kill();
-    let lonely = cluster.call(1, "/bill", &headers).await.expect("an answer");
+    let lonely = cluster
+        .call_service(1, "/bill", &headers)
+        .await
+        .expect("an answer");
     assert_that!(lonely.outcome(), eq("unknown"));
     cluster.nodes[0].restart();
     cluster
@@ -78,7 +84,7 @@
         .await;
     for node in 0..2 {
         let again = cluster
-            .call(node, "/bill", &headers)
+            .call_service(node, "/bill", &headers)
             .await
             .expect("an answer");
         assert_that!(again.outcome(), eq("unknown"));
@@ -98,7 +104,7 @@
     for node in 0..2 {
         let headers = [("idempotency-key", forged.as_str())];
         let answer = cluster
-            .call(node, "/bill", &headers)
+            .call_service(node, "/bill", &headers)
             .await
             .expect("an answer");
         assert_that!(answer.outcome(), eq("unknown"));
--- a/crates/node/tests/requests.rs
+++ b/crates/node/tests/requests.rs
@@ -7,13 +7,13 @@
 use briarswitch_standins::PlainStandin;
 use googletest::prelude::*;
 use nix::sys::signal::Signal;
-use support::{chat_body, finish, Answer, Cluster, Plan, MODEL, SERVICE};
+use support::{chat_body, read_response, Cluster, ClusterSpec, TestResponse, MODEL, SERVICE};
 
-fn service_plan() -> Plan {
-    Plan {
+fn service_plan() -> ClusterSpec {
+    ClusterSpec {
         engines_per_zone: 0,
         services_per_zone: 1,
-        ..Plan::default()
+        ..ClusterSpec::default()
     }
 }
 
@@ -24,7 +24,7 @@
 /// A chat answer comes whole, streamed or not, with who served it.
 #[tokio::test(flavor = "multi_thread")]
 async fn answers_are_whole() {
-    let cluster = Cluster::start(Plan::default()).await;
+    let cluster = Cluster::start(ClusterSpec::default()).await;
 
     let whole = cluster.chat(0, 5, false).await.expect("an answer");
     assert_that!(whole.body, contains_substring("w0 w1 w2 w3 w4 "));
@@ -32,7 +32,7 @@
 
     let streamed = cluster.chat(0, 5, true).await.expect("an answer");
     assert_that!(streamed.events(), len(eq(5)));
-    assert_that!(streamed.has_end_mark() && streamed.is_whole, eq(true));
+    assert_that!(streamed.has_done_marker() && streamed.is_complete, eq(true));
 }
 
 /// Symptom: a caller was told "unknown" although nothing listened at the target.
@@ -44,7 +44,10 @@
     for service in cluster.services.values_mut() {
         service.kill();
     }
-    let answer = cluster.call(0, "/bill", &[]).await.expect("an answer");
+    let answer = cluster
+        .call_service(0, "/bill", &[])
+        .await
+        .expect("an answer");
 
     assert_that!(answer.outcome(), eq("not_run"));
     assert_that!(cluster.calls("/bill"), eq(0));
@@ -55,7 +58,7 @@
 /// Cause: the call was sent again, although it may not be repeated.
 #[tokio::test(flavor = "multi_thread")]
 async fn broken_call_is_not_sent_again() {
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterSpec {
         services_per_zone: 2,
         ..service_plan()
     })
@@ -63,7 +66,10 @@
     for service in cluster.services.values() {
         service.fault(|faults| faults.breaks = 1);
     }
-    let answer = cluster.call(0, "/bill", &[]).await.expect("an answer");
+    let answer = cluster
+        .call_service(0, "/bill", &[])
+        .await
+        .expect("an answer");
 
     assert_that!(answer.outcome(), eq("unknown"));
     assert_that!(cluster.calls("/bill"), eq(1));
@@ -77,7 +83,10 @@
     let cluster = Cluster::start(service_plan()).await;
     only_service(&cluster).fault(|faults| faults.silent = 1);
     let headers = [("x-deadline-ms", "300")];
-    let answer = cluster.call(0, "/bill", &headers).await.expect("an answer");
+    let answer = cluster
+        .call_service(0, "/bill", &headers)
+        .await
+        .expect("an answer");
 
     assert_that!(answer.outcome(), eq("unknown"));
     assert_that!(answer.code(), eq("answer_deadline"));
@@ -87,10 +96,10 @@
 /// A request that may be repeated goes to another group after each kind of failure.
 #[tokio::test(flavor = "multi_thread")]
 async fn repeatable_request_is_tried_at_another_group() {
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterSpec {
         engines_per_zone: 4,
         replicas_per_zone: 2,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let status = cluster.status(0).await.expect("a status");
@@ -115,7 +124,7 @@
 /// A request that may not be repeated is told the truth after each kind of failure.
 #[tokio::test(flavor = "multi_thread")]
 async fn unrepeatable_request_is_told_the_truth() {
-    let cluster = Cluster::start(Plan::default()).await;
+    let cluster = Cluster::start(ClusterSpec::default()).await;
     let cases = [
         ("truncations", "unknown", "truncated"),
         ("foreign", "unknown", "foreign_answer"),
@@ -150,7 +159,7 @@
 /// Cause: the stream was begun anew, or from a wrong place, instead of after what was passed on.
 #[tokio::test(flavor = "multi_thread")]
 async fn broken_stream_is_resumed_at_its_offset() {
-    let cluster = Cluster::start(Plan::default()).await;
+    let cluster = Cluster::start(ClusterSpec::default()).await;
     for engine in cluster.engines.values() {
         engine.fault(|faults| {
             faults.break_after = Some(3);
@@ -162,7 +171,7 @@
     let words: Vec<String> = answer.events().iter().map(|event| word_of(event)).collect();
     let expected: Vec<String> = (0..8).map(|index| format!("w{index} ")).collect();
     assert_that!(words, eq(&expected));
-    assert_that!(answer.has_end_mark() && answer.is_whole, eq(true));
+    assert_that!(answer.has_done_marker() && answer.is_complete, eq(true));
 }
 
 /// Symptom: a caller took half an answer for a whole one.
@@ -170,7 +179,7 @@
 /// Cause: the broken stream was ended tidily; it has to be visibly broken.
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_that_can_not_be_resumed_is_visibly_broken() {
-    let cluster = Cluster::start(Plan::default()).await;
+    let cluster = Cluster::start(ClusterSpec::default()).await;
     for engine in cluster.engines.values() {
         engine.fault(|faults| {
             faults.break_after = Some(3);
@@ -192,9 +201,9 @@
     assert_broken(&unmarked);
 }
 
-fn assert_broken(answer: &Answer) {
-    assert_that!(answer.has_end_mark(), eq(false));
-    assert_that!(answer.is_whole, eq(false));
+fn assert_broken(answer: &TestResponse) {
+    assert_that!(answer.has_done_marker(), eq(false));
+    assert_that!(answer.is_complete, eq(false));
     assert_that!(answer.body, contains_substring(r#""outcome":"unknown""#));
 }
 
@@ -203,12 +212,12 @@
 /// Cause: the stream from the engine was read on; dropping it closes its connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_caller_cancels_its_stream() {
-    let cluster = Cluster::start(Plan::default()).await;
+    let cluster = Cluster::start(ClusterSpec::default()).await;
     let headers = [("authorization", "Bearer kayal-key")];
     let body = chat_body(100_000, true);
     let path = "/v1/chat/completions";
     let reply = cluster
-        .begin(&cluster.callers(0), "POST", path, &headers, &body)
+        .send_for_head(&cluster.callers(0), "POST", path, &headers, &body)
         .await;
     let (_, mut body) = reply.expect("a head");
     assert_that!(
@@ -232,7 +241,7 @@
 async fn key_runs_at_most_once_through_six_nodes() {
     const KEYS: usize = 50;
     const ROUNDS: usize = 34;
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterSpec {
         zones: 3,
         nodes_per_zone: 2,
         ..service_plan()
@@ -245,7 +254,9 @@
             let cluster = &cluster;
             async move {
                 let headers = [("idempotency-key", key.as_str())];
-                cluster.call((index + round) % 6, "/bill", &headers).await
+                cluster
+                    .call_service((index + round) % 6, "/bill", &headers)
+                    .await
             }
         });
         let answers = futures_join(calls.collect()).await;
@@ -270,7 +281,7 @@
 /// Cause: the claim lived in the dead node's memory; it is in the table.
 #[tokio::test(flavor = "multi_thread")]
 async fn key_survives_the_death_of_its_node() {
-    let mut cluster = Cluster::start(Plan {
+    let mut cluster = Cluster::start(ClusterSpec {
         nodes_per_zone: 2,
         ..service_plan()
     })
@@ -292,7 +303,7 @@
     }
     cluster.nodes[0].kill();
     let again = cluster
-        .call(1, "/bill", &[("idempotency-key", "order-1")])
+        .call_service(1, "/bill", &[("idempotency-key", "order-1")])
         .await;
     let again = again.expect("an answer");
 
@@ -310,17 +321,23 @@
     let name = cluster.services.keys().next().expect("a service").clone();
     cluster.services.get_mut(&name).expect("a service").kill();
     let headers = [("idempotency-key", "order-1")];
-    let first = cluster.call(0, "/bill", &headers).await.expect("an answer");
+    let first = cluster
+        .call_service(0, "/bill", &headers)
+        .await
+        .expect("an answer");
     assert_that!(first.outcome(), eq("not_run"));
 
     cluster.add_service("kakkanad", &name, 2, "127.0.0.1:0");
     cluster
         .wait("the replacement answers", async |cluster| {
-            let answer = cluster.call(0, "/ping", &[]).await;
+            let answer = cluster.call_service(0, "/ping", &[]).await;
             answer.is_some_and(|answer| answer.status == 200)
         })
         .await;
-    let second = cluster.call(0, "/bill", &headers).await.expect("an answer");
+    let second = cluster
+        .call_service(0, "/bill", &headers)
+        .await
+        .expect("an answer");
     assert_that!(second.outcome(), eq("answered"));
     assert_that!(cluster.calls("/bill"), eq(1));
 }
@@ -336,7 +353,10 @@
     let address = cluster.services[&name].address().to_string();
     let headers = [("x-repeatable", "true")];
     for _ in 0..5 {
-        let answer = cluster.call(0, "/look", &headers).await.expect("an answer");
+        let answer = cluster
+            .call_service(0, "/look", &headers)
+            .await
+            .expect("an answer");
         assert_that!(answer.outcome(), eq("answered"));
     }
     cluster.services.get_mut(&name).expect("a service").kill();
@@ -345,7 +365,10 @@
     for _ in 0..5 {
         cluster
             .wait("the new life answers", async |cluster| {
-                let answer = cluster.call(0, "/look", &headers).await.expect("an answer");
+                let answer = cluster
+                    .call_service(0, "/look", &headers)
+                    .await
+                    .expect("an answer");
                 let outcome = answer.outcome();
                 assert_that!(outcome, any!(eq("answered"), eq("not_run")));
                 outcome == "answered"
@@ -365,13 +388,19 @@
     cluster.platform.fault(|faults| faults.is_down = true);
 
     let headers = [("idempotency-key", "order-1")];
-    let keyed = cluster.call(0, "/bill", &headers).await.expect("an answer");
+    let keyed = cluster
+        .call_service(0, "/bill", &headers)
+        .await
+        .expect("an answer");
     assert_that!(keyed.outcome(), eq("not_run"));
     assert_that!(keyed.code(), eq("claim_store"));
     assert_that!(keyed.headers.contains_key("retry-after"), eq(true));
     assert_that!(cluster.calls("/bill"), eq(0));
 
-    let unkeyed = cluster.call(0, "/bill", &[]).await.expect("an answer");
+    let unkeyed = cluster
+        .call_service(0, "/bill", &[])
+        .await
+        .expect("an answer");
     assert_that!(unkeyed.outcome(), eq("answered"));
     assert_that!(cluster.calls("/bill"), eq(1));
 }
@@ -386,7 +415,10 @@
     let mut outcomes = Vec::new();
     for _ in 0..3 {
         let headers = [("idempotency-key", "order-1")];
-        let answer = cluster.call(0, "/bill", &headers).await.expect("an answer");
+        let answer = cluster
+            .call_service(0, "/bill", &headers)
+            .await
+            .expect("an answer");
         outcomes.push(answer.outcome());
     }
 
@@ -401,7 +433,7 @@
 /// Cause: the mark was taken back by an older list; it holds for that life of the machine.
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_target_gets_nothing_new() {
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterSpec {
         services_per_zone: 2,
         ..service_plan()
     })
@@ -416,7 +448,10 @@
         .await;
     let before = leaving.calls().len();
     for _ in 0..40 {
-        let answer = cluster.call(0, "/bill", &[]).await.expect("an answer");
+        let answer = cluster
+            .call_service(0, "/bill", &[])
+            .await
+            .expect("an answer");
         assert_that!(answer.outcome(), eq("answered"));
     }
     assert_that!(leaving.calls(), len(eq(before)));
@@ -427,7 +462,7 @@
 /// Cause: only the platform's list was believed; the target's own word counts too.
 #[tokio::test(flavor = "multi_thread")]
 async fn target_that_says_it_leaves_is_believed() {
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterSpec {
         services_per_zone: 2,
         ..service_plan()
     })
@@ -435,7 +470,10 @@
     let (_, leaving) = cluster.services.iter().next().expect("a service");
     leaving.fault(|faults| faults.is_leaving = true);
     for _ in 0..20 {
-        let answer = cluster.call(0, "/bill", &[]).await.expect("an answer");
+        let answer = cluster
+            .call_service(0, "/bill", &[])
+            .await
+            .expect("an answer");
         assert_that!(answer.outcome(), eq("answered"));
     }
     assert_that!(cluster.calls("/bill"), eq(20));
@@ -448,9 +486,9 @@
 /// Cause: the process ended with its listeners; it has to wait for the last answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn graceful_shutdown_cuts_no_answer() {
-    let mut cluster = Cluster::start_bare(&Plan {
+    let mut cluster = Cluster::start_unconfigured(&ClusterSpec {
         engines_per_zone: 0,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     for index in 0..2 {
@@ -459,7 +497,7 @@
         settings.token_time = Duration::from_millis(20);
         cluster.add_engine("kakkanad", "kakkanad-fabric", settings);
     }
-    let cluster = cluster.configured(&Plan::default()).await;
+    let cluster = cluster.configured(&ClusterSpec::default()).await;
     cluster.wait_routable(1).await;
     let headers = [("authorization", "Bearer kayal-key")];
     let body = chat_body(60, true);
@@ -467,7 +505,7 @@
     for _ in 0..20 {
         let path = "/v1/chat/completions";
         let begun = cluster
-            .begin(&cluster.callers(0), "POST", path, &headers, &body)
+            .send_for_head(&cluster.callers(0), "POST", path, &headers, &body)
             .await;
         streams.push(begun.expect("a head"));
     }
@@ -480,20 +518,20 @@
     let ends = futures_join(
         streams
             .into_iter()
-            .map(|(head, body)| finish(head, body))
+            .map(|(head, body)| read_response(head, body))
             .collect(),
     )
     .await;
 
     for answer in &ends {
         assert_that!(answer.events(), len(eq(60)));
-        assert_that!(answer.has_end_mark() && answer.is_whole, eq(true));
+        assert_that!(answer.has_done_marker() && answer.is_complete, eq(true));
     }
     let mut cluster = cluster;
     let node = &mut cluster.nodes[0];
     let start = std::time::Instant::now();
-    while !node.has_ended() {
-        assert_that!(start.elapsed(), lt(support::LIMIT));
+    while !node.has_exited() {
+        assert_that!(start.elapsed(), lt(support::WAIT_TIMEOUT));
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     let usage = cluster.platform.rows("usage/");
@@ -508,12 +546,12 @@
 /// Every malformed request gets its documented error, and the node goes on serving.
 #[tokio::test(flavor = "multi_thread")]
 async fn malformed_requests_get_their_errors() {
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterSpec {
         settings: vec![
             "requests.body_bytes=2000".to_owned(),
             "requests.json_depth=8".to_owned(),
         ],
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let chat = "/v1/chat/completions";
@@ -638,7 +676,7 @@
 async fn broken_http_costs_only_its_connection() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-    let cluster = Cluster::start(Plan::default()).await;
+    let cluster = Cluster::start(ClusterSpec::default()).await;
     let head =
         "POST /v1/chat/completions HTTP/1.1\r\nhost: n\r\nauthorization: Bearer kayal-key\r\n";
     let texts = [
@@ -657,7 +695,7 @@
         let _ = stream.shutdown().await;
         let mut answer = Vec::new();
         let reading = stream.read_to_end(&mut answer);
-        let _ = tokio::time::timeout(support::LIMIT, reading)
+        let _ = tokio::time::timeout(support::WAIT_TIMEOUT, reading)
             .await
             .expect("the node lets go");
         assert_that!(
@@ -675,7 +713,7 @@
 /// Cause: it waited for a target to appear; it is refused at once and told when to come back.
 #[tokio::test(flavor = "multi_thread")]
 async fn hopeless_request_is_refused_at_once() {
-    let mut cluster = Cluster::start(Plan::default()).await;
+    let mut cluster = Cluster::start(ClusterSpec::default()).await;
     for engine in cluster.engines.values_mut() {
         engine.kill();
     }
@@ -699,7 +737,7 @@
     word.unwrap_or_default().to_owned()
 }
 
-fn count(answers: &[Option<Answer>], outcome: &str) -> usize {
+fn count(answers: &[Option<TestResponse>], outcome: &str) -> usize {
     let answers = answers.iter().flatten();
     answers.filter(|answer| answer.outcome() == outcome).count()
 }
--- a/crates/node/tests/signals.rs
+++ b/crates/node/tests/signals.rs
@@ -4,19 +4,19 @@
 
 use nix::sys::signal::Signal;
 use std::time::Duration;
-use support::{Cluster, Plan};
+use support::{Cluster, ClusterSpec};
 
 /// Symptom: nodes end when their settings file changes.
 /// Events: a signal to reload arrives, several times in a row.
 /// Cause guarded against: the signal's default action, which ends the process.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_signal_to_reload_ends_nothing() {
-    let mut cluster = Cluster::start(Plan {
+    let mut cluster = Cluster::start(ClusterSpec {
         zones: 1,
         nodes_per_zone: 1,
         engines_per_zone: 0,
         services_per_zone: 1,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     for _ in 0..5 {
@@ -29,5 +29,5 @@
         .send(&address, "POST", "/v1/keys", &[authorization], "")
         .await;
     assert_eq!(answer.expect("an answer").status, 200);
-    assert!(!cluster.nodes[0].has_ended());
+    assert!(!cluster.nodes[0].has_exited());
 }
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -26,7 +26,7 @@
 use serde_json::Value;
 
 /// Longest time a condition may take to come about.
-pub const LIMIT: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 /// Times that nodes are started on new ports.
 const STARTS: usize = 5;
 pub const MODEL: &str = "vilakku-lm";
@@ -100,7 +100,7 @@
     }
 
     /// Starts the node anew with a standard output that is read only by who holds what is returned.
-    pub fn restart_unread(&mut self) -> ChildStdout {
+    pub fn restart_with_piped_output(&mut self) -> ChildStdout {
         self.kill();
         let mut child = Command::new(env!("CARGO_BIN_EXE_briarswitch-node"))
             .args(&self.arguments)
@@ -125,7 +125,7 @@
         }
     }
 
-    pub fn has_ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         let child = self.child.as_mut();
         child.is_none_or(|child| child.try_wait().is_ok_and(|status| status.is_some()))
     }
@@ -151,15 +151,15 @@
 
 /// One answer as the test's client saw it.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct TestResponse {
     pub status: u16,
     pub headers: BTreeMap<String, String>,
     pub body: String,
     /// Whether the body came to its end.
-    pub is_whole: bool,
+    pub is_complete: bool,
 }
 
-impl Answer {
+impl TestResponse {
     pub fn outcome(&self) -> String {
         self.headers.get("x-outcome").cloned().unwrap_or_default()
     }
@@ -182,7 +182,7 @@
             .collect()
     }
 
-    pub fn has_end_mark(&self) -> bool {
+    pub fn has_done_marker(&self) -> bool {
         self.body.contains("data: [DONE]")
     }
 }
@@ -196,7 +196,7 @@
 }
 
 /// What a cluster consists of.
-pub struct Plan {
+pub struct ClusterSpec {
     pub zones: usize,
     pub nodes_per_zone: usize,
     pub engines_per_zone: usize,
@@ -208,7 +208,7 @@
     pub settings: Vec<String>,
 }
 
-impl Default for Plan {
+impl Default for ClusterSpec {
     fn default() -> Self {
         Self {
             zones: 1,
@@ -226,8 +226,8 @@
 
 impl Cluster {
     /// Starts everything and waits until every wanted group serves.
-    pub async fn start(plan: Plan) -> Self {
-        let cluster = Self::start_bare(&plan).await;
+    pub async fn start(plan: ClusterSpec) -> Self {
+        let cluster = Self::start_unconfigured(&plan).await;
         cluster.configure(&plan).await;
         let groups = plan.zones * plan.replicas_per_zone as usize;
         if plan.engines_per_zone > 0 {
@@ -244,7 +244,7 @@
             if plan.services_per_zone > 0 {
                 cluster
                     .wait("the service answers", async |cluster| {
-                        let answer = cluster.call(index, "/ping", &[]).await;
+                        let answer = cluster.call_service(index, "/ping", &[]).await;
                         answer.is_some_and(|answer| answer.status == 200)
                     })
                     .await;
@@ -254,7 +254,7 @@
     }
 
     /// Starts processes and stand-ins without any configuration.
-    pub async fn start_bare(plan: &Plan) -> Self {
+    pub async fn start_unconfigured(plan: &ClusterSpec) -> Self {
         let mut cluster = Self {
             platform: PlatformStandin::spawn("127.0.0.1:0").expect("a platform"),
             engines: BTreeMap::new(),
@@ -281,7 +281,7 @@
     }
 
     /// Starts the nodes, on other ports if somebody took one between its choice and its use.
-    async fn start_nodes(&mut self, plan: &Plan) {
+    async fn start_nodes(&mut self, plan: &ClusterSpec) {
         for _ in 0..STARTS {
             self.nodes.clear();
             self.add_nodes(plan);
@@ -300,11 +300,11 @@
         for index in 0..self.nodes.len() {
             let start = Instant::now();
             while !self.is_ready(index).await {
-                if self.nodes[index].has_ended() {
+                if self.nodes[index].has_exited() {
                     return false;
                 }
                 assert!(
-                    start.elapsed() < LIMIT,
+                    start.elapsed() < WAIT_TIMEOUT,
                     "the node is ready: did not come about"
                 );
                 tokio::time::sleep(Duration::from_millis(20)).await;
@@ -345,7 +345,7 @@
         self.services.insert(name.to_owned(), service);
     }
 
-    fn add_nodes(&mut self, plan: &Plan) {
+    fn add_nodes(&mut self, plan: &ClusterSpec) {
         let count = plan.zones * plan.nodes_per_zone;
         let mut ports = free_ports(count * 4).into_iter();
         let mut next = || ports.next().expect("a port");
@@ -403,7 +403,7 @@
     }
 
     /// Points one node at another platform address, for the next start.
-    pub fn reroute_platform(&mut self, node: usize, address: &str) {
+    pub fn set_platform_address(&mut self, node: usize, address: &str) {
         for service in ["table", "objects", "vms", "weights"] {
             let flag = format!("platform.{service}=http://{address}");
             self.nodes[node]
@@ -427,7 +427,7 @@
         answer.is_some_and(|answer| answer.status == 200)
     }
 
-    async fn configure(&self, plan: &Plan) {
+    async fn configure(&self, plan: &ClusterSpec) {
         self.must_edit(KindDoc::Organisation, "kayal", organisation(KEY))
             .await;
         let model = ValueDoc::Deployment(DeploymentDoc {
@@ -493,10 +493,10 @@
             write: format!("test-{id}-{node}-{base}-{}", rand_suffix()),
         };
         let text = serde_json::to_string(&request).expect("an edit");
-        self.operate(node, "POST", "/v1/edit", &text).await
+        self.operator_request(node, "POST", "/v1/edit", &text).await
     }
 
-    pub async fn operate<T: serde::de::DeserializeOwned>(
+    pub async fn operator_request<T: serde::de::DeserializeOwned>(
         &self,
         node: usize,
         method: &str,
@@ -510,19 +510,19 @@
     }
 
     /// Configures a cluster that was started bare.
-    pub async fn configured(self, plan: &Plan) -> Self {
+    pub async fn configured(self, plan: &ClusterSpec) -> Self {
         self.configure(plan).await;
         self
     }
 
     /// Returns one service's part of a node's state dump.
     pub async fn dump(&self, node: usize, service: &str) -> Value {
-        let dump: Option<Value> = self.operate(node, "GET", "/v1/dump", "").await;
+        let dump: Option<Value> = self.operator_request(node, "GET", "/v1/dump", "").await;
         dump.unwrap_or_default()["services"][service].clone()
     }
 
     pub async fn status(&self, node: usize) -> Option<StatusReply> {
-        self.operate(node, "GET", "/v1/status", "").await
+        self.operator_request(node, "GET", "/v1/status", "").await
     }
 
     pub async fn version(&self, node: usize) -> Option<u64> {
@@ -551,7 +551,7 @@
     }
 
     /// Returns a node's processor time in seconds and its resident memory in kB.
-    pub fn usage_of(&self, node: usize) -> (f64, u64) {
+    pub fn process_usage(&self, node: usize) -> (f64, u64) {
         let child = self.nodes[node].child.as_ref().expect("a running node");
         let read = |file: &str| {
             std::fs::read_to_string(format!("/proc/{}/{file}", child.id())).unwrap_or_default()
@@ -573,7 +573,7 @@
 
     /// Returns the bytes of questions a node took from its peers.
     pub async fn peer_bytes(&self, node: usize) -> u64 {
-        let dump: Option<Value> = self.operate(node, "GET", "/v1/dump", "").await;
+        let dump: Option<Value> = self.operator_request(node, "GET", "/v1/dump", "").await;
         dump.unwrap_or_default()["peer_bytes"].as_u64().unwrap_or(0)
     }
 
@@ -581,7 +581,7 @@
     pub async fn wait(&self, what: &str, holds: impl AsyncFn(&Self) -> bool) {
         let start = Instant::now();
         while !holds(self).await {
-            assert!(start.elapsed() < LIMIT, "{what}: did not come about");
+            assert!(start.elapsed() < WAIT_TIMEOUT, "{what}: did not come about");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -591,7 +591,7 @@
     }
 
     /// Sends a chat request for `tokens` tokens.
-    pub async fn chat(&self, node: usize, tokens: u32, is_stream: bool) -> Option<Answer> {
+    pub async fn chat(&self, node: usize, tokens: u32, is_stream: bool) -> Option<TestResponse> {
         self.chat_with(node, tokens, is_stream, &[]).await
     }
 
@@ -601,7 +601,7 @@
         tokens: u32,
         is_stream: bool,
         headers: &[(&str, &str)],
-    ) -> Option<Answer> {
+    ) -> Option<TestResponse> {
         let body = chat_body(tokens, is_stream);
         let mut all = vec![("authorization", "Bearer kayal-key")];
         all.extend_from_slice(headers);
@@ -611,7 +611,12 @@
     }
 
     /// Calls the plain service.
-    pub async fn call(&self, node: usize, path: &str, headers: &[(&str, &str)]) -> Option<Answer> {
+    pub async fn call_service(
+        &self,
+        node: usize,
+        path: &str,
+        headers: &[(&str, &str)],
+    ) -> Option<TestResponse> {
         let mut all = vec![("authorization", "Bearer kayal-key")];
         all.extend_from_slice(headers);
         let path = format!("/services/{SERVICE}{path}");
@@ -627,13 +632,15 @@
         path: &str,
         headers: &[(&str, &str)],
         body: &str,
-    ) -> Option<Answer> {
-        let (head, body) = self.begin(address, method, path, headers, body).await?;
-        Some(finish(head, body).await)
+    ) -> Option<TestResponse> {
+        let (head, body) = self
+            .send_for_head(address, method, path, headers, body)
+            .await?;
+        Some(read_response(head, body).await)
     }
 
     /// Sends one request and returns with the head of its answer.
-    pub async fn begin(
+    pub async fn send_for_head(
         &self,
         address: &str,
         method: &str,
@@ -655,7 +662,10 @@
             incarnation: 0,
         };
         let sending = self.client.send(&target, request, true);
-        let reply = tokio::time::timeout(LIMIT, sending).await.ok()?.ok()?;
+        let reply = tokio::time::timeout(WAIT_TIMEOUT, sending)
+            .await
+            .ok()?
+            .ok()?;
         Some((reply.head, reply.body))
     }
 
@@ -673,10 +683,10 @@
 }
 
 /// Reads an answer to its end, or to where it broke.
-pub async fn finish(head: http::response::Parts, mut body: TargetBody) -> Answer {
+pub async fn read_response(head: http::response::Parts, mut body: TargetBody) -> TestResponse {
     let mut bytes = Vec::new();
-    let is_whole = loop {
-        match tokio::time::timeout(LIMIT, body.next()).await {
+    let is_complete = loop {
+        match tokio::time::timeout(WAIT_TIMEOUT, body.next()).await {
             Ok(Ok(Some(piece))) => bytes.extend_from_slice(&piece),
             Ok(Ok(None)) => break true,
             Ok(Err(_)) | Err(_) => break false,
@@ -686,11 +696,11 @@
         let text = value.to_str().unwrap_or_default().to_owned();
         (name.as_str().to_owned(), text)
     });
-    Answer {
+    TestResponse {
         status: head.status.as_u16(),
         headers: headers.collect(),
         body: String::from_utf8_lossy(&bytes).into_owned(),
-        is_whole,
+        is_complete,
     }
 }
 
@@ -774,7 +784,7 @@
     loop {
         match PlainStandin::spawn(address, name, incarnation) {
             Ok(service) => return service,
-            Err(error) => assert!(start.elapsed() < LIMIT, "{address}: {error}"),
+            Err(error) => assert!(start.elapsed() < WAIT_TIMEOUT, "{address}: {error}"),
         }
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -813,7 +823,7 @@
     ports: &Ports,
     platform: &str,
     nodes: &[(String, String, u16)],
-    plan: &Plan,
+    plan: &ClusterSpec,
 ) -> Vec<String> {
     let peers: Vec<Value> = nodes
         .iter()
