--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -1,4 +1,4 @@
-//! The daemon's command line.
+//! Command line of the daemon.
 
 use std::fmt::Write as _;
 use std::fs;
@@ -14,19 +14,19 @@
 /// Options of `briarswitch-node`.
 #[derive(Debug, Options)]
 pub struct NodeOptions {
-    /// Prints the usage.
+    /// Whether to print the usage and exit.
     #[options(help = "print this help")]
     pub help: bool,
-    /// Prints the version.
+    /// Whether to print the version and exit.
     #[options(help = "print the version")]
     pub version: bool,
-    /// Settings files, later ones laid over earlier ones.
+    /// Settings files; values in later files override those in earlier ones.
     #[options(
         help = "read settings from a JSON file; may be repeated",
         meta = "FILE"
     )]
     pub settings: Vec<String>,
-    /// Checks a settings file and ends.
+    /// Settings file to check without starting a node.
     #[options(help = "only check a settings file", meta = "FILE")]
     pub check: Option<String>,
     /// Settings file of a node that serves a fleet.
@@ -36,32 +36,32 @@
         meta = "FILE"
     )]
     pub fleet: Option<String>,
-    /// Whether a fleet's settings are only checked.
+    /// Whether to check the fleet's settings without starting a node.
     #[options(no_short, help = "with --fleet: only check the settings")]
     pub dry_run: bool,
-    /// Settings given on the command line.
+    /// Settings given on the command line as `PATH=VALUE`; they override the files.
     #[options(help = "set one setting; may be repeated", meta = "PATH=VALUE")]
     pub set: Vec<String>,
-    /// Prints every setting and ends.
+    /// Whether to print every setting and exit.
     #[options(no_short, help = "print every setting, its default and its meaning")]
     pub list_settings: bool,
 }
 
-/// What the command line asks for.
+/// Action that the command line selects.
 #[derive(Debug)]
 pub enum Startup {
     /// Run a node.
     Run(Box<NodeSettings>),
     /// Run a node that serves a fleet.
     RunFleet(Box<FleetSettings>),
-    /// Print a text and end well.
+    /// Print a text and exit with success.
     Print(String),
-    /// Print findings and end badly.
+    /// Print the faults found in the settings and exit with an error.
     InvalidSettings(Vec<Finding>),
 }
 
 impl NodeOptions {
-    /// Reads the command line and the files it names.
+    /// Reads the settings files named on the command line and returns the action to take.
     pub fn startup(&self) -> Startup {
         if self.help {
             let usage = Self::usage();
@@ -88,7 +88,7 @@
         let text = match fs::read_to_string(name) {
             Ok(text) => text,
             Err(error) => {
-                let finding = Finding::new(name, format!("can not be read: {error}"));
+                let finding = Finding::new(name, format!("cannot be read: {error}"));
                 return Startup::InvalidSettings(vec![finding]);
             }
         };
@@ -101,20 +101,22 @@
 
     fn load(&self) -> Result<NodeSettings, Vec<Finding>> {
         let mut layers = SettingsLayers::with_defaults();
-        let mut unread = Vec::new();
+        let mut read_errors = Vec::new();
         for name in self.settings.iter().chain(&self.check) {
             match fs::read_to_string(name) {
                 Ok(text) => layers.add_file(name, &text),
-                Err(error) => unread.push(Finding::new(name, format!("can not be read: {error}"))),
+                Err(error) => {
+                    read_errors.push(Finding::new(name, format!("cannot be read: {error}")));
+                }
             }
         }
         for flag in &self.set {
             layers.add_flag(flag);
         }
         match layers.build() {
-            Ok(settings) if unread.is_empty() => Ok(settings),
-            Ok(_) => Err(unread),
-            Err(findings) => Err(unread.into_iter().chain(findings).collect()),
+            Ok(settings) if read_errors.is_empty() => Ok(settings),
+            Ok(_) => Err(read_errors),
+            Err(findings) => Err(read_errors.into_iter().chain(findings).collect()),
         }
     }
 }
--- a/crates/node/src/fields.rs
+++ b/crates/node/src/fields.rs
@@ -1,8 +1,8 @@
-//! The table of settings: path, kind, default and meaning of each.
+//! The table of settings: path, kind, default and description of each.
 
 use serde_json::Value;
 
-/// What values a setting takes.
+/// Values that a setting accepts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FieldKind {
     /// Text that is not empty.
@@ -13,9 +13,9 @@
     Url,
     /// A whole number within bounds.
     Number {
-        /// Least value.
+        /// Smallest value.
         min: u64,
-        /// Greatest value.
+        /// Largest value.
         max: u64,
     },
     /// A log level.
@@ -23,7 +23,7 @@
 }
 
 impl FieldKind {
-    /// Returns what is wrong with a value, or `None` when it is accepted.
+    /// Returns a message when a value is not accepted, `None` when it is.
     pub fn mismatch(self, value: &Value) -> Option<String> {
         let is_accepted = match self {
             Self::Text => value.as_str().is_some_and(|text| !text.is_empty()),
@@ -31,12 +31,9 @@
                 .as_str()
                 .is_some_and(|text| text.parse::<std::net::SocketAddr>().is_ok()),
             Self::Url => value.as_str().is_some_and(is_url),
-            Self::Number {
-                min: least,
-                max: most,
-            } => value
+            Self::Number { min, max } => value
                 .as_u64()
-                .is_some_and(|number| (least..=most).contains(&number)),
+                .is_some_and(|number| (min..=max).contains(&number)),
             Self::Level => value
                 .as_str()
                 .is_some_and(|text| text.parse::<log::LevelFilter>().is_ok()),
@@ -44,16 +41,13 @@
         (!is_accepted).then(|| format!("expected {}, found {value}", self.expected()))
     }
 
-    /// Returns what is accepted, in words.
+    /// Returns a description of the accepted values.
     pub fn expected(self) -> String {
         match self {
             Self::Text => "text that is not empty".to_owned(),
             Self::Address => "an address such as 127.0.0.1:7000".to_owned(),
             Self::Url => "a service such as http://127.0.0.1:7000".to_owned(),
-            Self::Number {
-                min: least,
-                max: most,
-            } => format!("a whole number from {least} to {most}"),
+            Self::Number { min, max } => format!("a whole number from {min} to {max}"),
             Self::Level => "one of off, error, warn, info, debug, trace".to_owned(),
         }
     }
@@ -78,11 +72,11 @@
 pub struct Field {
     /// Path in the file, parts joined by dots.
     pub path: &'static str,
-    /// Values taken.
+    /// Accepted values.
     pub kind: FieldKind,
-    /// Value when none is given.
+    /// Value used when none is given.
     pub default: FieldDefault,
-    /// Meaning, as `--list-settings` shows it.
+    /// Description printed by `--list-settings`.
     pub description: &'static str,
 }
 
@@ -96,7 +90,7 @@
     }
 }
 
-/// Finds a setting by its path.
+/// Returns the setting at a path.
 ///
 /// ```
 /// use briarswitch_node::fields::find_field;
@@ -114,100 +108,94 @@
     path: &'static str,
     kind: FieldKind,
     default: &'static str,
-    meaning: &'static str,
+    description: &'static str,
 ) -> Field {
     Field {
         path,
         kind,
         default: FieldDefault::Text(default),
-        description: meaning,
+        description,
     }
 }
 
-const fn millis(path: &'static str, least: u64, default: u64, meaning: &'static str) -> Field {
+const fn millis(path: &'static str, min: u64, default: u64, description: &'static str) -> Field {
     Field {
         path,
-        kind: FieldKind::Number {
-            min: least,
-            max: HOUR_MS,
-        },
+        kind: FieldKind::Number { min, max: HOUR_MS },
         default: FieldDefault::Number(default),
-        description: meaning,
+        description,
     }
 }
 
 const fn number(
     path: &'static str,
-    least: u64,
-    most: u64,
+    min: u64,
+    max: u64,
     default: u64,
-    meaning: &'static str,
+    description: &'static str,
 ) -> Field {
     Field {
         path,
-        kind: FieldKind::Number {
-            min: least,
-            max: most,
-        },
+        kind: FieldKind::Number { min, max },
         default: FieldDefault::Number(default),
-        description: meaning,
+        description,
     }
 }
 
-/// Every setting outside the list of peers.
+/// Every setting but those in the list of peers.
 #[rustfmt::skip]
 pub const FIELDS: &[Field] = &[
     text("node", FieldKind::Text, "node-1", "Name of this node."),
     text("zone", FieldKind::Text, "zone-1", "Availability zone of this node."),
-    text("listen.callers", FieldKind::Address, "127.0.0.1:0", "Listener for callers."),
-    text("listen.operators", FieldKind::Address, "127.0.0.1:0", "Listener for operators."),
-    text("listen.peers", FieldKind::Address, "127.0.0.1:0", "Listener for other nodes."),
-    text("listen.health", FieldKind::Address, "127.0.0.1:0", "Listener for health checks and metrics."),
-    text("platform.table", FieldKind::Url, "http://127.0.0.1:7900", "Table service."),
-    text("platform.objects", FieldKind::Url, "http://127.0.0.1:7900", "Object store."),
-    text("platform.vms", FieldKind::Url, "http://127.0.0.1:7900", "List of machines."),
-    text("platform.weights", FieldKind::Url, "http://127.0.0.1:7900", "Weight store."),
-    text("operator_token", FieldKind::Text, "change-me-operator", "Credential of operators."),
-    text("peer_token", FieldKind::Text, "change-me-peer", "Credential of nodes."),
-    text("log_level", FieldKind::Level, "info", "Least severe level written."),
-    number("traffic_threads", 1, 256, 2, "Threads that carry traffic."),
-    millis("lease.duration_ms", 100, 6_000, "Time a renewal of the zone lease is good for."),
-    millis("lease.margin_ms", 10, 1_000, "Time given up early and waited longer."),
-    millis("lease.renew_ms", 10, 1_500, "Time after which the lease is renewed."),
-    millis("gate.evidence_ttl_ms", 50, 1_500, "Time for which a report of a machine is good."),
+    text("listen.callers", FieldKind::Address, "127.0.0.1:0", "Address of the listener for callers."),
+    text("listen.operators", FieldKind::Address, "127.0.0.1:0", "Address of the listener for operators."),
+    text("listen.peers", FieldKind::Address, "127.0.0.1:0", "Address of the listener for other nodes."),
+    text("listen.health", FieldKind::Address, "127.0.0.1:0", "Address of the listener for health checks and metrics."),
+    text("platform.table", FieldKind::Url, "http://127.0.0.1:7900", "Address of the table service."),
+    text("platform.objects", FieldKind::Url, "http://127.0.0.1:7900", "Address of the object store."),
+    text("platform.vms", FieldKind::Url, "http://127.0.0.1:7900", "Address of the service that lists the machines."),
+    text("platform.weights", FieldKind::Url, "http://127.0.0.1:7900", "Address of the weight store."),
+    text("operator_token", FieldKind::Text, "change-me-operator", "Bearer token that operators send."),
+    text("peer_token", FieldKind::Text, "change-me-peer", "Token that nodes send to each other."),
+    text("log_level", FieldKind::Level, "info", "Least severe log level that is written."),
+    number("traffic_threads", 1, 256, 2, "Threads that serve traffic."),
+    millis("lease.duration_ms", 100, 6_000, "Time for which a renewal of the zone lease is valid."),
+    millis("lease.margin_ms", 10, 1_000, "Safety margin: the holder stops this much earlier, a challenger waits this much longer."),
+    millis("lease.renew_ms", 10, 1_500, "Time between renewals of the lease."),
+    millis("gate.evidence_ttl_ms", 50, 1_500, "Time for which a machine's report is valid."),
     millis("gate.probe_interval_ms", 10, 400, "Time between probes of one machine."),
-    millis("gate.probe_timeout_ms", 10, 400, "Time to wait for a report."),
-    millis("gate.exchange_interval_ms", 10, 250, "Time between exchanges within the zone."),
-    millis("gate.remote_exchange_interval_ms", 10, 1_000, "Time between exchanges with other zones."),
-    millis("gate.peer_timeout_ms", 50, 2_000, "Time after which a silent node is not a watcher."),
+    millis("gate.probe_timeout_ms", 10, 400, "Time to wait for the answer to a probe."),
+    millis("gate.exchange_interval_ms", 10, 250, "Time between exchanges with a node of the same zone."),
+    millis("gate.remote_exchange_interval_ms", 10, 1_000, "Time between exchanges with a node of another zone."),
+    millis("gate.peer_timeout_ms", 50, 2_000, "Time without an exchange after which a node no longer counts as a watcher."),
     millis("control.plan_interval_ms", 10, 300, "Time between planning rounds."),
-    millis("control.order_deadline_ms", 10, 1_000, "Time to wait for an engine's answer."),
-    millis("control.transport_bound_ms", 0, 500, "Longest time bytes may be under way after that."),
-    millis("control.member_grace_ms", 0, 1_000, "Time a member is unseen before its group is changed."),
+    millis("control.order_deadline_ms", 10, 1_000, "Time to wait for an engine's response to an order."),
+    millis("control.transport_bound_ms", 0, 500, "Longest time that an order may still arrive after its deadline."),
+    millis("control.member_grace_ms", 0, 1_000, "Time that a member must be missing before its group is changed."),
     millis("control.load_time_ms", 1, 60_000, "Time that loading weights is assumed to take."),
-    millis("control.config_poll_ms", 10, 1_000, "Time between reads of the configuration's head."),
+    millis("control.config_poll_ms", 10, 1_000, "Time between reads of the newest configuration version."),
     millis("control.list_poll_ms", 10, 1_000, "Time between reads of the list of machines."),
     millis("control.usage_flush_ms", 10, 5_000, "Time between writes of usage."),
-    millis("control.platform_timeout_ms", 10, 1_000, "Time to wait for the platform."),
-    number("requests.body_bytes", 1, 1 << 30, 4 << 20, "Largest body in bytes."),
-    number("requests.header_bytes", 256, 65_536, 16_384, "Largest headers in bytes, names and values together."),
-    number("requests.headers", 8, 250, 100, "Most headers of a request."),
-    number("requests.json_depth", 1, 128, 32, "Deepest nesting of a JSON body."),
-    millis("requests.body_timeout_ms", 10, 10_000, "Time for a caller to send its body."),
-    millis("requests.default_deadline_ms", 10, 60_000, "Time limit of a request that names none."),
-    millis("requests.longest_deadline_ms", 10, 600_000, "Longest time limit a caller may name."),
-    number("requests.in_flight", 1, 1 << 20, 8_192, "Requests in flight on this node."),
-    number("requests.queue", 0, 1 << 20, 1_024, "Requests waiting for one deployment."),
+    millis("control.platform_timeout_ms", 10, 1_000, "Time to wait for an answer of the platform."),
+    number("requests.body_bytes", 1, 1 << 30, 4 << 20, "Largest accepted body in bytes."),
+    number("requests.header_bytes", 256, 65_536, 16_384, "Largest accepted size of all headers in bytes, names and values together."),
+    number("requests.headers", 8, 250, 100, "Most headers accepted in a request."),
+    number("requests.json_depth", 1, 128, 32, "Deepest accepted nesting of a JSON body."),
+    millis("requests.body_timeout_ms", 10, 10_000, "Time in which a caller must send its body."),
+    millis("requests.default_deadline_ms", 10, 60_000, "Time limit of a request that does not set one."),
+    millis("requests.longest_deadline_ms", 10, 600_000, "Longest time limit that a caller may set."),
+    number("requests.in_flight", 1, 1 << 20, 8_192, "Most requests in flight on this node."),
+    number("requests.queue", 0, 1 << 20, 1_024, "Most requests queued for one deployment."),
     millis("requests.connect_timeout_ms", 1, 500, "Time to open a connection to a target."),
-    millis("requests.stream_silence_ms", 10, 15_000, "Longest silence before a stream is broken."),
-    number("requests.retry_permille", 0, 1_000, 100, "Thousandths of a retry earned by a success."),
-    number("requests.retry_burst", 0, 10_000, 20, "Most retries saved up."),
-    number("requests.keys", 1, 1 << 24, 65_536, "Idempotency keys remembered."),
-    millis("shutdown.notice_ms", 0, 2_000, "Time for the balancer to notice."),
-    millis("shutdown.drain_ms", 1, 600_000, "Longest wait for requests in flight."),
+    millis("requests.stream_silence_ms", 10, 15_000, "Time without an event after which a stream counts as broken."),
+    number("requests.retry_permille", 0, 1_000, 100, "Thousandths of a retry that each success adds to the retry budget."),
+    number("requests.retry_burst", 0, 10_000, 20, "Most retries that the retry budget holds."),
+    number("requests.keys", 1, 1 << 24, 65_536, "Most idempotency keys kept in memory."),
+    millis("shutdown.notice_ms", 0, 2_000, "Time in which a node that is not ready any more still accepts requests."),
+    millis("shutdown.drain_ms", 1, 600_000, "Longest time to wait for requests in flight."),
 ];
 
-/// Settings of one peer; all are needed.
+/// Settings of one entry in the list of peers; all are required.
 #[rustfmt::skip]
 pub const PEER_FIELDS: &[Field] = &[
     text("node", FieldKind::Text, "", "Name of the node."),
--- a/crates/node/src/layers.rs
+++ b/crates/node/src/layers.rs
@@ -1,4 +1,5 @@
-//! Layers of settings: defaults, then files, then flags, checked in one pass.
+//! Layers of settings: files override defaults, flags override files. All faults are reported at
+//! once.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,7 +17,7 @@
 /// Path of the list of peers.
 const PEERS: &str = "peers";
 
-/// Values gathered from the layers, by path.
+/// Merged values of the layers, by path, with the faults found so far.
 #[derive(Clone, Debug, Default)]
 pub struct SettingsLayers {
     values: BTreeMap<String, Value>,
@@ -25,7 +26,7 @@
 }
 
 impl SettingsLayers {
-    /// Opens the layer of defaults.
+    /// Returns the layer of defaults.
     pub fn with_defaults() -> Self {
         let values = FIELDS
             .iter()
@@ -37,7 +38,10 @@
         }
     }
 
-    /// Lays a file's text over what is there, keeping every fault found.
+    /// Adds a file's text, which overrides earlier layers; a value with a fault is left out and
+    /// reported by [`Self::build`].
+    ///
+    /// A list of peers replaces an earlier one.
     pub fn add_file(&mut self, name: &str, text: &str) {
         match serde_json::from_str::<Value>(text) {
             Ok(Value::Object(object)) => {
@@ -45,29 +49,29 @@
                     self.add_value(name, &key, value);
                 }
             }
-            Ok(_) => self.note(name, "", "expected a JSON object"),
-            Err(error) => self.note(name, "", &format!("not valid JSON: {error}")),
+            Ok(_) => self.add_finding(name, "", "expected a JSON object"),
+            Err(error) => self.add_finding(name, "", &format!("not valid JSON: {error}")),
         }
     }
 
-    /// Lays a flag of the form `path=value` over what is there.
+    /// Adds a flag of the form `path=value`, which overrides earlier layers.
     pub fn add_flag(&mut self, flag: &str) {
         let Some((path, text)) = flag.split_once('=') else {
-            self.note("--set", flag, "expected PATH=VALUE");
+            self.add_finding("--set", flag, "expected PATH=VALUE");
             return;
         };
         let value = serde_json::from_str(text).unwrap_or_else(|_| Value::from(text));
         match find_field(path) {
             Some(_) => self.add_field("--set", path, value),
-            None => self.note("--set", path, "no such setting"),
+            None => self.add_finding("--set", path, "no such setting"),
         }
     }
 
-    /// Checks everything together and builds the settings.
+    /// Checks how the values relate to each other and builds the settings.
     ///
     /// # Errors
     ///
-    /// Returns every finding when there is one.
+    /// Returns every fault found in the layers and in the relations between their values.
     ///
     /// ```
     /// use briarswitch_node::layers::SettingsLayers;
@@ -104,8 +108,8 @@
                     self.add_value(name, &format!("{path}.{key}"), value);
                 }
             }
-            _ if is_section => self.note(name, path, "expected a JSON object"),
-            _ => self.note(name, path, "no such setting"),
+            _ if is_section => self.add_finding(name, path, "expected a JSON object"),
+            _ => self.add_finding(name, path, "no such setting"),
         }
     }
 
@@ -114,7 +118,7 @@
             return;
         };
         match field.kind.mismatch(&value) {
-            Some(mismatch) => self.note(name, path, &mismatch),
+            Some(mismatch) => self.add_finding(name, path, &mismatch),
             None => {
                 self.values.insert(path.to_owned(), value);
             }
@@ -123,47 +127,47 @@
 
     fn add_peers(&mut self, name: &str, value: Value) {
         let Value::Array(items) = value else {
-            self.note(name, PEERS, "expected a list of objects");
+            self.add_finding(name, PEERS, "expected a list of objects");
             return;
         };
         self.peers.clear();
         for (index, item) in items.into_iter().enumerate() {
-            let place = format!("{PEERS}[{index}]");
+            let location = format!("{PEERS}[{index}]");
             let Value::Object(object) = item else {
-                self.note(name, &place, "expected an object");
+                self.add_finding(name, &location, "expected an object");
                 continue;
             };
             let given: Vec<String> = object.keys().cloned().collect();
             let mut peer = BTreeMap::new();
             for (key, value) in object {
-                let place = format!("{place}.{key}");
+                let location = format!("{location}.{key}");
                 match PEER_FIELDS.iter().find(|field| field.path == key) {
                     Some(field) => match field.kind.mismatch(&value) {
-                        Some(mismatch) => self.note(name, &place, &mismatch),
+                        Some(mismatch) => self.add_finding(name, &location, &mismatch),
                         None => {
                             peer.insert(key, value);
                         }
                     },
-                    None => self.note(name, &place, "no such setting"),
+                    None => self.add_finding(name, &location, "no such setting"),
                 }
             }
             for field in PEER_FIELDS {
                 if !given.iter().any(|key| key == field.path) {
                     let fault = format!("missing; expected {}", field.kind.expected());
-                    self.note(name, &format!("{place}.{}", field.path), &fault);
+                    self.add_finding(name, &format!("{location}.{}", field.path), &fault);
                 }
             }
             self.peers.push(peer);
         }
     }
 
-    fn note(&mut self, name: &str, path: &str, message: &str) {
-        let place = if path.is_empty() {
+    fn add_finding(&mut self, name: &str, path: &str, message: &str) {
+        let location = if path.is_empty() {
             name.to_owned()
         } else {
             format!("{name}: {path}")
         };
-        self.findings.push(Finding::new(place, message));
+        self.findings.push(Finding::new(location, message));
     }
 
     fn check_relations(&mut self, settings: &NodeSettings) {
@@ -198,7 +202,7 @@
         ];
         for (holds, path, message) in relations {
             if !holds {
-                self.note("settings", path, message);
+                self.add_finding("settings", path, message);
             }
         }
         self.check_addresses(settings);
@@ -214,16 +218,16 @@
             ("listen.health", &listen.health),
         ];
         used.extend(settings.peers.iter().map(|peer| (PEERS, &peer.address)));
-        let mut duplicates = Vec::new();
+        let mut conflicts = Vec::new();
         for (index, (path, address)) in used.iter().enumerate() {
-            let is_chosen_later = address.ends_with(":0");
+            let is_ephemeral = address.ends_with(":0");
             let earlier = used[..index].iter().find(|(_, other)| other == address);
-            if let (false, Some((other, _))) = (is_chosen_later, earlier) {
-                duplicates.push((*path, format!("{address} is used by {other} too")));
+            if let (false, Some((other, _))) = (is_ephemeral, earlier) {
+                conflicts.push((*path, format!("{address} is used by {other} too")));
             }
         }
-        for (path, message) in duplicates {
-            self.note("settings", path, &message);
+        for (path, message) in conflicts {
+            self.add_finding("settings", path, &message);
         }
     }
 
@@ -233,7 +237,7 @@
             let is_repeated = names[..index].contains(name) || **name == settings.node;
             if is_repeated && !name.is_empty() {
                 let message = format!("the name {name} is used twice");
-                self.note("settings", &format!("{PEERS}[{index}].node"), &message);
+                self.add_finding("settings", &format!("{PEERS}[{index}].node"), &message);
             }
         }
     }
@@ -250,7 +254,7 @@
         usize::try_from(self.number(path)).unwrap_or(usize::MAX)
     }
 
-    fn time(&self, path: &str) -> Duration {
+    fn duration(&self, path: &str) -> Duration {
         Duration::from_millis(self.number(path))
     }
 
@@ -274,16 +278,16 @@
             operator_token: self.text("operator_token"),
             peer_token: self.text("peer_token"),
             lease: LeaseTiming {
-                duration: self.time("lease.duration_ms"),
-                margin: self.time("lease.margin_ms"),
-                renew: self.time("lease.renew_ms"),
+                duration: self.duration("lease.duration_ms"),
+                margin: self.duration("lease.margin_ms"),
+                renew: self.duration("lease.renew_ms"),
             },
             gate: self.assemble_gate(),
             control: self.assemble_control(),
             requests: self.assemble_requests(),
             shutdown: ShutdownSettings {
-                notice: self.time("shutdown.notice_ms"),
-                drain: self.time("shutdown.drain_ms"),
+                notice: self.duration("shutdown.notice_ms"),
+                drain: self.duration("shutdown.drain_ms"),
             },
             log_level: self
                 .text("log_level")
@@ -295,26 +299,26 @@
 
     fn assemble_gate(&self) -> GateSettings {
         GateSettings {
-            evidence_ttl: self.time("gate.evidence_ttl_ms"),
-            probe_interval: self.time("gate.probe_interval_ms"),
-            probe_timeout: self.time("gate.probe_timeout_ms"),
-            exchange_interval: self.time("gate.exchange_interval_ms"),
-            remote_exchange_interval: self.time("gate.remote_exchange_interval_ms"),
-            peer_timeout: self.time("gate.peer_timeout_ms"),
+            evidence_ttl: self.duration("gate.evidence_ttl_ms"),
+            probe_interval: self.duration("gate.probe_interval_ms"),
+            probe_timeout: self.duration("gate.probe_timeout_ms"),
+            exchange_interval: self.duration("gate.exchange_interval_ms"),
+            remote_exchange_interval: self.duration("gate.remote_exchange_interval_ms"),
+            peer_timeout: self.duration("gate.peer_timeout_ms"),
         }
     }
 
     fn assemble_control(&self) -> ControlSettings {
         ControlSettings {
-            plan_interval: self.time("control.plan_interval_ms"),
-            order_deadline: self.time("control.order_deadline_ms"),
-            transport_bound: self.time("control.transport_bound_ms"),
-            member_grace: self.time("control.member_grace_ms"),
-            load_time: self.time("control.load_time_ms"),
-            config_poll: self.time("control.config_poll_ms"),
-            list_poll: self.time("control.list_poll_ms"),
-            usage_flush: self.time("control.usage_flush_ms"),
-            platform_timeout: self.time("control.platform_timeout_ms"),
+            plan_interval: self.duration("control.plan_interval_ms"),
+            order_deadline: self.duration("control.order_deadline_ms"),
+            transport_bound: self.duration("control.transport_bound_ms"),
+            member_grace: self.duration("control.member_grace_ms"),
+            load_time: self.duration("control.load_time_ms"),
+            config_poll: self.duration("control.config_poll_ms"),
+            list_poll: self.duration("control.list_poll_ms"),
+            usage_flush: self.duration("control.usage_flush_ms"),
+            platform_timeout: self.duration("control.platform_timeout_ms"),
         }
     }
 
@@ -324,13 +328,13 @@
             header_bytes: self.count("requests.header_bytes"),
             headers: self.count("requests.headers"),
             json_depth: self.count("requests.json_depth"),
-            body_timeout: self.time("requests.body_timeout_ms"),
-            default_deadline: self.time("requests.default_deadline_ms"),
-            longest_deadline: self.time("requests.longest_deadline_ms"),
+            body_timeout: self.duration("requests.body_timeout_ms"),
+            default_deadline: self.duration("requests.default_deadline_ms"),
+            longest_deadline: self.duration("requests.longest_deadline_ms"),
             in_flight: self.count("requests.in_flight"),
             queue: self.count("requests.queue"),
-            connect_timeout: self.time("requests.connect_timeout_ms"),
-            stream_silence: self.time("requests.stream_silence_ms"),
+            connect_timeout: self.duration("requests.connect_timeout_ms"),
+            stream_silence: self.duration("requests.stream_silence_ms"),
             retry_permille: self.number("requests.retry_permille"),
             retry_burst: self.number("requests.retry_burst"),
             keys: self.count("requests.keys"),
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,4 @@
-//! The briarswitch daemon as a library: everything that runs on an entry VM.
+//! The briarswitch daemon as a library: the node process that runs on each entry `Vm`.
 //!
 //! ```no_run
 //! use briarswitch_node::{Node, SettingsLayers};
@@ -6,7 +6,7 @@
 //! # async fn example() -> Result<(), Box<dyn std::error::Error>> {
 //! let settings = SettingsLayers::with_defaults().build().map_err(|_| "bad settings")?;
 //! let node = Node::spawn(settings).await?;
-//! println!("callers are served at {}", node.addresses().callers);
+//! println!("listening for callers at {}", node.addresses().callers);
 //! node.shutdown().await;
 //! # Ok(())
 //! # }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,4 @@
-//! The briarswitch daemon.
+//! Entry point of `briarswitch-node`, the briarswitch daemon.
 
 use std::future::Future;
 use std::process::ExitCode;
@@ -11,11 +11,11 @@
 use log::LevelFilter;
 
 /// Exit code for settings that are not valid.
-const BAD_SETTINGS: u8 = 2;
+const EXIT_INVALID_SETTINGS: u8 = 2;
 /// Exit code for a node that could not start.
-const NO_START: u8 = 1;
-/// Threads that carry a fleet's traffic; its machines have one core.
-const FLEET_THREADS: usize = 1;
+const EXIT_START_FAILED: u8 = 1;
+/// Worker threads of a node that serves a fleet; the VMs of such nodes have one core.
+const FLEET_WORKER_THREADS: usize = 1;
 
 fn main() -> ExitCode {
     let options = NodeOptions::parse_args_default_or_exit();
@@ -28,7 +28,7 @@
             for finding in findings {
                 eprintln!("{finding}");
             }
-            ExitCode::from(BAD_SETTINGS)
+            ExitCode::from(EXIT_INVALID_SETTINGS)
         }
         Startup::Run(settings) => run(
             settings.log_level,
@@ -39,7 +39,7 @@
         Startup::RunFleet(settings) => run(
             settings.log_level,
             &settings.node.clone(),
-            FLEET_THREADS,
+            FLEET_WORKER_THREADS,
             serve_fleet(*settings),
         ),
     }
@@ -49,25 +49,26 @@
     level: LevelFilter,
     node: &str,
     threads: usize,
-    work: impl Future<Output = Result<(), StartError>>,
+    service: impl Future<Output = Result<(), StartError>>,
 ) -> ExitCode {
-    let begun = logging::start(level, node).map_err(StartError::from);
+    let logging = logging::start(level, node).map_err(StartError::from);
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(threads)
         .enable_all()
         .build();
-    let done = match (begun, runtime) {
-        (Ok(()), Ok(runtime)) => runtime.block_on(work),
+    let result = match (logging, runtime) {
+        (Ok(()), Ok(runtime)) => runtime.block_on(service),
         (Err(error), _) => Err(error),
         (_, Err(error)) => Err(error.into()),
     };
-    // The last lines are still on their way to the output.
+    // The log thread writes a line up to `BATCH_DELAY` after it was logged; the process must not
+    // exit before the last lines are written.
     std::thread::sleep(BATCH_DELAY * 2);
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{error}");
-            ExitCode::from(NO_START)
+            ExitCode::from(EXIT_START_FAILED)
         }
     }
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -32,24 +32,24 @@
 use crate::usage::{UsageMessage, UsageWriter};
 use crate::watch::FleetWatcher;
 
-/// Idle connections kept for one target.
-const IDLE_CONNECTIONS: usize = 256;
-/// Time between looks at whether the last request has ended.
-const DRAIN_POLL: Duration = Duration::from_millis(20);
-/// Longest time to wait for the platform while shutting down.
-const FAREWELL: Duration = Duration::from_secs(2);
-
-/// Why a node could not start.
+/// Most idle connections kept open to one target.
+const MAX_IDLE_CONNECTIONS: usize = 256;
+/// Time between checks for requests in flight and unwritten usage during shutdown.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Longest time to wait for each write to the platform during shutdown: usage, release of the lease.
+const PLATFORM_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// Error that keeps a node from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
     /// A listener could not be bound.
     #[error("{listener} listener at {address}: {source}")]
     Bind {
-        /// Surface of the listener.
+        /// Name of the listener: `callers`, `operators`, `peers` or `health`.
         listener: &'static str,
-        /// Address wanted.
+        /// Address to bind.
         address: String,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The control thread could not be set up.
@@ -57,16 +57,16 @@
     Kernel(#[from] KernelError),
 }
 
-/// Addresses a node listens at.
+/// Addresses that a node listens at.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct NodeAddresses {
-    /// For callers.
+    /// Listener for callers.
     pub callers: SocketAddr,
-    /// For operators.
+    /// Listener for operators.
     pub operators: SocketAddr,
-    /// For other nodes.
+    /// Listener for other nodes.
     pub peers: SocketAddr,
-    /// For health checks.
+    /// Listener for health checks and metrics.
     pub health: SocketAddr,
 }
 
@@ -81,11 +81,11 @@
 }
 
 impl Node {
-    /// Starts a node on the present runtime.
+    /// Starts a node on the current tokio runtime.
     ///
     /// # Errors
     ///
-    /// Returns [`NodeError`] when a listener can not be bound or the control thread not started.
+    /// Returns [`NodeError`] when a listener cannot be bound or the control thread cannot be started.
     pub async fn spawn(settings: NodeSettings) -> Result<Self, NodeError> {
         let platform =
             HttpPlatform::open(settings.platform.clone(), settings.control.platform_timeout);
@@ -110,29 +110,29 @@
 
         let client = TargetClient::open(TargetLimits {
             connect: shared.settings.requests.connect_timeout,
-            idle: IDLE_CONNECTIONS,
+            idle: MAX_IDLE_CONNECTIONS,
         });
         let suspects = NodeSuspects::open(Arc::clone(&shared), watcher.clone());
-        let host: Arc<dyn SuspectHost> = Arc::clone(&suspects) as Arc<dyn SuspectHost>;
-        let keeper = kernel.mount(SuspectSync::new(Arc::clone(&host)))?;
-        let reports = RunListeners {
-            watch: kernel.mount(CrashWatcher::new(host, keeper.clone()))?,
-            suspects: keeper,
+        let suspect_host: Arc<dyn SuspectHost> = Arc::clone(&suspects) as Arc<dyn SuspectHost>;
+        let suspect_sync = kernel.mount(SuspectSync::new(Arc::clone(&suspect_host)))?;
+        let run_listeners = RunListeners {
+            watch: kernel.mount(CrashWatcher::new(suspect_host, suspect_sync.clone()))?,
+            suspects: suspect_sync,
         };
         let runner = AttemptRunner::open(client, watcher);
         let claims = ClaimWriter::spawn(Arc::clone(&shared));
         let dispatcher =
-            RequestDispatcher::open(Arc::clone(&shared), runner, claims, suspects, reports);
+            RequestDispatcher::open(Arc::clone(&shared), runner, claims, suspects, run_listeners);
         let (stop, stopped) = watch::channel(false);
-        let surface = CallerSurface::open(Arc::clone(&shared), Arc::clone(&dispatcher));
-        let peer_surface = PeerSurface::open(Arc::clone(&shared), Arc::clone(&surface));
+        let caller_api = CallerSurface::open(Arc::clone(&shared), Arc::clone(&dispatcher));
+        let peer_api = PeerSurface::open(Arc::clone(&shared), Arc::clone(&caller_api));
         let servers = [
-            callers.spawn(surface, stopped.clone()),
+            callers.spawn(caller_api, stopped.clone()),
             operators.spawn(
                 OperatorSurface::open(Arc::clone(&shared), kernel.clone(), dispatcher),
                 stopped.clone(),
             ),
-            peers.spawn(peer_surface, stopped.clone()),
+            peers.spawn(peer_api, stopped.clone()),
             health.spawn(HealthApi::new(Arc::clone(&shared), kernel), stopped),
         ];
         log::info!(
@@ -152,28 +152,29 @@
         })
     }
 
-    /// Returns the addresses it listens at.
+    /// Returns the addresses that the node listens at.
     pub fn addresses(&self) -> NodeAddresses {
         self.addresses
     }
 
-    /// Ends the node without cutting off a request.
+    /// Shuts the node down gracefully.
     ///
-    /// The balancer's check fails first, and requests are still taken until it has had time to
-    /// notice; then new ones are refused as not run, those in flight are finished, usage is
-    /// written, the lease is given up, and the listeners close.
+    /// Readiness checks fail first, and requests are still accepted for `shutdown.notice_ms`, in
+    /// which the load balancer takes the node out. Then new requests are refused as not run, those
+    /// in flight run to their end for at most `shutdown.drain_ms`, usage is written, and the
+    /// listeners close. The release of the lease begins with the failing checks.
     pub async fn shutdown(self) {
         log::info!("shutdown_begun");
-        let times = self.shared.settings.shutdown;
+        let settings = self.shared.settings.shutdown;
         self.shared.enter(Phase::Leaving);
         let released = self.release_lease();
-        tokio::time::sleep(times.notice).await;
+        tokio::time::sleep(settings.notice).await;
         self.shared.enter(Phase::Draining);
-        let drained = tokio::time::timeout(times.drain, self.drain()).await;
+        let drained = tokio::time::timeout(settings.drain, self.drain()).await;
         self.flush_usage().await;
-        let _ = tokio::time::timeout(FAREWELL, released).await;
-        let left = self.shared.in_flight.load(Ordering::SeqCst);
-        log::info!(complete = drained.is_ok(), in_flight = left; "shutdown_ended");
+        let _ = tokio::time::timeout(PLATFORM_WRITE_TIMEOUT, released).await;
+        let in_flight = self.shared.in_flight.load(Ordering::SeqCst);
+        log::info!(complete = drained.is_ok(), in_flight = in_flight; "shutdown_ended");
         let _ = self.stop.send(true);
     }
 
@@ -185,7 +186,7 @@
 
     async fn drain(&self) {
         while self.shared.in_flight.load(Ordering::SeqCst) > 0 {
-            tokio::time::sleep(DRAIN_POLL).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 
@@ -193,27 +194,28 @@
         let flushing = async {
             while !self.shared.usage.is_empty() {
                 let _ = self.usage.send(UsageMessage::Flush).await;
-                tokio::time::sleep(DRAIN_POLL).await;
+                tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
             }
-            // One more round writes the batch that was cut last.
+            // The meter is empty once its last batch is taken, which is before that batch is
+            // written; one more flush writes it.
             let _ = self.usage.send(UsageMessage::Flush).await;
-            tokio::time::sleep(DRAIN_POLL * 2).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL * 2).await;
         };
-        let _ = tokio::time::timeout(FAREWELL, flushing).await;
+        let _ = tokio::time::timeout(PLATFORM_WRITE_TIMEOUT, flushing).await;
     }
 }
 
-async fn bind(surface: &'static str, address: &str) -> Result<HttpServer, NodeError> {
+async fn bind(listener: &'static str, address: &str) -> Result<HttpServer, NodeError> {
     HttpServer::bind(address)
         .await
         .map_err(|source| NodeError::Bind {
-            listener: surface,
+            listener,
             address: address.to_owned(),
             source,
         })
 }
 
-/// Draws the name of this life of the process; diskless machines can not count their lives.
+/// Draws a random incarnation for this run of the process; a diskless `Vm` cannot store a counter.
 fn new_incarnation() -> Incarnation {
     u64::from(rand::random::<u32>()) + 1
 }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,11 +1,11 @@
-//! Settings of the daemon.
+//! Settings of the daemon, as built from the settings files and the command line.
 
 use std::time::Duration;
 
 use briarswitch_core::prelude::*;
 use briarswitch_platform::PlatformAddresses;
 
-/// One other node.
+/// One peer: another node that this one exchanges state with.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PeerSettings {
     /// Name of the node.
@@ -16,130 +16,131 @@
     pub address: String,
 }
 
-/// Addresses the node listens at.
+/// Addresses that the node listens at, as `ip:port`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ListenSettings {
-    /// For callers.
+    /// Listener for callers.
     pub callers: String,
-    /// For operators.
+    /// Listener for operators.
     pub operators: String,
-    /// For other nodes.
+    /// Listener for other nodes.
     pub peers: String,
-    /// For the balancer and the metrics scraper.
+    /// Listener for health checks and metrics.
     pub health: String,
 }
 
-/// Times of the serving gate and of the exchange between nodes.
+/// Timing of the probes, and of the exchange between nodes, that decide whether a group may serve.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct GateSettings {
-    /// Time for which a report is good.
+    /// Time for which a machine's report is valid.
     pub evidence_ttl: Duration,
     /// Time between probes of one machine.
     pub probe_interval: Duration,
-    /// Time to wait for a report.
+    /// Time to wait for the answer to a probe.
     pub probe_timeout: Duration,
     /// Time between exchanges with a node of the same zone.
     pub exchange_interval: Duration,
     /// Time between exchanges with a node of another zone.
     pub remote_exchange_interval: Duration,
-    /// Time after which a silent node no longer counts as a watcher.
+    /// Time without an exchange after which a node no longer counts as a watcher of its zone.
     pub peer_timeout: Duration,
 }
 
-/// Times of the controller.
+/// Timing of the zone's controller and of the reads and writes at the platform.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ControlSettings {
     /// Time between planning rounds.
     pub plan_interval: Duration,
-    /// Time to wait for an engine's answer to an order.
+    /// Time to wait for an engine's response to an order.
     pub order_deadline: Duration,
-    /// Longest time bytes may be under way to an engine after the sender gave up.
+    /// Longest time that an order may still arrive at an engine after the sender timed out.
     pub transport_bound: Duration,
-    /// Time a member must be unseen before its group is changed.
+    /// Time that a member must be missing before its group is changed.
     pub member_grace: Duration,
     /// Time that loading weights is assumed to take.
     pub load_time: Duration,
-    /// Time between reads of the configuration's head.
+    /// Time between reads of the newest configuration version.
     pub config_poll: Duration,
     /// Time between reads of the list of machines.
     pub list_poll: Duration,
     /// Time between writes of usage.
     pub usage_flush: Duration,
-    /// Time to wait for the platform.
+    /// Time to wait for an answer of the platform.
     pub platform_timeout: Duration,
 }
 
 /// Limits on callers' requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RequestSettings {
-    /// Largest body in bytes.
+    /// Largest accepted body in bytes.
     pub body_bytes: usize,
-    /// Largest headers in bytes, names and values together.
+    /// Largest accepted size of all headers in bytes, names and values together.
     pub header_bytes: usize,
-    /// Most headers of a request.
+    /// Most headers accepted in a request.
     pub headers: usize,
-    /// Deepest nesting of a JSON body.
+    /// Deepest accepted nesting of a JSON body.
     pub json_depth: usize,
-    /// Time for a caller to send its body.
+    /// Time in which a caller must send its body.
     pub body_timeout: Duration,
-    /// Time limit of a request that names none.
+    /// Time limit of a request that does not set one.
     pub default_deadline: Duration,
-    /// Longest time limit a caller may name.
+    /// Longest time limit that a caller may set.
     pub longest_deadline: Duration,
-    /// Requests in flight on this node.
+    /// Most requests in flight on this node.
     pub in_flight: usize,
-    /// Requests waiting for one deployment.
+    /// Most requests queued for one deployment.
     pub queue: usize,
     /// Time to open a connection to a target.
     pub connect_timeout: Duration,
-    /// Longest silence in a stream before it counts as broken.
+    /// Time without an event after which a stream counts as broken.
     pub stream_silence: Duration,
-    /// Thousandths of a retry earned by each success.
+    /// Thousandths of a retry that each success adds to the retry budget.
     pub retry_permille: u64,
-    /// Most retries saved up.
+    /// Most retries that the budget holds.
     pub retry_burst: u64,
-    /// Keys remembered.
+    /// Most idempotency keys kept in memory.
     pub keys: usize,
 }
 
-/// Times of a graceful shutdown.
+/// Timing of a graceful shutdown.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ShutdownSettings {
-    /// Time for the balancer to notice that the node is no longer ready.
+    /// Time in which a node that is not ready any more still accepts requests, so that the load
+    /// balancer can take it out.
     pub notice: Duration,
     /// Longest time to wait for requests in flight.
     pub drain: Duration,
 }
 
-/// Everything a node is told.
+/// All settings of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
     /// Name of the node.
     pub node: NodeId,
     /// Its zone.
     pub zone: ZoneId,
-    /// Addresses it listens at.
+    /// Addresses that the node listens at.
     pub listen: ListenSettings,
     /// Other nodes.
     pub peers: Vec<PeerSettings>,
-    /// Where the platform is.
+    /// Addresses of the platform's services.
     pub platform: PlatformAddresses,
-    /// Credential of operators.
+    /// Bearer token that operators send.
     pub operator_token: String,
-    /// Credential of nodes.
+    /// Token that nodes send to each other.
     pub peer_token: String,
-    /// Durations of the lease.
+    /// Timing of the zone lease.
     pub lease: LeaseTiming,
-    /// Times of the serving gate.
+    /// Timing of the probes and of the exchange between nodes.
     pub gate: GateSettings,
-    /// Times of the controller.
+    /// Timing of the zone's controller and of the reads and writes at the platform.
     pub control: ControlSettings,
     /// Limits on requests.
     pub requests: RequestSettings,
-    /// Times of a shutdown.
+    /// Timing of a shutdown.
     pub shutdown: ShutdownSettings,
-    /// Least severe log level written.
+    /// Least severe log level that is written.
     pub log_level: log::LevelFilter,
-    /// Threads that carry traffic.
+    /// Threads that serve traffic.
     pub traffic_threads: usize,
 }
--- a/crates/node/src/start_error.rs
+++ b/crates/node/src/start_error.rs
@@ -1,4 +1,4 @@
-//! Why the daemon could not start.
+//! Errors that keep the daemon from starting.
 
 use std::io;
 
@@ -6,19 +6,19 @@
 
 use crate::node::NodeError;
 
-/// Why the daemon could not start.
+/// Error that keeps the daemon from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// A node could not be set up.
+    /// The node could not be started.
     #[error(transparent)]
     Node(#[from] NodeError),
-    /// A fleet's node could not be set up.
+    /// The node that serves a fleet could not be started.
     #[error(transparent)]
     Fleet(#[from] FleetError),
-    /// The logs could not be set up.
-    #[error("logs: {0}")]
+    /// The logger could not be installed.
+    #[error("cannot install the logger: {0}")]
     Logs(#[from] log::SetLoggerError),
-    /// Threads or signals could not be set up.
-    #[error("operating system: {0}")]
+    /// The runtime's threads or the signal handlers could not be set up.
+    #[error("cannot start threads or register signal handlers: {0}")]
     System(#[from] io::Error),
 }
