--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,4 +1,4 @@
-//! The service that keeps the accepted configuration and never goes back.
+//! Service that keeps the accepted configuration in memory; its version never decreases.
 
 use std::sync::Arc;
 
@@ -15,44 +15,45 @@
 
 /// Name of the service.
 pub const CONFIG_SERVICE: &str = "config";
-/// Log rows asked for with each look at the head.
-const ENTRIES_PER_POLL: u64 = 16;
-/// Newest entries kept for peers.
-const LOG_LENGTH: usize = 1024;
+/// Log rows read with each poll; a node that is further behind reads a snapshot instead.
+const MAX_ENTRIES_PER_POLL: u64 = 16;
+/// Number of newest log entries kept for peers that lack them.
+const MAX_LOG_ENTRIES: usize = 1024;
 
-/// What the service is sent.
+/// Message to the service.
 #[derive(Debug)]
 pub enum ConfigMessage {
-    /// Time to look at the table.
+    /// Read the table now.
     Poll,
-    /// What the table said.
+    /// Result of a read of the table.
     Polled(Result<TableState, StoreError>),
-    /// What a peer said.
+    /// Configuration from a peer, or an edit that this node has just had accepted.
     Received {
-        /// Entries that follow some version.
+        /// Log entries in the order of their versions.
         entries: Vec<EntryDoc>,
-        /// The whole configuration.
+        /// Snapshot of the configuration.
         snapshot: Option<SnapshotDoc>,
     },
-    /// Every node of the zone that can be reached was asked, and one at least knew its floor.
+    /// Every reachable node of the zone has answered an exchange, and at least one knew its floor,
+    /// the configuration version below which it must not serve.
     ZonePolled,
 }
 
-/// What was read of the configuration's rows.
+/// Result of reading the configuration's rows.
 #[derive(Debug)]
 pub enum TableState {
-    /// The head and the log rows that follow the node's version.
+    /// The head and the log rows that follow this node's version.
     Log {
         /// Newest version.
         head: ConfigVersion,
-        /// Rows found.
+        /// Entries of the log rows found.
         entries: Vec<EntryDoc>,
     },
-    /// Every entity at the head's version.
+    /// All entities at the head's version.
     Snapshot(SnapshotDoc),
 }
 
-/// Keeps the configuration in force.
+/// Follows the configuration in the table and from peers, and publishes it to the node.
 pub struct ConfigSync {
     shared: Arc<NodeShared>,
     view: ConfigView,
@@ -60,7 +61,7 @@
 }
 
 impl ConfigSync {
-    /// Opens a keeper that knows nothing.
+    /// Returns a service that has no configuration yet.
     pub fn new(shared: Arc<NodeShared>) -> Self {
         Self {
             shared,
@@ -75,15 +76,15 @@
         link.spawn(async move { ConfigMessage::Polled(read_table(&shared, version).await) });
     }
 
-    fn take_table(&mut self, state: TableState) {
+    fn apply_table(&mut self, state: TableState) {
         let before = self.view.book.version();
         let is_complete = match state {
             TableState::Log { head, entries } => {
-                self.take_entries(entries);
+                self.apply_entries(entries);
                 self.view.book.version() >= head
             }
             TableState::Snapshot(snapshot) => {
-                self.take_snapshot(snapshot);
+                self.apply_snapshot(snapshot);
                 true
             }
         };
@@ -91,10 +92,10 @@
         if is_floor_new {
             self.view.floor = Some(FloorSource::Platform);
         }
-        self.publish_if(before, is_floor_new);
+        self.publish_if_changed(before, is_floor_new);
     }
 
-    fn take_entries(&mut self, entries: Vec<EntryDoc>) {
+    fn apply_entries(&mut self, entries: Vec<EntryDoc>) {
         for doc in entries {
             let Ok(entry) = ConfigEntry::try_from(doc.clone()) else {
                 log::error!(version = doc.version; "config_entry_unreadable");
@@ -104,11 +105,11 @@
                 self.view.log.push_back(doc);
             }
         }
-        let over = self.view.log.len().saturating_sub(LOG_LENGTH);
-        self.view.log.drain(..over);
+        let excess = self.view.log.len().saturating_sub(MAX_LOG_ENTRIES);
+        self.view.log.drain(..excess);
     }
 
-    fn take_snapshot(&mut self, snapshot: SnapshotDoc) {
+    fn apply_snapshot(&mut self, snapshot: SnapshotDoc) {
         let Ok(book) = VersionedConfig::try_from(snapshot) else {
             log::error!("config_snapshot_unreadable");
             return;
@@ -118,7 +119,7 @@
         }
     }
 
-    fn publish_if(&mut self, before: ConfigVersion, is_forced: bool) {
+    fn publish_if_changed(&mut self, before: ConfigVersion, is_forced: bool) {
         let version = self.view.book.version();
         if version == before && !is_forced {
             return;
@@ -153,7 +154,7 @@
             ConfigMessage::Polled(result) => {
                 self.is_platform_lost = result.is_err();
                 if let Ok(state) = result {
-                    self.take_table(state);
+                    self.apply_table(state);
                 }
                 link.later(
                     self.shared.settings.control.config_poll,
@@ -163,17 +164,17 @@
             ConfigMessage::Received { entries, snapshot } => {
                 let before = self.view.book.version();
                 if let Some(snapshot) = snapshot {
-                    self.take_snapshot(snapshot);
+                    self.apply_snapshot(snapshot);
                 }
-                self.take_entries(entries);
-                self.publish_if(before, false);
+                self.apply_entries(entries);
+                self.publish_if_changed(before, false);
             }
             ConfigMessage::ZonePolled => {
-                // Only a node that cannot reach the platform may trust its zone for the floor.
+                // Only a node that cannot reach the platform may take the floor from its zone.
                 if self.view.floor.is_none() && self.is_platform_lost {
                     self.view.floor = Some(FloorSource::Peers);
                     let version = self.view.book.version();
-                    self.publish_if(version, true);
+                    self.publish_if_changed(version, true);
                 }
             }
         }
@@ -196,11 +197,11 @@
     floor.map_or("none", FloorSource::name)
 }
 
-/// Reads what follows `version`, or everything when that is too far behind.
+/// Reads the log entries that follow `version`, or a snapshot when there are too many.
 async fn read_table(shared: &NodeShared, version: ConfigVersion) -> Result<TableState, StoreError> {
     let mut keys = vec![HEAD_KEY.to_owned()];
     if version > 0 {
-        keys.extend((1..=ENTRIES_PER_POLL).map(|step| log_key(version + step)));
+        keys.extend((1..=MAX_ENTRIES_PER_POLL).map(|step| log_key(version + step)));
     }
     let request = ReadRequest {
         keys,
@@ -208,7 +209,7 @@
     };
     let reply = shared.platform.table.read(request).await?;
     let head = head_version(&reply);
-    if head > version && (version == 0 || head > version + ENTRIES_PER_POLL) {
+    if head > version && (version == 0 || head > version + MAX_ENTRIES_PER_POLL) {
         return read_snapshot(shared).await.map(TableState::Snapshot);
     }
     let entries = reply
@@ -221,11 +222,11 @@
     Ok(TableState::Log { head, entries })
 }
 
-/// Reads every entity and the head at one moment.
+/// Reads all entities and the head in one consistent read.
 ///
 /// # Errors
 ///
-/// Returns [`StoreError`] when the table gives no answer.
+/// Returns [`StoreError`] when the table does not answer.
 pub async fn read_snapshot(shared: &NodeShared) -> Result<SnapshotDoc, StoreError> {
     let request = ReadRequest {
         keys: vec![HEAD_KEY.to_owned()],
@@ -243,7 +244,7 @@
     })
 }
 
-/// Returns the version that the head row names; zero when there is none.
+/// Returns the version in the head row; zero when there is no such row.
 pub fn head_version(reply: &ReadReply) -> ConfigVersion {
     reply
         .rows
@@ -253,7 +254,7 @@
         .map_or(0, |head| head.version)
 }
 
-/// Reads a row's value as a type.
+/// Parses a row's value; `None` when it does not have the form of `T`.
 pub fn parse_row<T: DeserializeOwned>(value: &Value) -> Option<T> {
     T::deserialize(value).ok()
 }
--- a/crates/node/src/editor.rs
+++ b/crates/node/src/editor.rs
@@ -1,4 +1,5 @@
-//! Edits of the configuration by conditional writes, and the settling of lost answers.
+//! Edits of the configuration by conditional writes, and the settling of edits whose answer was
+//! lost.
 
 use std::sync::Arc;
 
@@ -13,17 +14,17 @@
 use crate::row_keys::{entity_key, log_key, log_prefix, void_key, HEAD_KEY};
 use crate::shared::NodeShared;
 
-/// Rows of the log kept in the table.
-const LOG_ROWS: u64 = 1024;
-/// Times an edit is tried again because unrelated edits came first.
-const EDIT_TRIES: usize = 64;
+/// Number of newest log rows kept in the table.
+const MAX_LOG_ROWS: u64 = 1024;
+/// Most attempts to write an edit, or to settle one, when other edits move the head in between.
+const MAX_EDIT_ATTEMPTS: usize = 64;
 
-/// Carries out operators' edits.
+/// Writes operators' edits of the configuration.
 pub struct ConfigEditor {
     shared: Arc<NodeShared>,
 }
 
-/// Rows that decide an edit, read at one moment.
+/// Rows that an edit depends on, from one consistent read.
 struct EditContext {
     head: ConfigVersion,
     head_row: RowVersion,
@@ -33,18 +34,18 @@
 }
 
 impl ConfigEditor {
-    /// Opens an editor.
+    /// Returns an editor that writes through the node's platform.
     pub fn new(shared: Arc<NodeShared>) -> Self {
         Self { shared }
     }
 
-    /// Carries out one edit and returns its entry too when it was accepted.
+    /// Writes one edit; also returns its log entry when it was accepted.
     ///
-    /// An edit races others only for the head row; when an unrelated one comes first it is checked
-    /// against the configuration that results and tried again.
+    /// All edits contend for the head row. When an edit of another entity is written first, this
+    /// one is checked against the resulting configuration and tried again.
     pub async fn edit(&self, request: EditRequest) -> (EditReply, Option<EntryDoc>) {
         let mut sent: Vec<ConfigVersion> = Vec::new();
-        for _ in 0..EDIT_TRIES {
+        for _ in 0..MAX_EDIT_ATTEMPTS {
             match self.try_edit(&request, &mut sent).await {
                 Ok(Some(answer)) => return answer,
                 Ok(None) => {}
@@ -60,29 +61,29 @@
         request: &EditRequest,
         sent: &mut Vec<ConfigVersion>,
     ) -> Result<Option<(EditReply, Option<EntryDoc>)>, StoreError> {
-        let ground = self.read_ground(request).await?;
-        // A conflict, or a lost answer, may stand for this edit's own earlier write.
-        if let Some(entry) = self.find_own(request, sent).await? {
+        let context = self.read_context(request).await?;
+        // After a conflict or a lost answer, an earlier attempt of this edit may have been written.
+        if let Some(entry) = self.find_written(request, sent).await? {
             let version = entry.version;
             return Ok(Some((EditReply::Accepted { version }, Some(entry))));
         }
-        if let Some(reply) = refuse(request, &ground) {
+        if let Some(reply) = reject(request, &context) {
             return Ok(Some((reply, None)));
         }
-        let findings = self.findings(request, ground.head).await?;
+        let findings = self.findings(request, context.head).await?;
         if !findings.is_empty() {
             return Ok(Some((EditReply::Refused { findings }, None)));
         }
-        self.write(request, &ground, sent).await
+        self.write(request, &context, sent).await
     }
 
     async fn write(
         &self,
         request: &EditRequest,
-        ground: &EditContext,
+        context: &EditContext,
         sent: &mut Vec<ConfigVersion>,
     ) -> Result<Option<(EditReply, Option<EntryDoc>)>, StoreError> {
-        let version = ground.head + 1;
+        let version = context.head + 1;
         let entry = EntryDoc {
             version,
             kind: request.kind,
@@ -95,8 +96,8 @@
             write: request.write.clone(),
         };
         let mut builder = TransactBuilder::default()
-            .check(HEAD_KEY, ground.head_row)
-            .check(&key, ground.entity_row)
+            .check(HEAD_KEY, context.head_row)
+            .check(&key, context.entity_row)
             .check(void_key(&request.write), 0)
             .put(HEAD_KEY, &HeadDoc { version })
             .put(log_key(version), &log);
@@ -104,8 +105,8 @@
             ValueDoc::Deleted => builder.delete(key),
             _ => builder.put(key, &entry),
         };
-        if version > LOG_ROWS {
-            builder = builder.delete(log_key(version - LOG_ROWS));
+        if version > MAX_LOG_ROWS {
+            builder = builder.delete(log_key(version - MAX_LOG_ROWS));
         }
         sent.push(version);
         match self.shared.platform.table.transact(builder.build()).await {
@@ -120,7 +121,7 @@
         }
     }
 
-    async fn read_ground(&self, request: &EditRequest) -> Result<EditContext, StoreError> {
+    async fn read_context(&self, request: &EditRequest) -> Result<EditContext, StoreError> {
         let key = entity_key(request.kind, &request.id);
         let void = void_key(&request.write);
         let read = ReadRequest {
@@ -138,8 +139,8 @@
         })
     }
 
-    /// Looks in the log for this edit among the versions it was sent as.
-    async fn find_own(
+    /// Looks for this edit in the log, under the versions that its attempts were sent with.
+    async fn find_written(
         &self,
         request: &EditRequest,
         sent: &[ConfigVersion],
@@ -155,7 +156,7 @@
         Ok(find_write(&reply, &request.write))
     }
 
-    /// Checks the edit against the configuration at the head.
+    /// Checks the configuration that the edit would result in, based on the version at the head.
     async fn findings(
         &self,
         request: &EditRequest,
@@ -169,14 +170,14 @@
         };
         let entry = match ConfigEntry::try_from(entry) {
             Ok(entry) => entry,
-            Err(mismatch) => {
-                let finding = Finding::new("value", mismatch.to_string());
+            Err(error) => {
+                let finding = Finding::new("value", error.to_string());
                 return Ok(vec![finding.into()]);
             }
         };
-        let held = self.shared.config.load();
-        let findings = if held.book.version() == head {
-            held.book.check_edit(&entry.key, &entry.value)
+        let view = self.shared.config.load();
+        let findings = if view.book.version() == head {
+            view.book.check_edit(&entry.key, &entry.value)
         } else {
             let snapshot = read_snapshot(&self.shared).await?;
             let book = VersionedConfig::try_from(snapshot).unwrap_or_default();
@@ -185,13 +186,13 @@
         Ok(findings.into_iter().map(FindingDoc::from).collect())
     }
 
-    /// Settles an edit whose answer was lost.
+    /// Settles an edit whose answer was lost: reports it as accepted or makes it void.
     ///
-    /// If it is not in the log, a row is written that bars it for good, on the condition that the
-    /// head has not moved since; the edit's own transaction demands that the row is absent, so it
-    /// can not take effect afterwards, however late it arrives.
+    /// If the edit is not in the log, its void row is written, on the condition that the head has
+    /// not moved since. The edit's own transaction requires that the void row is absent, so it can
+    /// not take effect any more, however late it arrives.
     pub async fn settle(&self, write: &str) -> SettleReply {
-        for _ in 0..EDIT_TRIES {
+        for _ in 0..MAX_EDIT_ATTEMPTS {
             match self.try_settle(write).await {
                 Ok(Some(reply)) => return reply,
                 Ok(None) => {}
@@ -229,16 +230,19 @@
     }
 }
 
-fn refuse(request: &EditRequest, ground: &EditContext) -> Option<EditReply> {
-    if ground.is_void {
-        let finding = Finding::new("write", "this write was settled as void; send it anew");
+fn reject(request: &EditRequest, context: &EditContext) -> Option<EditReply> {
+    if context.is_void {
+        let finding = Finding::new(
+            "write",
+            "this write was settled as void; repeat the edit under a new write name",
+        );
         return Some(EditReply::Refused {
             findings: vec![finding.into()],
         });
     }
-    let version = ground.entity.as_ref().map_or(0, |entry| entry.version);
+    let version = context.entity.as_ref().map_or(0, |entry| entry.version);
     if version != request.base {
-        let current = ground.entity.as_ref();
+        let current = context.entity.as_ref();
         return Some(EditReply::Conflict {
             version,
             current: current.and_then(|entry| serde_json::to_value(&entry.value).ok()),
--- a/crates/node/src/health.rs
+++ b/crates/node/src/health.rs
@@ -1,4 +1,4 @@
-//! The listener for the balancer's checks and the metrics scraper.
+//! HTTP handler for the load balancer's health checks and the metrics scraper.
 
 use std::sync::Arc;
 
@@ -9,19 +9,19 @@
 
 use crate::shared::NodeShared;
 
-/// Answers health checks and scrapes.
+/// Serves `/live`, `/ready` and `/metrics`.
 pub struct HealthApi {
     shared: Arc<NodeShared>,
     kernel: Kernel,
 }
 
 impl HealthApi {
-    /// Opens the surface.
+    /// Returns a handler for the node's state; `/live` fails once the control thread has ended.
     pub fn new(shared: Arc<NodeShared>, kernel: Kernel) -> Arc<Self> {
         Arc::new(Self { shared, kernel })
     }
 
-    fn answer(&self, path: &str) -> Response {
+    fn respond(&self, path: &str) -> Response {
         match path {
             "/live" if self.kernel.is_running() => reply_text(StatusCode::OK, "live"),
             "/live" => reply_text(StatusCode::SERVICE_UNAVAILABLE, "control thread ended"),
@@ -38,7 +38,7 @@
 
 impl Handler for HealthApi {
     fn handle(&self, request: Request) -> BoxFuture<'_, Response> {
-        let reply = self.answer(request.uri().path());
-        Box::pin(async move { reply })
+        let response = self.respond(request.uri().path());
+        Box::pin(async move { response })
     }
 }
--- a/crates/node/src/log_writer.rs
+++ b/crates/node/src/log_writer.rs
@@ -1,4 +1,4 @@
-//! Takes log lines off the threads that write them, and never makes those wait.
+//! Writes log lines from a thread of its own, so that a thread that logs never blocks on the output.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,17 +6,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Lines held while the reader is slow; at 300 bytes each about a megabyte.
-const CAPACITY: usize = 4_096;
-/// Bytes written at once.
+/// Most lines queued while the output is slow; about a megabyte at 300 bytes a line.
+const MAX_QUEUED_LINES: usize = 4_096;
+/// Size at which a batch of lines is written.
 const BATCH_BYTES: usize = 32 << 10;
-/// Time in which lines gather before they are written together, which saves a wake-up for each.
+/// Time for which lines are collected before they are written together, which saves a wake-up of
+/// the thread for each line.
 pub const BATCH_DELAY: Duration = Duration::from_millis(25);
 
-/// A writer whose lines are written by a thread of their own.
+/// A writer that queues lines for the thread that writes them; each flush ends a line.
 ///
-/// A full pipe would stall every request that logs. Lines that do not fit are dropped instead, and
-/// counted in a line of their own as soon as there is room.
+/// A write to a full pipe blocks, which would stall every request that logs. Lines that do not fit
+/// into the queue are dropped instead; the next batch reports their number in a line of its own.
 pub struct LogWriter {
     lines: SyncSender<Vec<u8>>,
     dropped: Arc<AtomicU64>,
@@ -26,10 +27,10 @@
 impl LogWriter {
     /// Starts the thread that writes to `out`.
     pub fn spawn(out: impl Write + Send + 'static) -> Self {
-        let (lines, receiver) = sync_channel(CAPACITY);
+        let (lines, receiver) = sync_channel(MAX_QUEUED_LINES);
         let dropped = Arc::new(AtomicU64::new(0));
-        let counted = Arc::clone(&dropped);
-        std::thread::spawn(move || write_lines(&receiver, out, &counted));
+        let dropped_by_writers = Arc::clone(&dropped);
+        std::thread::spawn(move || write_lines(&receiver, out, &dropped_by_writers));
         Self {
             lines,
             dropped,
@@ -66,11 +67,11 @@
             };
             batch.extend_from_slice(&line);
         }
-        let lost = dropped.swap(0, Ordering::Relaxed);
-        if lost > 0 {
-            batch.extend_from_slice(format!("event=log_lines_dropped count={lost}\n").as_bytes());
+        let count = dropped.swap(0, Ordering::Relaxed);
+        if count > 0 {
+            batch.extend_from_slice(format!("event=log_lines_dropped count={count}\n").as_bytes());
         }
-        // Nobody is left to tell when the output itself is closed.
+        // A failed write is ignored: there is no other output to report it to.
         let _ = out.write_all(&batch).and_then(|()| out.flush());
     }
 }
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs: one line of key=value pairs for each event.
+//! Logger that writes one line of `key=value` pairs for each event.
 
 use std::fmt::Write as _;
 use std::io::Write;
@@ -8,7 +8,7 @@
 
 use crate::log_writer::LogWriter;
 
-/// Appends pairs to a line, quoting values that need it.
+/// Appends a record's key-value pairs to a line.
 struct PairWriter<'a> {
     line: &'a mut String,
 }
@@ -20,11 +20,13 @@
     }
 }
 
-/// Starts logging to standard error.
+/// Installs the logger, which writes to standard output from a thread of its own.
+///
+/// Only records of this project's crates are written.
 ///
 /// # Errors
 ///
-/// Returns the library's error when a logger is set already.
+/// Returns an error when a logger is installed already.
 pub fn start(level: LevelFilter, node: &str) -> Result<(), log::SetLoggerError> {
     let node = node.to_owned();
     fern::Dispatch::new()
@@ -38,7 +40,7 @@
     Ok(())
 }
 
-/// Returns the line that stands for a record.
+/// Formats a record as a line.
 ///
 /// ```
 /// use briarswitch_node::logging::format_line;
@@ -50,13 +52,13 @@
 /// assert!(format_line(&record, "n1").ends_with("level=info node=n1 event=node_started"));
 /// ```
 pub fn format_line(record: &Record<'_>, node: &str) -> String {
-    let since = std::time::SystemTime::now()
+    let timestamp = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap_or_default();
     let mut line = format!(
         "ts={}.{:03} level={} node={} event={}",
-        since.as_secs(),
-        since.subsec_millis(),
+        timestamp.as_secs(),
+        timestamp.subsec_millis(),
         record.level().as_str().to_lowercase(),
         quoted(node),
         quoted(&record.args().to_string()),
@@ -67,7 +69,8 @@
     line
 }
 
-/// Quotes a value that holds anything but plain characters, so that a line stays one line.
+/// Quotes a value unless it consists of printable ASCII characters other than `"` and `=`, so that
+/// a record is always one line and its pairs can be told apart.
 fn quoted(text: &str) -> String {
     let is_plain = !text.is_empty()
         && text
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics by opentelemetry, with a scrape page.
+//! Metrics of the node, in the Prometheus text format.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -10,12 +10,12 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// Bounds of the latency histograms, in seconds.
-const LATENCY_BOUNDS: [f64; 14] = [
+/// Bucket bounds of the latency histograms.
+const LATENCY_BOUNDS_SECONDS: [f64; 14] = [
     0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.71, 1.0, 2.5, 10.0,
 ];
 
-/// Values that are observed when the page is read.
+/// Current values that are exported when the metrics are scraped.
 #[derive(Debug, Default)]
 struct Gauges {
     config_version: AtomicU64,
@@ -26,7 +26,7 @@
     queued: AtomicU64,
 }
 
-/// Counts what the node does.
+/// Counters, gauges and histograms of a node.
 pub struct NodeMetrics {
     registry: Registry,
     _provider: SdkMeterProvider,
@@ -38,29 +38,29 @@
     peer_bytes: AtomicU64,
 }
 
-/// One request's labels.
+/// Labels of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestLabels<'a> {
-    /// Organisation that called.
+    /// Organisation of the caller.
     pub organisation: &'a str,
-    /// Deployment that served.
+    /// Deployment that the request was for.
     pub deployment: &'a str,
-    /// Outcome.
+    /// Outcome of the request.
     pub outcome: Outcome,
 }
 
 impl NodeMetrics {
-    /// Opens the instruments.
+    /// Registers the instruments.
     ///
     /// # Panics
     ///
-    /// Panics when the exporter refuses an empty registry, which it never does.
+    /// Panics when the exporter cannot be registered, which does not happen with an empty registry.
     pub fn open() -> Self {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
             .build()
-            .expect("an empty registry takes an exporter");
+            .expect("an empty registry accepts an exporter");
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("briarswitch");
         let gauges = Arc::new(Gauges::default());
@@ -82,7 +82,7 @@
         let histogram = |name: &'static str| {
             meter
                 .f64_histogram(name)
-                .with_boundaries(LATENCY_BOUNDS.to_vec())
+                .with_boundaries(LATENCY_BOUNDS_SECONDS.to_vec())
                 .build()
         };
         Self {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Counts one request and its latency.
+    /// Counts one request and records its latency.
     pub fn count_request(&self, labels: RequestLabels<'_>, latency: Duration) {
         let attributes = [
             KeyValue::new("organisation", labels.organisation.to_owned()),
@@ -120,12 +120,12 @@
             .add(1, &[KeyValue::new("deployment", deployment.to_owned())]);
     }
 
-    /// Notes the configuration version in force.
+    /// Sets the configuration version in force.
     pub fn set_config_version(&self, version: ConfigVersion) {
         self.gauges.config_version.store(version, Ordering::Relaxed);
     }
 
-    /// Notes the lease.
+    /// Sets the epoch of the zone's lease and whether this node holds it.
     pub fn set_lease(&self, epoch: Epoch, is_held: bool) {
         self.gauges.epoch.store(epoch, Ordering::Relaxed);
         self.gauges
@@ -133,7 +133,7 @@
             .store(u64::from(is_held), Ordering::Relaxed);
     }
 
-    /// Notes the two measures of the fleet.
+    /// Sets the accelerators outside any working group and the downtime summed over groups.
     pub fn set_fleet(&self, stranded: u32, downtime: Duration) {
         self.gauges
             .stranded
@@ -142,26 +142,26 @@
         self.gauges.downtime_ms.store(millis, Ordering::Relaxed);
     }
 
-    /// Notes how many more, or fewer, requests wait.
-    pub fn adjust_queued(&self, is_longer: bool) {
-        if is_longer {
+    /// Adds one to the queued requests, or takes one away.
+    pub fn adjust_queued(&self, is_added: bool) {
+        if is_added {
             self.gauges.queued.fetch_add(1, Ordering::Relaxed);
         } else {
             self.gauges.queued.fetch_sub(1, Ordering::Relaxed);
         }
     }
 
-    /// Adds to the bytes taken from peers.
+    /// Adds to the bytes received from peers.
     pub fn add_peer_bytes(&self, bytes: usize) {
         self.peer_bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Returns the bytes taken from peers.
+    /// Returns the bytes received from peers.
     pub fn peer_bytes(&self) -> u64 {
         self.peer_bytes.load(Ordering::Relaxed)
     }
 
-    /// Returns the scrape page.
+    /// Returns all metrics in the text format, except the bytes received from peers.
     pub fn page(&self) -> Vec<u8> {
         let mut page = Vec::new();
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut page);
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -1,10 +1,10 @@
-//! Signals that the daemon obeys.
+//! Signals that the daemon handles.
 
 use std::io;
 
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// The signals to end and to look at the settings again.
+/// Handlers of SIGTERM and SIGINT, which end the daemon, and of SIGHUP, which does nothing.
 pub struct NodeSignals {
     terminate: Signal,
     interrupt: Signal,
@@ -12,11 +12,11 @@
 }
 
 impl NodeSignals {
-    /// Begins to receive signals.
+    /// Registers the handlers.
     ///
     /// # Errors
     ///
-    /// Returns the operating system's error when a signal can not be received.
+    /// Returns the operating system's error when a handler cannot be registered.
     pub fn register() -> io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -25,10 +25,10 @@
         })
     }
 
-    /// Waits for a signal to end.
+    /// Waits for SIGTERM or SIGINT.
     ///
-    /// A signal to reload must not end the process, which is what it does where nobody receives it.
-    /// Every setting holds for the life of a process, so nothing else follows from it.
+    /// SIGHUP is handled because its default action would end the process. It reloads nothing:
+    /// settings do not change while a process runs.
     pub async fn wait_for_shutdown(&mut self) {
         loop {
             tokio::select! {
