--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -34,8 +34,8 @@
         /// Snapshot of the configuration.
         snapshot: Option<SnapshotDoc>,
     },
-    /// Every reachable node of the zone has answered an exchange, and at least one knew its floor,
-    /// the configuration version below which it must not serve.
+    /// An exchange with every node of the zone has succeeded or failed, and at least one node knew
+    /// its floor: the configuration version below which it must not serve.
     ZonePolled,
 }
 
--- a/crates/node/tests/config.rs
+++ b/crates/node/tests/config.rs
@@ -1,4 +1,5 @@
-//! Accepted configuration under races, lost answers, outages and restarts, on real processes.
+//! Edits of the configuration under races, lost answers, platform outages and restarts, with real
+//! node processes.
 
 mod support;
 
@@ -18,9 +19,11 @@
     }
 }
 
-/// Symptom: two operators were both told that their edit of one entity was accepted.
-/// Sequence: six operators edit the same organisation against the same version, each at a node.
-/// Cause: the later write overwrote the earlier; both rows are conditional on their versions.
+/// Guards against two edits of one entity that are both reported as accepted.
+///
+/// Six operators edit the same organisation from the same version, each at another node. Without
+/// conditions on the versions of the head row and the entity's row, a later write overwrites an
+/// earlier one.
 #[tokio::test(flavor = "multi_thread")]
 async fn racing_edits_of_one_entity_have_one_winner() {
     let cluster = Cluster::start(six_nodes()).await;
@@ -49,9 +52,10 @@
     }
 }
 
-/// Symptom: an edit was refused because somebody edited something else.
-/// Sequence: six operators create six different organisations at once.
-/// Cause: all edits race for the head row; the losers are checked and written again.
+/// Guards against an edit that is refused because another entity was edited at the same time.
+///
+/// 24 organisations are created at once through six nodes. All edits contend for the head row; an
+/// edit that loses must be checked and written again.
 #[tokio::test(flavor = "multi_thread")]
 async fn edits_of_different_entities_all_land() {
     let cluster = Cluster::start(six_nodes()).await;
@@ -84,9 +88,10 @@
     }
 }
 
-/// Symptom: an edit that was in force was reported as failed, or made twice.
-/// Sequence: the edit takes effect; its answer is lost.
-/// Cause: a lost answer was taken for a failure; the log is read back for the edit's own write.
+/// Guards against an edit in force that is reported as failed, or written twice.
+///
+/// The edit takes effect but its answer is lost. A lost answer is not a failure: the log must be
+/// read for the edit's own write.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_answer_to_an_edit_is_read_back() {
     let cluster = Cluster::start(ClusterSpec {
@@ -94,7 +99,7 @@
         ..ClusterSpec::default()
     })
     .await;
-    // The lease is written too, so the fault may hit that instead; one of several edits meets it.
+    // A write of the lease may meet the fault instead, so several edits are made.
     let mut accepted = 0;
     for round in 0..5 {
         cluster.platform.fault(|faults| faults.lose_answers = 2);
@@ -112,10 +117,10 @@
         .await;
 }
 
-/// Symptom: an edit that was given up as lost came into force later.
-/// Sequence: the platform goes down at the edit; the operator settles it; the edit's own write,
-/// held up until now, arrives.
-/// Cause: nothing barred the late write; settling leaves a row that its condition forbids.
+/// Guards against an edit that comes into force after it was settled as void.
+///
+/// The platform goes down at the edit, the operator settles it, and only then the edit's own write
+/// arrives. Settling writes a void row, whose absence is a condition of the write.
 #[tokio::test(flavor = "multi_thread")]
 async fn settled_edit_can_not_take_effect_later() {
     let cluster = Cluster::start(ClusterSpec {
@@ -163,7 +168,7 @@
     assert_that!(matches!(again, Some(EditReply::Refused { .. })), eq(true));
 }
 
-/// Builds the transaction that the lost edit sent, as the platform would get it late.
+/// Returns the transaction of the lost edit, with the conditions it has when it arrives late.
 fn late_write(cluster: &Cluster) -> TransactRequest {
     let head = cluster.platform.rows("config/head");
     TransactRequest {
@@ -184,9 +189,10 @@
     }
 }
 
-/// Symptom: an edit that broke the configuration as a whole was accepted.
-/// Sequence: one operator deletes a deployment while another's rule still sends requests to it.
-/// Cause: each edit was looked at by itself; what would result is checked whole.
+/// Guards against an edit that is valid by itself but makes the configuration invalid.
+///
+/// An operator deletes a deployment that a rule still routes to. The configuration that would
+/// result must be checked, not only the edited entity.
 #[tokio::test(flavor = "multi_thread")]
 async fn edit_is_checked_against_the_whole() {
     let cluster = Cluster::start(ClusterSpec {
@@ -205,11 +211,12 @@
     assert_that!(findings[0].place, eq("rules[0].then.deployment"));
 }
 
-/// Symptom: a node that was replaced during a platform outage served with no configuration, or an
-/// old one.
-/// Sequence: edits are accepted; the platform goes down; one node of a zone restarts, then both.
-/// Cause: a diskless node took whatever it had for current; it must learn a floor from the platform
-/// or else from its zone, and is not ready before.
+/// Guards against a node that restarts during a platform outage and serves with no configuration
+/// or an old one.
+///
+/// The platform goes down; one node of a zone restarts, then the other while the first is dead. A
+/// node has no disk, so before it is ready it must learn from the platform, or else from its zone,
+/// the version below which it must not serve (the floor).
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_node_learns_its_floor_from_its_zone() {
     let mut cluster = Cluster::start(ClusterSpec {
@@ -232,7 +239,7 @@
     cluster.nodes[0].kill();
     cluster.nodes[1].restart();
     cluster
-        .wait("the lonely node answers", async |cluster| {
+        .wait("the only node left answers", async |cluster| {
             cluster.version(1).await.is_some()
         })
         .await;
@@ -248,9 +255,11 @@
         .await;
 }
 
-/// Symptom: nodes that could not reach the platform kept old rules, and one went back to them.
-/// Sequence: one node is cut from the platform; edits are accepted elsewhere; the cut heals.
-/// Cause: configuration spread by the platform alone; nodes tell each other, and only upwards.
+/// Guards against a node without the platform that keeps an old configuration, and against one that
+/// returns to an older version.
+///
+/// One node loses its connection to the platform, edits are accepted at another node, and the
+/// connection comes back. Nodes must exchange the configuration, and only adopt newer versions.
 #[tokio::test(flavor = "multi_thread")]
 async fn node_cut_from_the_platform_learns_from_its_peers() {
     let plan = ClusterSpec {
--- a/crates/node/tests/logs.rs
+++ b/crates/node/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Logs while nobody reads them.
+//! Logging while the output is not read.
 
 mod support;
 
@@ -10,22 +10,22 @@
 use googletest::prelude::*;
 use support::{Cluster, ClusterSpec};
 
-/// Requests sent at a time.
-const AT_ONCE: usize = 50;
-/// Requests whose lines fill the pipe (about 300) and all that the node holds back (4,096).
+/// Requests sent concurrently.
+const CONCURRENT_REQUESTS: usize = 50;
+/// Requests whose log lines fill the pipe (about 300 lines) and the node's queue (4,096 lines).
 const REQUESTS: usize = 5_500;
 
-/// An output that takes nothing until it is released.
-struct HeldOutput {
-    gate: Receiver<()>,
-    is_open: bool,
+/// Output whose first write blocks until it is released.
+struct BlockedOutput {
+    release: Receiver<()>,
+    is_released: bool,
     written: SyncSender<Vec<u8>>,
 }
 
-impl Write for HeldOutput {
+impl Write for BlockedOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        if !self.is_open {
-            self.is_open = self.gate.recv().is_ok();
+        if !self.is_released {
+            self.is_released = self.release.recv().is_ok();
         }
         let _ = self.written.send(bytes.to_vec());
         Ok(bytes.len())
@@ -36,24 +36,25 @@
     }
 }
 
-/// Symptom: every request stands still when whatever collects the logs does.
-/// Events: the output takes nothing; 10,000 lines are logged; the output goes on.
-/// Cause guarded against: writing to the output from the thread that logs.
+/// Guards against requests that block when the reader of the logs stops reading.
+///
+/// The output blocks, 10,000 lines are logged, and the output is released. A thread that logs must
+/// not write to the output itself; lines that do not fit the queue are dropped and counted.
 #[gtest]
 fn lines_that_nobody_takes_are_dropped_and_counted() {
-    let (open, gate) = channel();
+    let (release, released) = channel();
     let (written, output) = sync_channel(100_000);
-    let mut pipe = LogWriter::spawn(HeldOutput {
-        gate,
-        is_open: false,
+    let mut writer = LogWriter::spawn(BlockedOutput {
+        release: released,
+        is_released: false,
         written,
     });
     for index in 0..10_000 {
-        writeln!(pipe, "event=test index={index}").expect("a line is taken");
-        pipe.flush().expect("a line is passed on");
+        writeln!(writer, "event=test index={index}").expect("a line is taken");
+        writer.flush().expect("a line is passed on");
     }
-    drop(pipe);
-    open.send(()).expect("the output waits");
+    drop(writer);
+    release.send(()).expect("the output waits");
     let text: Vec<u8> = output.iter().flatten().collect();
     let text = String::from_utf8(text).expect("text");
     let kept = text
@@ -69,9 +70,10 @@
     expect_that!(kept + dropped, eq(10_000));
 }
 
-/// Symptom: a node answers nobody any more.
-/// Events: the reader of a real node's standard output stops reading; 5,500 requests come.
-/// Cause guarded against: the same, on the real process.
+/// Guards against a node that stops answering when its standard output is not read.
+///
+/// The same fault as above on a real process: 5,500 requests are sent while its output is a pipe
+/// that nobody reads.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_go_on_while_nobody_reads_the_output() {
@@ -85,8 +87,8 @@
     cluster.wait_ready().await;
     let address = cluster.callers(0);
     let mut refused = 0;
-    for _ in 0..REQUESTS / AT_ONCE {
-        let sends = (0..AT_ONCE).map(|_| {
+    for _ in 0..REQUESTS / CONCURRENT_REQUESTS {
+        let sends = (0..CONCURRENT_REQUESTS).map(|_| {
             let headers = &[("authorization", "Bearer nobody")];
             cluster.send(&address, "POST", "/v1/chat/completions", headers, "{}")
         });
@@ -95,7 +97,7 @@
         refused += refusals.filter(|answer| answer.status == 401).count();
     }
     expect_that!(refused, eq(REQUESTS));
-    // What was left out is told as soon as there is room again.
+    // The number of dropped lines is logged as soon as there is room again.
     let reading = tokio::task::spawn_blocking(move || {
         let mut lines = BufReader::new(output).lines().map_while(io::Result::ok);
         lines.find(|line| line.contains("event=log_lines_dropped"))
--- a/crates/node/tests/measure.rs
+++ b/crates/node/tests/measure.rs
@@ -1,4 +1,4 @@
-//! Measurements on real processes; run by hand, since their figures depend on the machine:
+//! Measurements on real processes. They are run by hand, as their results depend on the machine:
 //! `cargo test --release -p briarswitch-node --test measure -- --ignored --nocapture --test-threads 1`
 
 mod support;
@@ -11,8 +11,8 @@
 use googletest::prelude::*;
 use support::{organisation, Cluster, ClusterSpec, MODEL_POOL, ZONES};
 
-/// Settings as shipped, in place of the tests' short ones.
-fn shipped() -> Vec<String> {
+/// Returns the default timing, in place of the short times of the tests.
+fn default_timing() -> Vec<String> {
     [
         "lease.duration_ms=6000",
         "lease.margin_ms=1000",
@@ -34,16 +34,16 @@
 
 fn print_times(what: &str, mut times: Vec<Duration>) {
     times.sort_unstable();
-    let middle = times[times.len() / 2];
+    let median = times[times.len() / 2];
     println!(
-        "{what}: {} trials, min {:?}, median {middle:?}, max {:?}",
+        "{what}: {} trials, min {:?}, median {median:?}, max {:?}",
         times.len(),
         times[0],
         times[times.len() - 1]
     );
 }
 
-/// Time from a member's loss to the last request that its group accepted.
+/// Measures the time from the loss of a member to the last request that its group accepted.
 #[tokio::test(flavor = "multi_thread")]
 #[ignore = "a measurement"]
 async fn time_to_stop_serving() {
@@ -51,7 +51,7 @@
         let mut times = Vec::new();
         for _ in 0..30 {
             let mut cluster = Cluster::start(ClusterSpec {
-                settings: shipped(),
+                settings: default_timing(),
                 ..ClusterSpec::default()
             })
             .await;
@@ -86,7 +86,7 @@
     last.map_or(Duration::ZERO, |last| last.saturating_duration_since(lost))
 }
 
-/// Time from the death of a zone's controller until another node controls it.
+/// Measures the time from the death of a zone's controller until another node controls the zone.
 #[tokio::test(flavor = "multi_thread")]
 #[ignore = "a measurement"]
 async fn time_to_take_over() {
@@ -94,7 +94,7 @@
     for _ in 0..10 {
         let mut cluster = Cluster::start(ClusterSpec {
             nodes_per_zone: 2,
-            settings: shipped(),
+            settings: default_timing(),
             ..ClusterSpec::default()
         })
         .await;
@@ -115,7 +115,7 @@
     print_times("death of a controller to its successor's lease", times);
 }
 
-/// Time from an accepted edit until it is in force on six nodes.
+/// Measures the time from an accepted edit until it is in force on six nodes.
 #[tokio::test(flavor = "multi_thread")]
 #[ignore = "a measurement"]
 async fn time_to_be_in_force() {
@@ -124,7 +124,7 @@
             zones: 3,
             nodes_per_zone: 2,
             engines_per_zone: 0,
-            settings: shipped(),
+            settings: default_timing(),
             ..ClusterSpec::default()
         })
         .await;
@@ -146,9 +146,9 @@
             times.push(start.elapsed());
         }
         let how = if is_down {
-            "platform down after it"
+            "platform down after the edit"
         } else {
-            "all well"
+            "platform up"
         };
         print_times(
             &format!("accepted edit to in force on six nodes, {how}"),
@@ -157,7 +157,7 @@
     }
 }
 
-/// Processor time, memory and bytes of control against machines watched.
+/// Measures processor time, memory and bytes on the network for different numbers of machines.
 #[tokio::test(flavor = "multi_thread")]
 #[ignore = "a measurement"]
 async fn cost_of_control() {
@@ -167,7 +167,7 @@
             nodes_per_zone: 2,
             engines_per_zone: 0,
             replicas_per_zone: engines as u32 / 2,
-            settings: shipped(),
+            settings: default_timing(),
             ..ClusterSpec::default()
         };
         let mut cluster = Cluster::start_unconfigured(&plan).await;
@@ -193,7 +193,7 @@
         let seconds = window.as_secs_f64();
         println!(
             "{engines:>4} machines: {:.2} % of a core, {} kB resident, {:.0} bytes/s to and from one \
-             machine by both watchers, {:.0} bytes/s of questions from one peer, table {:.1} reads/s \
+             machine by both watchers, {:.0} bytes/s of exchange requests from one peer, table {:.1} reads/s \
              {:.1} writes/s by both nodes",
             (after.0 - before.0) / seconds * 100.0,
             after.1,
@@ -205,10 +205,10 @@
     }
 }
 
-/// Puts a counting link before a machine.
+/// Routes the connections to a machine through a link that counts bytes.
 fn relay_vm(cluster: &Cluster, name: &str) -> LinkRelay {
-    let far = cluster.engines[name].address().to_string();
-    let link = LinkRelay::spawn(&far).expect("a link");
+    let engine = cluster.engines[name].address().to_string();
+    let link = LinkRelay::spawn(&engine).expect("a link");
     cluster.platform.list_vm(VmDoc {
         id: name.to_owned(),
         zone: ZONES[0].to_owned(),
@@ -222,11 +222,11 @@
     link
 }
 
-/// Every trial of the measurements starts from a cluster that serves.
+/// Checks that a cluster with the default timing, which the measurements start from, serves.
 #[tokio::test(flavor = "multi_thread")]
 async fn measured_cluster_serves() {
     let cluster = Cluster::start(ClusterSpec {
-        settings: shipped(),
+        settings: default_timing(),
         ..ClusterSpec::default()
     })
     .await;
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,10 +1,10 @@
-//! Settings files with mistakes: every one is found in one run, each with its place.
+//! The check of settings files reports every fault in one run, each with its path.
 
 use std::process::Command;
 
 use googletest::prelude::*;
 
-/// Expected findings, one a line, in the order of the file; the file's own path stands for FILE.
+/// Expected findings, one per line; FILE stands for the path of the settings file.
 const EXPECTED: &str = "\
 FILE: colour: no such setting
 FILE: gate.probe_interval_ms: expected a whole number from 10 to 3600000, found -5
@@ -21,7 +21,7 @@
 settings: peers: 127.0.0.1:7001 is used by listen.operators too
 settings: peers[1].node: the name one is used twice";
 
-const MISTAKEN: &str = r#"{
+const INVALID_SETTINGS: &str = r#"{
   "colour": "red",
   "gate": {"probe_interval_ms": -5},
   "lease": {"duration_ms": "long", "margin_ms": 5000},
@@ -38,7 +38,7 @@
 #[test]
 fn every_mistake_is_found_in_one_run() {
     let file = std::env::temp_dir().join(format!("mistaken-{}.json", std::process::id()));
-    std::fs::write(&file, MISTAKEN).expect("a file");
+    std::fs::write(&file, INVALID_SETTINGS).expect("a file");
     let output = Command::new(env!("CARGO_BIN_EXE_briarswitch-node"))
         .arg("--check")
         .arg(&file)
--- a/crates/node/tests/signals.rs
+++ b/crates/node/tests/signals.rs
@@ -1,4 +1,4 @@
-//! Signals that a node obeys.
+//! Signals that a node handles.
 
 mod support;
 
@@ -6,9 +6,9 @@
 use std::time::Duration;
 use support::{Cluster, ClusterSpec};
 
-/// Symptom: nodes end when their settings file changes.
-/// Events: a signal to reload arrives, several times in a row.
-/// Cause guarded against: the signal's default action, which ends the process.
+/// Guards against a node that ends on SIGHUP, which is commonly sent to reload settings.
+///
+/// The default action of SIGHUP ends the process. The node gets it several times in a row.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_signal_to_reload_ends_nothing() {
     let mut cluster = Cluster::start(ClusterSpec {
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Real node processes against stand-ins that live in the test.
+//! Runs real node processes against stand-ins of the platform and its targets inside the test.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,10 +25,10 @@
 use nix::unistd::Pid;
 use serde_json::Value;
 
-/// Longest time a condition may take to come about.
+/// Longest time that a test waits for a condition or a response.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
-/// Times that nodes are started on new ports.
-const STARTS: usize = 5;
+/// Most attempts to start the nodes, each on new ports.
+const MAX_START_ATTEMPTS: usize = 5;
 pub const MODEL: &str = "vilakku-lm";
 pub const SERVICE: &str = "kaunter-app";
 pub const MODEL_POOL: &str = "vilakku-pool";
@@ -36,8 +36,8 @@
 pub const KEY: &str = "kayal-key";
 pub const ZONES: [&str; 3] = ["kakkanad", "edappally", "vyttila"];
 
-/// Short times, so that tests wait little; conditions never depend on them.
-const QUICK: &[&str] = &[
+/// Short times that keep the tests fast; no checked condition depends on them.
+const FAST_SETTINGS: &[&str] = &[
     "lease.duration_ms=1500",
     "lease.margin_ms=200",
     "lease.renew_ms=300",
@@ -99,7 +99,7 @@
         self.start();
     }
 
-    /// Starts the node anew with a standard output that is read only by who holds what is returned.
+    /// Restarts the node with its standard output as a pipe, and returns the reading end.
     pub fn restart_with_piped_output(&mut self) -> ChildStdout {
         self.kill();
         let mut child = Command::new(env!("CARGO_BIN_EXE_briarswitch-node"))
@@ -114,7 +114,8 @@
 
     /// Sends a signal; one that stops the process has taken effect when this returns.
     ///
-    /// A thread of the process has to run to take the signal, and on a busy machine the others go on until it does.
+    /// SIGSTOP takes effect when a thread of the process next runs; on a busy machine the other
+    /// threads go on until then.
     pub fn signal(&self, signal: Signal) {
         let Some(child) = &self.child else {
             return;
@@ -131,13 +132,13 @@
     }
 }
 
-/// Returns whether every thread of a process stands still.
+/// Returns whether every thread of a process is stopped.
 fn is_stopped(process: u32) -> bool {
     let threads = std::fs::read_dir(format!("/proc/{process}/task")).expect("the process is there");
     let mut states = threads.map(|thread| {
         let stat = thread.map(|thread| std::fs::read_to_string(thread.path().join("stat")));
         let stat = stat.and_then(|stat| stat).expect("a thread's state");
-        // The state follows the name, which stands in brackets.
+        // The state follows the thread's name, which is in parentheses.
         stat.rsplit(") ").next().unwrap_or_default().to_owned()
     });
     states.all(|state| state.starts_with('T'))
@@ -149,13 +150,13 @@
     }
 }
 
-/// One answer as the test's client saw it.
+/// One response as the test's client received it.
 #[derive(Clone, Debug)]
 pub struct TestResponse {
     pub status: u16,
     pub headers: BTreeMap<String, String>,
     pub body: String,
-    /// Whether the body came to its end.
+    /// Whether the body was received to its end.
     pub is_complete: bool,
 }
 
@@ -172,7 +173,7 @@
             .to_owned()
     }
 
-    /// Returns the stream events before the end mark.
+    /// Returns the events of a stream, without the final `[DONE]`.
     pub fn events(&self) -> Vec<String> {
         self.body
             .split("\n\n")
@@ -195,7 +196,7 @@
     client: TargetClient,
 }
 
-/// What a cluster consists of.
+/// Size, deployments and settings of a cluster.
 pub struct ClusterSpec {
     pub zones: usize,
     pub nodes_per_zone: usize,
@@ -225,7 +226,7 @@
 }
 
 impl Cluster {
-    /// Starts everything and waits until every wanted group serves.
+    /// Starts a cluster and waits until every wanted group serves.
     pub async fn start(plan: ClusterSpec) -> Self {
         let cluster = Self::start_unconfigured(&plan).await;
         cluster.configure(&plan).await;
@@ -239,8 +240,8 @@
                     cluster.sees_its_zone(index).await
                 })
                 .await;
-            // Routes are built a little after evidence and configuration are there; a call that
-            // is answered shows that they are.
+            // Routes are built shortly after reports and configuration have arrived; a successful
+            // call shows that they are.
             if plan.services_per_zone > 0 {
                 cluster
                     .wait("the service answers", async |cluster| {
@@ -280,9 +281,9 @@
         cluster
     }
 
-    /// Starts the nodes, on other ports if somebody took one between its choice and its use.
+    /// Starts the nodes; tries other ports when a chosen port was taken before the node bound it.
     async fn start_nodes(&mut self, plan: &ClusterSpec) {
-        for _ in 0..STARTS {
+        for _ in 0..MAX_START_ATTEMPTS {
             self.nodes.clear();
             self.add_nodes(plan);
             for node in &mut self.nodes {
@@ -295,7 +296,7 @@
         panic!("the nodes did not start");
     }
 
-    /// Waits until every node is ready; false when one ended instead.
+    /// Waits until every node is ready; returns false when one exited instead.
     async fn all_ready(&mut self) -> bool {
         for index in 0..self.nodes.len() {
             let start = Instant::now();
@@ -305,7 +306,7 @@
                 }
                 assert!(
                     start.elapsed() < WAIT_TIMEOUT,
-                    "the node is ready: did not come about"
+                    "timed out: the node is ready"
                 );
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
@@ -379,30 +380,31 @@
         }
     }
 
-    /// Puts a link before every peer of every node, for the next start, and returns the links by the
-    /// node that asks and the one that is asked.
+    /// Routes the connections between all nodes through links, from their next start on.
+    ///
+    /// Returns the links by the node that connects and the one that it connects to.
     pub fn link_peers(&mut self) -> BTreeMap<(usize, usize), LinkRelay> {
         let mut links = BTreeMap::new();
-        for asker in 0..self.nodes.len() {
+        for from in 0..self.nodes.len() {
             let mut peers = Vec::new();
-            for asked in (0..self.nodes.len()).filter(|asked| *asked != asker) {
-                let node = &self.nodes[asked];
+            for to in (0..self.nodes.len()).filter(|to| *to != from) {
+                let node = &self.nodes[to];
                 let link = LinkRelay::spawn(&format!("127.0.0.1:{}", node.ports.peers));
                 let link = link.expect("a link");
                 let address = link.address().to_string();
                 peers.push(serde_json::json!({
                     "node": node.name, "zone": node.zone, "address": address,
                 }));
-                links.insert((asker, asked), link);
+                links.insert((from, to), link);
             }
-            let file = &self.nodes[asker].arguments[1];
+            let file = &self.nodes[from].arguments[1];
             let text = serde_json::json!({ "peers": peers }).to_string();
             std::fs::write(file, text).expect("a settings file");
         }
         links
     }
 
-    /// Points one node at another platform address, for the next start.
+    /// Sets the platform address of one node, from its next start on.
     pub fn set_platform_address(&mut self, node: usize, address: &str) {
         for service in ["table", "objects", "vms", "weights"] {
             let flag = format!("platform.{service}=http://{address}");
@@ -490,7 +492,7 @@
             id: id.to_owned(),
             base,
             value,
-            write: format!("test-{id}-{node}-{base}-{}", rand_suffix()),
+            write: format!("test-{id}-{node}-{base}-{}", next_suffix()),
         };
         let text = serde_json::to_string(&request).expect("an edit");
         self.operator_request(node, "POST", "/v1/edit", &text).await
@@ -509,13 +511,13 @@
         serde_json::from_str(&answer.body).ok()
     }
 
-    /// Configures a cluster that was started bare.
+    /// Configures a cluster that was started without a configuration.
     pub async fn configured(self, plan: &ClusterSpec) -> Self {
         self.configure(plan).await;
         self
     }
 
-    /// Returns one service's part of a node's state dump.
+    /// Returns the part of a node's state dump that describes one service.
     pub async fn dump(&self, node: usize, service: &str) -> Value {
         let dump: Option<Value> = self.operator_request(node, "GET", "/v1/dump", "").await;
         dump.unwrap_or_default()["services"][service].clone()
@@ -529,7 +531,7 @@
         Some(self.status(node).await?.versions.first()?.version)
     }
 
-    /// Returns the groups that a node would send requests to.
+    /// Returns the number of groups that a node would send requests to.
     pub async fn routable(&self, node: usize) -> usize {
         let status = self.status(node).await;
         status.map_or(0, |status| {
@@ -571,17 +573,17 @@
         (spent / 100.0, resident.unwrap_or(0))
     }
 
-    /// Returns the bytes of questions a node took from its peers.
+    /// Returns the bytes of exchange requests that a node received from its peers.
     pub async fn peer_bytes(&self, node: usize) -> u64 {
         let dump: Option<Value> = self.operator_request(node, "GET", "/v1/dump", "").await;
         dump.unwrap_or_default()["peer_bytes"].as_u64().unwrap_or(0)
     }
 
-    /// Waits until a condition holds.
-    pub async fn wait(&self, what: &str, holds: impl AsyncFn(&Self) -> bool) {
+    /// Waits until a condition holds; panics after [`WAIT_TIMEOUT`].
+    pub async fn wait(&self, what: &str, condition: impl AsyncFn(&Self) -> bool) {
         let start = Instant::now();
-        while !holds(self).await {
-            assert!(start.elapsed() < WAIT_TIMEOUT, "{what}: did not come about");
+        while !condition(self).await {
+            assert!(start.elapsed() < WAIT_TIMEOUT, "timed out: {what}");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -590,7 +592,7 @@
         format!("127.0.0.1:{}", self.nodes[node].ports.callers)
     }
 
-    /// Sends a chat request for `tokens` tokens.
+    /// Sends a chat request for at most `tokens` tokens.
     pub async fn chat(&self, node: usize, tokens: u32, is_stream: bool) -> Option<TestResponse> {
         self.chat_with(node, tokens, is_stream, &[]).await
     }
@@ -624,7 +626,7 @@
             .await
     }
 
-    /// Sends one request on a connection of its own; `None` when no head of an answer came.
+    /// Sends one request on a new connection; `None` when no response head arrived.
     pub async fn send(
         &self,
         address: &str,
@@ -639,7 +641,7 @@
         Some(read_response(head, body).await)
     }
 
-    /// Sends one request and returns with the head of its answer.
+    /// Sends one request and returns the head of its response, with the body still to be read.
     pub async fn send_for_head(
         &self,
         address: &str,
@@ -669,20 +671,20 @@
         Some((reply.head, reply.body))
     }
 
-    /// Counts the requests that engines ran.
+    /// Returns the number of requests that the engines ran.
     pub fn executions(&self) -> usize {
         let records = self.engines.values().map(EngineStandin::record);
         records.map(|record| record.executions.len()).sum()
     }
 
-    /// Counts the calls that plain services ran on a path.
+    /// Returns the number of calls that the plain services ran on a path.
     pub fn calls(&self, path: &str) -> usize {
         let calls = self.services.values().flat_map(PlainStandin::calls);
         calls.filter(|call| call.path == path).count()
     }
 }
 
-/// Reads an answer to its end, or to where it broke.
+/// Reads a response to its end, or to where it broke off.
 pub async fn read_response(head: http::response::Parts, mut body: TargetBody) -> TestResponse {
     let mut bytes = Vec::new();
     let is_complete = loop {
@@ -732,10 +734,11 @@
     }
 }
 
-/// Checks from the platform's own history that no machine was ever in two groups.
+/// Checks by the platform's record of writes that no machine was ever in two groups.
 ///
-/// It never looks at what nodes say: after each transaction, every machine's row names one group,
-/// and no two groups that are not dissolving name the same life of a machine as a member.
+/// The nodes' own reports are not used. After each transaction, no two groups that are not
+/// dissolving may have the same incarnation of a machine as a member, and the claim of a member
+/// must name its group unless the claim is for another incarnation.
 pub fn check_history(platform: &PlatformStandin) {
     let mut groups: BTreeMap<String, GroupDoc> = BTreeMap::new();
     let mut claims: BTreeMap<String, VmClaimDoc> = BTreeMap::new();
@@ -759,16 +762,16 @@
                 continue;
             }
             for member in &group.members {
-                let life = (member.vm.clone(), member.incarnation);
-                let other = owners.insert(life, group.id.clone());
+                let incarnation = (member.vm.clone(), member.incarnation);
+                let other = owners.insert(incarnation, group.id.clone());
                 assert_eq!(other, None, "{} is in two groups", member.vm);
                 let zone = group.id.split('-').next().unwrap_or_default();
                 let claim = claims.get(&format!("vm/{zone}/{}", member.vm));
                 if let Some(claim) = claim {
-                    let is_own = claim.group == group.id;
-                    let is_other_life = claim.incarnation != member.incarnation;
+                    let is_same_group = claim.group == group.id;
+                    let is_other_incarnation = claim.incarnation != member.incarnation;
                     assert!(
-                        is_own || is_other_life,
+                        is_same_group || is_other_incarnation,
                         "{} is claimed by another",
                         member.vm
                     );
@@ -778,7 +781,7 @@
     }
 }
 
-/// Starts a service, waiting for an address that a killed one has not let go yet.
+/// Starts a plain service; tries again while a stopped one still holds the address.
 fn spawn_service(address: &str, name: &str, incarnation: u64) -> PlainStandin {
     let start = Instant::now();
     loop {
@@ -790,7 +793,7 @@
     }
 }
 
-fn rand_suffix() -> u64 {
+fn next_suffix() -> u64 {
     use std::sync::atomic::{AtomicU64, Ordering};
     static NEXT: AtomicU64 = AtomicU64::new(0);
     NEXT.fetch_add(1, Ordering::Relaxed)
@@ -798,8 +801,9 @@
 
 /// Ports handed out in this process.
 ///
-/// Tests run at once. A port that one of them has chosen and not yet bound looks free to the next; its
-/// node then answers for the other's, which has ended, and the other test waits for it in vain.
+/// Tests run concurrently. A port that one test has chosen but its node has not yet bound looks free
+/// to another test. If both use it, only one node can bind it: that node answers in place of the
+/// other, which has exited, and the other test waits until it times out.
 static TAKEN_PORTS: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
 
 fn free_ports(count: usize) -> Vec<u16> {
@@ -848,7 +852,7 @@
     for service in ["table", "objects", "vms", "weights"] {
         flags.push(format!("platform.{service}=http://{platform}"));
     }
-    flags.extend(QUICK.iter().map(|flag| (*flag).to_owned()));
+    flags.extend(FAST_SETTINGS.iter().map(|flag| (*flag).to_owned()));
     flags.extend(plan.settings.iter().cloned());
     let mut arguments = vec!["--settings".to_owned(), file.display().to_string()];
     for flag in flags {
