--- a/crates/node/src/fields.rs
+++ b/crates/node/src/fields.rs
@@ -187,7 +187,7 @@
     number("requests.in_flight", 1, 1 << 20, 8_192, "Most requests in flight on this node."),
     number("requests.queue", 0, 1 << 20, 1_024, "Most requests queued for one deployment."),
     millis("requests.connect_timeout_ms", 1, 500, "Time to open a connection to a target."),
-    millis("requests.stream_silence_ms", 10, 15_000, "Time without an event after which a stream counts as broken."),
+    millis("requests.stream_silence_ms", 10, 15_000, "Time without data after which a stream counts as broken."),
     number("requests.retry_permille", 0, 1_000, 100, "Thousandths of a retry that each success adds to the retry budget."),
     number("requests.retry_burst", 0, 10_000, 20, "Most retries that the retry budget holds."),
     number("requests.keys", 1, 1 << 24, 65_536, "Most idempotency keys kept in memory."),
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -61,8 +61,8 @@
         (Err(error), _) => Err(error),
         (_, Err(error)) => Err(error.into()),
     };
-    // The log thread writes a line up to `BATCH_DELAY` after it was logged; the process must not
-    // exit before the last lines are written.
+    // The log thread collects lines for `BATCH_DELAY` before it writes them; without this wait the
+    // last lines would be lost.
     std::thread::sleep(BATCH_DELAY * 2);
     match result {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -36,7 +36,7 @@
 const MAX_IDLE_CONNECTIONS: usize = 256;
 /// Time between checks for requests in flight and unwritten usage during shutdown.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Longest time to wait for each write to the platform during shutdown: usage, release of the lease.
+/// Longest time to wait during shutdown for usage to be written, and then for the lease's release.
 const PLATFORM_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Error that keeps a node from starting.
@@ -197,7 +197,7 @@
                 tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
             }
             // The meter is empty once its last batch is taken, which is before that batch is
-            // written; one more flush writes it.
+            // written; one more flush and wait give that write time to end, or repeat it.
             let _ = self.usage.send(UsageMessage::Flush).await;
             tokio::time::sleep(DRAIN_POLL_INTERVAL * 2).await;
         };
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -92,7 +92,7 @@
     pub queue: usize,
     /// Time to open a connection to a target.
     pub connect_timeout: Duration,
-    /// Time without an event after which a stream counts as broken.
+    /// Time without data after which a stream counts as broken.
     pub stream_silence: Duration,
     /// Thousandths of a retry that each success adds to the retry budget.
     pub retry_permille: u64,
