--- a/crates/node/tests/config.rs
+++ b/crates/node/tests/config.rs
@@ -262,12 +262,12 @@
 /// connection comes back. Nodes must exchange the configuration, and only adopt newer versions.
 #[tokio::test(flavor = "multi_thread")]
 async fn node_cut_from_the_platform_learns_from_its_peers() {
-    let plan = ClusterSpec {
+    let spec = ClusterSpec {
         nodes_per_zone: 2,
         engines_per_zone: 0,
         ..ClusterSpec::default()
     };
-    let mut cluster = Cluster::start(plan).await;
+    let mut cluster = Cluster::start(spec).await;
     let link = LinkRelay::spawn(&cluster.platform.address().to_string()).expect("a link");
     cluster.set_platform_address(1, &link.address().to_string());
     cluster.nodes[1].restart();
--- a/crates/node/tests/logs.rs
+++ b/crates/node/tests/logs.rs
@@ -50,8 +50,8 @@
         written,
     });
     for index in 0..10_000 {
-        writeln!(writer, "event=test index={index}").expect("a line is taken");
-        writer.flush().expect("a line is passed on");
+        writeln!(writer, "event=test index={index}").expect("a line is accepted");
+        writer.flush().expect("a line is queued or dropped");
     }
     drop(writer);
     release.send(()).expect("the output waits");
--- a/crates/node/tests/measure.rs
+++ b/crates/node/tests/measure.rs
@@ -163,14 +163,14 @@
 async fn cost_of_control() {
     let window = Duration::from_secs(6);
     for engines in [4, 40, 120] {
-        let plan = ClusterSpec {
+        let spec = ClusterSpec {
             nodes_per_zone: 2,
             engines_per_zone: 0,
             replicas_per_zone: engines as u32 / 2,
             settings: default_timing(),
             ..ClusterSpec::default()
         };
-        let mut cluster = Cluster::start_unconfigured(&plan).await;
+        let mut cluster = Cluster::start_unconfigured(&spec).await;
         let mut probed = None;
         for index in 0..engines {
             let name = format!("kakkanad-gpu-{index}");
@@ -179,7 +179,7 @@
                 probed = Some(relay_vm(&cluster, &name));
             }
         }
-        let cluster = cluster.configured(&plan).await;
+        let cluster = cluster.configured(&spec).await;
         cluster.wait_routable(engines / 2).await;
         let link = probed.expect("a relayed machine");
         tokio::time::sleep(Duration::from_secs(2)).await;
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -227,11 +227,11 @@
 
 impl Cluster {
     /// Starts a cluster and waits until every wanted group serves.
-    pub async fn start(plan: ClusterSpec) -> Self {
-        let cluster = Self::start_unconfigured(&plan).await;
-        cluster.configure(&plan).await;
-        let groups = plan.zones * plan.replicas_per_zone as usize;
-        if plan.engines_per_zone > 0 {
+    pub async fn start(spec: ClusterSpec) -> Self {
+        let cluster = Self::start_unconfigured(&spec).await;
+        cluster.configure(&spec).await;
+        let groups = spec.zones * spec.replicas_per_zone as usize;
+        if spec.engines_per_zone > 0 {
             cluster.wait_routable(groups).await;
         }
         for index in 0..cluster.nodes.len() {
@@ -242,7 +242,7 @@
                 .await;
             // Routes are built shortly after reports and configuration have arrived; a successful
             // call shows that they are.
-            if plan.services_per_zone > 0 {
+            if spec.services_per_zone > 0 {
                 cluster
                     .wait("the service answers", async |cluster| {
                         let answer = cluster.call_service(index, "/ping", &[]).await;
@@ -255,7 +255,7 @@
     }
 
     /// Starts processes and stand-ins without any configuration.
-    pub async fn start_unconfigured(plan: &ClusterSpec) -> Self {
+    pub async fn start_unconfigured(spec: &ClusterSpec) -> Self {
         let mut cluster = Self {
             platform: PlatformStandin::spawn("127.0.0.1:0").expect("a platform"),
             engines: BTreeMap::new(),
@@ -266,26 +266,26 @@
                 idle: 0,
             }),
         };
-        for zone in &ZONES[..plan.zones] {
-            for index in 0..plan.engines_per_zone {
+        for zone in &ZONES[..spec.zones] {
+            for index in 0..spec.engines_per_zone {
                 let name = format!("{zone}-gpu-{index}");
                 let mut settings = EngineSettings::quick(&name);
-                settings.checks_fencing = plan.checks_fencing;
+                settings.checks_fencing = spec.checks_fencing;
                 cluster.add_engine(zone, &format!("{zone}-fabric"), settings);
             }
-            for index in 0..plan.services_per_zone {
+            for index in 0..spec.services_per_zone {
                 cluster.add_service(zone, &format!("{zone}-app-{index}"), 1, "127.0.0.1:0");
             }
         }
-        cluster.start_nodes(plan).await;
+        cluster.start_nodes(spec).await;
         cluster
     }
 
     /// Starts the nodes; tries other ports when a chosen port was taken before the node bound it.
-    async fn start_nodes(&mut self, plan: &ClusterSpec) {
+    async fn start_nodes(&mut self, spec: &ClusterSpec) {
         for _ in 0..MAX_START_ATTEMPTS {
             self.nodes.clear();
-            self.add_nodes(plan);
+            self.add_nodes(spec);
             for node in &mut self.nodes {
                 node.start();
             }
@@ -346,14 +346,14 @@
         self.services.insert(name.to_owned(), service);
     }
 
-    fn add_nodes(&mut self, plan: &ClusterSpec) {
-        let count = plan.zones * plan.nodes_per_zone;
+    fn add_nodes(&mut self, spec: &ClusterSpec) {
+        let count = spec.zones * spec.nodes_per_zone;
         let mut ports = free_ports(count * 4).into_iter();
         let mut next = || ports.next().expect("a port");
         let members: Vec<(String, String, Ports)> = (0..count)
             .map(|index| {
-                let zone = ZONES[index / plan.nodes_per_zone];
-                let name = format!("{zone}-{}", index % plan.nodes_per_zone + 1);
+                let zone = ZONES[index / spec.nodes_per_zone];
+                let name = format!("{zone}-{}", index % spec.nodes_per_zone + 1);
                 let ports = Ports {
                     callers: next(),
                     operators: next(),
@@ -369,7 +369,7 @@
             .map(|(name, zone, ports)| (name.clone(), zone.clone(), ports.peers))
             .collect();
         for (name, zone, ports) in members {
-            let arguments = arguments(&name, &zone, &ports, &platform, &peer_ports, plan);
+            let arguments = arguments(&name, &zone, &ports, &platform, &peer_ports, spec);
             self.nodes.push(NodeProcess {
                 name,
                 zone,
@@ -429,20 +429,20 @@
         answer.is_some_and(|answer| answer.status == 200)
     }
 
-    async fn configure(&self, plan: &ClusterSpec) {
+    async fn configure(&self, spec: &ClusterSpec) {
         self.must_edit(KindDoc::Organisation, "kayal", organisation(KEY))
             .await;
         let model = ValueDoc::Deployment(DeploymentDoc {
             pool: MODEL_POOL.to_owned(),
             model: Some(ModelDoc {
-                vms_per_replica: plan.vms_per_replica,
-                replicas_per_zone: plan.replicas_per_zone,
-                checks_fencing: plan.checks_fencing,
+                vms_per_replica: spec.vms_per_replica,
+                replicas_per_zone: spec.replicas_per_zone,
+                checks_fencing: spec.checks_fencing,
                 spans_domains: false,
                 downtime_weight: 2,
                 stranded_weight: 1,
             }),
-            target_in_flight: plan.target_in_flight,
+            target_in_flight: spec.target_in_flight,
             priority: 0,
         });
         self.must_edit(KindDoc::Deployment, MODEL, model).await;
@@ -512,8 +512,8 @@
     }
 
     /// Configures a cluster that was started without a configuration.
-    pub async fn configured(self, plan: &ClusterSpec) -> Self {
-        self.configure(plan).await;
+    pub async fn configured(self, spec: &ClusterSpec) -> Self {
+        self.configure(spec).await;
         self
     }
 
@@ -827,7 +827,7 @@
     ports: &Ports,
     platform: &str,
     nodes: &[(String, String, u16)],
-    plan: &ClusterSpec,
+    spec: &ClusterSpec,
 ) -> Vec<String> {
     let peers: Vec<Value> = nodes
         .iter()
@@ -853,7 +853,7 @@
         flags.push(format!("platform.{service}=http://{platform}"));
     }
     flags.extend(FAST_SETTINGS.iter().map(|flag| (*flag).to_owned()));
-    flags.extend(plan.settings.iter().cloned());
+    flags.extend(spec.settings.iter().cloned());
     let mut arguments = vec!["--settings".to_owned(), file.display().to_string()];
     for flag in flags {
         arguments.extend(["--set".to_owned(), flag]);
