--- a/crates/node/src/admission.rs
+++ b/crates/node/src/admission.rs
@@ -367,14 +367,14 @@
 
 impl<'a> QueuedGuard<'a> {
     fn new(shared: &'a NodeShared) -> Self {
-        shared.metrics.move_queue(true);
+        shared.metrics.adjust_queued(true);
         Self { shared }
     }
 }
 
 impl Drop for QueuedGuard<'_> {
     fn drop(&mut self) {
-        self.shared.metrics.move_queue(false);
+        self.shared.metrics.adjust_queued(false);
     }
 }
 
--- a/crates/node/src/controller.rs
+++ b/crates/node/src/controller.rs
@@ -16,10 +16,10 @@
 use tokio::sync::oneshot;
 
 use crate::availability::AvailabilityCounters;
-use crate::keys::{epoch_key, group_prefix, vm_prefix};
 use crate::lease::{LeaseCall, LeaseDriver};
 use crate::orders::{orders_due, DueOrder};
 use crate::progress::due_changes;
+use crate::row_keys::{epoch_key, group_prefix, vm_prefix};
 use crate::shared::{ControlView, FleetView, NodeShared};
 use crate::steps::{describe_step, load_count};
 use crate::term::{ControllerTerm, RowChanges, TermCounters};
--- a/crates/node/src/term.rs
+++ b/crates/node/src/term.rs
@@ -7,8 +7,8 @@
 use briarswitch_wire::platform::{ReadReply, TransactRequest, VmClaimDoc};
 use indexmap::{IndexMap, IndexSet};
 
-use crate::config::row_value;
-use crate::keys::{epoch_key, group_key, group_prefix, vm_key, vm_prefix};
+use crate::config::parse_row;
+use crate::row_keys::{epoch_key, group_key, group_prefix, vm_key, vm_prefix};
 
 /// Number of low bits of a fencing number that count orders; the bits above hold the epoch.
 const ORDER_BITS: u32 = 32;
@@ -94,7 +94,7 @@
         counters: TermCounters,
     ) -> Option<Self> {
         let epoch_row = reply.rows.iter().find(|row| row.key == epoch_key(zone))?;
-        let holder: briarswitch_wire::platform::EpochDoc = row_value(&epoch_row.value)?;
+        let holder: briarswitch_wire::platform::EpochDoc = parse_row(&epoch_row.value)?;
         if holder.epoch != epoch {
             return None;
         }
@@ -115,11 +115,11 @@
         for row in &reply.rows {
             let version = row.version;
             if let Some(id) = row.key.strip_prefix(&groups) {
-                let value = GroupRecord::from(row_value::<GroupDoc>(&row.value)?);
+                let value = GroupRecord::from(parse_row::<GroupDoc>(&row.value)?);
                 term.groups
                     .insert(id.to_owned(), VersionedRow { value, version });
             } else if let Some(id) = row.key.strip_prefix(&vms) {
-                let value = row_value::<VmClaimDoc>(&row.value)?;
+                let value = parse_row::<VmClaimDoc>(&row.value)?;
                 term.claims
                     .insert(id.to_owned(), VersionedRow { value, version });
             }
--- a/crates/node/tests/crashes.rs
+++ b/crates/node/tests/crashes.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use googletest::prelude::*;
-use support::{Cluster, Plan};
+use support::{Cluster, ClusterSpec};
 
 /// Crashes after which a request is quarantined, plus the runs possible until all nodes know of
 /// them.
@@ -20,10 +20,10 @@
 /// each node in turn. The nodes must stop running it.
 #[tokio::test(flavor = "multi_thread")]
 async fn request_that_crashes_targets_is_not_run_again() {
-    let mut cluster = Cluster::start(Plan {
+    let mut cluster = Cluster::start(ClusterSpec {
         engines_per_zone: 0,
         services_per_zone: 1,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let name = cluster.services.keys().next().expect("a service").clone();
@@ -33,12 +33,12 @@
         let node = attempt % cluster.nodes.len();
         cluster
             .wait("the VM is in use", async |cluster| {
-                let answer = cluster.call(node, "/look", &[]).await;
+                let answer = cluster.call_service(node, "/look", &[]).await;
                 answer.is_some_and(|answer| answer.outcome() == "answered")
             })
             .await;
         cluster.services[&name].fault(|faults| faults.breaks = 1);
-        cluster.call(node, "/deadly", &[]).await;
+        cluster.call_service(node, "/deadly", &[]).await;
         runs += cluster.calls("/deadly");
         cluster.services.get_mut(&name).expect("a service").kill();
         let incarnation = 2 + attempt as u64;
@@ -51,11 +51,11 @@
 /// against refusing other requests along with it.
 #[tokio::test(flavor = "multi_thread")]
 async fn all_nodes_refuse_only_the_request_that_crashes_targets() {
-    let mut cluster = Cluster::start(Plan {
+    let mut cluster = Cluster::start(ClusterSpec {
         nodes_per_zone: 3,
         engines_per_zone: 0,
         services_per_zone: 1,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let name = cluster.services.keys().next().expect("a service").clone();
@@ -66,12 +66,12 @@
         let node = incarnation as usize % cluster.nodes.len();
         cluster
             .wait("the VM is in use", async |cluster| {
-                let answer = cluster.call(node, "/look", &[]).await;
+                let answer = cluster.call_service(node, "/look", &[]).await;
                 answer.is_some_and(|answer| answer.outcome() == "answered")
             })
             .await;
         cluster.services[&name].fault(|faults| faults.breaks = 1);
-        let answer = cluster.call(node, "/deadly", &[]).await;
+        let answer = cluster.call_service(node, "/deadly", &[]).await;
         refusal = answer.filter(|answer| answer.code() == "quarantined");
         cluster.services.get_mut(&name).expect("a service").kill();
         incarnation += 1;
@@ -86,9 +86,9 @@
             .wait(
                 "the node serves others and refuses this one",
                 async |cluster| {
-                    let other = cluster.call(node, "/look", &[]).await;
+                    let other = cluster.call_service(node, "/look", &[]).await;
                     cluster.services[&name].fault(|faults| faults.breaks = 1);
-                    let same = cluster.call(node, "/deadly", &[]).await;
+                    let same = cluster.call_service(node, "/deadly", &[]).await;
                     cluster.services[&name].fault(|faults| faults.breaks = 0);
                     other.is_some_and(|answer| answer.outcome() == "answered")
                         && same.is_some_and(|answer| answer.code() == "quarantined")
--- a/crates/node/tests/cuts.rs
+++ b/crates/node/tests/cuts.rs
@@ -5,7 +5,7 @@
 use briarswitch_standins::{LinkMode, LinkRelay};
 use briarswitch_wire::config::KindDoc;
 use googletest::prelude::*;
-use support::{check_history, organisation, Cluster, Plan};
+use support::{check_history, organisation, Cluster, ClusterSpec};
 
 /// Guards against a partitioned zone that stops serving, sends requests to the other zone on
 /// evidence from before the partition, or stays behind after it because the sides do not reconnect.
@@ -13,14 +13,14 @@
 /// side; then the links are restored.
 #[tokio::test(flavor = "multi_thread")]
 async fn partitioned_zone_serves_what_it_can_and_converges() {
-    let mut cluster = Cluster::start(Plan {
+    let mut cluster = Cluster::start(ClusterSpec {
         zones: 2,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let links = cluster.link_peers();
     let platform = LinkRelay::spawn(&cluster.platform.address().to_string()).expect("a link");
-    cluster.reroute_platform(1, &platform.address().to_string());
+    cluster.set_platform_address(1, &platform.address().to_string());
     for node in &mut cluster.nodes {
         node.restart();
     }
@@ -65,9 +65,9 @@
 /// about the reverse direction, so only the node without responses must drop the remote group.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_way_partition_is_detected_by_the_side_without_responses() {
-    let mut cluster = Cluster::start(Plan {
+    let mut cluster = Cluster::start(ClusterSpec {
         zones: 2,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let links = cluster.link_peers();
@@ -94,13 +94,13 @@
 /// request, not the response, and renewals must start early enough for a late response.
 #[tokio::test(flavor = "multi_thread")]
 async fn slow_platform_does_not_change_the_holder() {
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterSpec {
         nodes_per_zone: 2,
         settings: vec![
             "lease.duration_ms=4000".to_owned(),
             "lease.margin_ms=500".to_owned(),
         ],
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let before = cluster.status(0).await.expect("a status").controller;
--- a/crates/node/tests/groups.rs
+++ b/crates/node/tests/groups.rs
@@ -6,7 +6,7 @@
 use briarswitch_wire::engine::{OrderAction, StateDoc};
 use googletest::prelude::*;
 use nix::sys::signal::Signal;
-use support::{check_history, Cluster, Plan, ZONES};
+use support::{check_history, Cluster, ClusterSpec, ZONES};
 
 /// Number of low bits of a fencing number that count orders; the bits above hold the epoch.
 const ORDER_BITS: u32 = 32;
@@ -15,7 +15,7 @@
 /// leader dies and the leader still accepts requests, so checking only the leader is not enough.
 #[tokio::test(flavor = "multi_thread")]
 async fn group_stops_serving_when_a_member_dies() {
-    let mut cluster = Cluster::start(Plan::default()).await;
+    let mut cluster = Cluster::start(ClusterSpec::default()).await;
     let answer = cluster.chat(0, 2, false).await.expect("an answer");
     assert_that!(answer.outcome(), eq("answered"));
 
@@ -40,7 +40,7 @@
 /// refused connections.
 #[tokio::test(flavor = "multi_thread")]
 async fn group_stops_serving_while_a_member_is_frozen() {
-    let cluster = Cluster::start(Plan::default()).await;
+    let cluster = Cluster::start(ClusterSpec::default()).await;
     let leader = leader(&cluster, 0).await;
     let other = other_member(&cluster, &leader);
 
@@ -65,9 +65,9 @@
 /// group.
 #[tokio::test(flavor = "multi_thread")]
 async fn frozen_node_does_not_trust_old_evidence() {
-    let mut cluster = Cluster::start(Plan {
+    let mut cluster = Cluster::start(ClusterSpec {
         settings: vec!["gate.probe_interval_ms=300".to_owned()],
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let leader = leader(&cluster, 0).await;
@@ -90,9 +90,9 @@
 /// The planner must repair the group, which increases its generation.
 #[tokio::test(flavor = "multi_thread")]
 async fn group_is_repaired_from_a_spare() {
-    let mut cluster = Cluster::start(Plan {
+    let mut cluster = Cluster::start(ClusterSpec {
         engines_per_zone: 3,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let leader = leader(&cluster, 0).await;
@@ -117,7 +117,7 @@
 /// replica.
 #[tokio::test(flavor = "multi_thread")]
 async fn group_moves_when_its_fabric_domain_fails() {
-    let mut cluster = Cluster::start(Plan::default()).await;
+    let mut cluster = Cluster::start(ClusterSpec::default()).await;
     let first: Vec<String> = cluster.engines.keys().cloned().collect();
     for name in ["second-0", "second-1"] {
         cluster.add_engine(ZONES[0], "second-fabric", EngineSettings::quick(name));
@@ -154,11 +154,11 @@
 }
 
 async fn pause_and_wake_controller(checks_fencing: bool) {
-    let mut cluster = Cluster::start(Plan {
+    let mut cluster = Cluster::start(ClusterSpec {
         nodes_per_zone: 2,
         engines_per_zone: 3,
         checks_fencing,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let holder = controller(&cluster, 0).await.0;
@@ -199,12 +199,12 @@
 /// again.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_replies_claim_no_vm_twice() {
-    let plan = Plan {
+    let plan = ClusterSpec {
         engines_per_zone: 4,
         replicas_per_zone: 2,
-        ..Plan::default()
+        ..ClusterSpec::default()
     };
-    let cluster = Cluster::start_bare(&plan).await;
+    let cluster = Cluster::start_unconfigured(&plan).await;
     cluster.platform.fault(|faults| faults.lose_answers = 4);
     let cluster = cluster.configured(&plan).await;
 
@@ -218,10 +218,10 @@
 /// of membership need the lease.
 #[tokio::test(flavor = "multi_thread")]
 async fn complete_groups_serve_through_a_platform_outage() {
-    let mut cluster = Cluster::start(Plan {
+    let mut cluster = Cluster::start(ClusterSpec {
         engines_per_zone: 5,
         replicas_per_zone: 2,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     cluster.platform.fault(|faults| faults.is_down = true);
@@ -255,9 +255,9 @@
 /// decide, so it must be ordered to leave.
 #[tokio::test(flavor = "multi_thread")]
 async fn returned_member_is_told_what_the_table_says() {
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterSpec {
         engines_per_zone: 3,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let leader = leader(&cluster, 0).await;
@@ -303,7 +303,7 @@
 
 async fn send_chat(address: String) -> String {
     let client = briarswitch_http::TargetClient::open(briarswitch_http::TargetLimits {
-        connect: support::LIMIT,
+        connect: support::WAIT_TIMEOUT,
         idle: 0,
     });
     let body = briarswitch_http::whole_body(support::chat_body(2, false).into());
@@ -320,16 +320,18 @@
         .send(&target, request, true)
         .await
         .expect("an answer");
-    support::finish(reply.head, reply.body).await.outcome()
+    support::read_response(reply.head, reply.body)
+        .await
+        .outcome()
 }
 
 /// Guards against a group that is down for as long as weights take to load although a spare is
 /// idle. The spare must preload the weights before a member dies.
 #[tokio::test(flavor = "multi_thread")]
 async fn spare_holds_the_weights_before_it_is_needed() {
-    let mut cluster = Cluster::start(Plan {
+    let mut cluster = Cluster::start(ClusterSpec {
         engines_per_zone: 3,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let leader = leader(&cluster, 0).await;
--- a/crates/node/tests/requests.rs
+++ b/crates/node/tests/requests.rs
@@ -7,13 +7,13 @@
 use briarswitch_standins::PlainStandin;
 use googletest::prelude::*;
 use nix::sys::signal::Signal;
-use support::{chat_body, finish, Answer, Cluster, Plan, MODEL, SERVICE};
+use support::{chat_body, read_response, Cluster, ClusterSpec, TestResponse, MODEL, SERVICE};
 
-fn service_plan() -> Plan {
-    Plan {
+fn service_plan() -> ClusterSpec {
+    ClusterSpec {
         engines_per_zone: 0,
         services_per_zone: 1,
-        ..Plan::default()
+        ..ClusterSpec::default()
     }
 }
 
@@ -24,7 +24,7 @@
 /// A chat response arrives complete, streamed or not.
 #[tokio::test(flavor = "multi_thread")]
 async fn answers_are_whole() {
-    let cluster = Cluster::start(Plan::default()).await;
+    let cluster = Cluster::start(ClusterSpec::default()).await;
 
     let complete = cluster.chat(0, 5, false).await.expect("an answer");
     assert_that!(complete.body, contains_substring("w0 w1 w2 w3 w4 "));
@@ -32,7 +32,7 @@
 
     let streamed = cluster.chat(0, 5, true).await.expect("an answer");
     assert_that!(streamed.events(), len(eq(5)));
-    assert_that!(streamed.has_end_mark() && streamed.is_whole, eq(true));
+    assert_that!(streamed.has_done_marker() && streamed.is_complete, eq(true));
 }
 
 /// A caller was told `unknown` although nothing listened at the target: the VM of the service
@@ -44,7 +44,10 @@
     for service in cluster.services.values_mut() {
         service.kill();
     }
-    let answer = cluster.call(0, "/bill", &[]).await.expect("an answer");
+    let answer = cluster
+        .call_service(0, "/bill", &[])
+        .await
+        .expect("an answer");
 
     assert_that!(answer.outcome(), eq("not_run"));
     assert_that!(cluster.calls("/bill"), eq(0));
@@ -54,7 +57,7 @@
 /// response, and the call was sent again although it must not be repeated.
 #[tokio::test(flavor = "multi_thread")]
 async fn broken_call_is_not_sent_again() {
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterSpec {
         services_per_zone: 2,
         ..service_plan()
     })
@@ -62,7 +65,10 @@
     for service in cluster.services.values() {
         service.fault(|faults| faults.breaks = 1);
     }
-    let answer = cluster.call(0, "/bill", &[]).await.expect("an answer");
+    let answer = cluster
+        .call_service(0, "/bill", &[])
+        .await
+        .expect("an answer");
 
     assert_that!(answer.outcome(), eq("unknown"));
     assert_that!(cluster.calls("/bill"), eq(1));
@@ -75,7 +81,10 @@
     let cluster = Cluster::start(service_plan()).await;
     only_service(&cluster).fault(|faults| faults.silent = 1);
     let headers = [("x-deadline-ms", "300")];
-    let answer = cluster.call(0, "/bill", &headers).await.expect("an answer");
+    let answer = cluster
+        .call_service(0, "/bill", &headers)
+        .await
+        .expect("an answer");
 
     assert_that!(answer.outcome(), eq("unknown"));
     assert_that!(answer.code(), eq("answer_deadline"));
@@ -85,10 +94,10 @@
 /// A repeatable request is sent to another group after each kind of failure.
 #[tokio::test(flavor = "multi_thread")]
 async fn repeatable_request_is_tried_at_another_group() {
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterSpec {
         engines_per_zone: 4,
         replicas_per_zone: 2,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let status = cluster.status(0).await.expect("a status");
@@ -114,7 +123,7 @@
 /// kind of failure.
 #[tokio::test(flavor = "multi_thread")]
 async fn unrepeatable_request_is_told_the_truth() {
-    let cluster = Cluster::start(Plan::default()).await;
+    let cluster = Cluster::start(ClusterSpec::default()).await;
     let cases = [
         ("truncations", "unknown", "truncated"),
         ("foreign", "unknown", "foreign_answer"),
@@ -149,7 +158,7 @@
 /// keeps running and can resume the stream.
 #[tokio::test(flavor = "multi_thread")]
 async fn broken_stream_is_resumed_at_its_offset() {
-    let cluster = Cluster::start(Plan::default()).await;
+    let cluster = Cluster::start(ClusterSpec::default()).await;
     for engine in cluster.engines.values() {
         engine.fault(|faults| {
             faults.break_after = Some(3);
@@ -161,7 +170,7 @@
     let words: Vec<String> = answer.events().iter().map(|event| word_of(event)).collect();
     let expected: Vec<String> = (0..8).map(|index| format!("w{index} ")).collect();
     assert_that!(words, eq(&expected));
-    assert_that!(answer.has_end_mark() && answer.is_whole, eq(true));
+    assert_that!(answer.has_done_marker() && answer.is_complete, eq(true));
 }
 
 /// A caller took a partial response for a complete one. The stream breaks and the engine no longer
@@ -169,7 +178,7 @@
 /// event and a closed connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_that_can_not_be_resumed_is_visibly_broken() {
-    let cluster = Cluster::start(Plan::default()).await;
+    let cluster = Cluster::start(ClusterSpec::default()).await;
     for engine in cluster.engines.values() {
         engine.fault(|faults| {
             faults.break_after = Some(3);
@@ -191,9 +200,9 @@
     assert_broken(&unmarked);
 }
 
-fn assert_broken(answer: &Answer) {
-    assert_that!(answer.has_end_mark(), eq(false));
-    assert_that!(answer.is_whole, eq(false));
+fn assert_broken(answer: &TestResponse) {
+    assert_that!(answer.has_done_marker(), eq(false));
+    assert_that!(answer.is_complete, eq(false));
     assert_that!(answer.body, contains_substring(r#""outcome":"unknown""#));
 }
 
@@ -201,12 +210,12 @@
 /// to the end. Dropping the stream closes the connection to the engine, which cancels the request.
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_caller_cancels_its_stream() {
-    let cluster = Cluster::start(Plan::default()).await;
+    let cluster = Cluster::start(ClusterSpec::default()).await;
     let headers = [("authorization", "Bearer kayal-key")];
     let body = chat_body(100_000, true);
     let path = "/v1/chat/completions";
     let reply = cluster
-        .begin(&cluster.callers(0), "POST", path, &headers, &body)
+        .send_for_head(&cluster.callers(0), "POST", path, &headers, &body)
         .await;
     let (_, mut body) = reply.expect("a head");
     assert_that!(
@@ -230,7 +239,7 @@
 async fn key_runs_at_most_once_through_six_nodes() {
     const KEYS: usize = 50;
     const ROUNDS: usize = 34;
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterSpec {
         zones: 3,
         nodes_per_zone: 2,
         ..service_plan()
@@ -243,7 +252,9 @@
             let cluster = &cluster;
             async move {
                 let headers = [("idempotency-key", key.as_str())];
-                cluster.call((index + round) % 6, "/bill", &headers).await
+                cluster
+                    .call_service((index + round) % 6, "/bill", &headers)
+                    .await
             }
         });
         let answers = futures_join(calls.collect()).await;
@@ -268,7 +279,7 @@
 /// It is stored in the table.
 #[tokio::test(flavor = "multi_thread")]
 async fn key_survives_the_death_of_its_node() {
-    let mut cluster = Cluster::start(Plan {
+    let mut cluster = Cluster::start(ClusterSpec {
         nodes_per_zone: 2,
         ..service_plan()
     })
@@ -290,7 +301,7 @@
     }
     cluster.nodes[0].kill();
     let again = cluster
-        .call(1, "/bill", &[("idempotency-key", "order-1")])
+        .call_service(1, "/bill", &[("idempotency-key", "order-1")])
         .await;
     let again = again.expect("an answer");
 
@@ -308,17 +319,23 @@
     let name = cluster.services.keys().next().expect("a service").clone();
     cluster.services.get_mut(&name).expect("a service").kill();
     let headers = [("idempotency-key", "order-1")];
-    let first = cluster.call(0, "/bill", &headers).await.expect("an answer");
+    let first = cluster
+        .call_service(0, "/bill", &headers)
+        .await
+        .expect("an answer");
     assert_that!(first.outcome(), eq("not_run"));
 
     cluster.add_service("kakkanad", &name, 2, "127.0.0.1:0");
     cluster
         .wait("the replacement responds", async |cluster| {
-            let answer = cluster.call(0, "/ping", &[]).await;
+            let answer = cluster.call_service(0, "/ping", &[]).await;
             answer.is_some_and(|answer| answer.status == 200)
         })
         .await;
-    let second = cluster.call(0, "/bill", &headers).await.expect("an answer");
+    let second = cluster
+        .call_service(0, "/bill", &headers)
+        .await
+        .expect("an answer");
     assert_that!(second.outcome(), eq("answered"));
     assert_that!(cluster.calls("/bill"), eq(1));
 }
@@ -333,7 +350,10 @@
     let address = cluster.services[&name].address().to_string();
     let headers = [("x-repeatable", "true")];
     for _ in 0..5 {
-        let answer = cluster.call(0, "/look", &headers).await.expect("an answer");
+        let answer = cluster
+            .call_service(0, "/look", &headers)
+            .await
+            .expect("an answer");
         assert_that!(answer.outcome(), eq("answered"));
     }
     cluster.services.get_mut(&name).expect("a service").kill();
@@ -342,7 +362,10 @@
     for _ in 0..5 {
         cluster
             .wait("the new incarnation responds", async |cluster| {
-                let answer = cluster.call(0, "/look", &headers).await.expect("an answer");
+                let answer = cluster
+                    .call_service(0, "/look", &headers)
+                    .await
+                    .expect("an answer");
                 let outcome = answer.outcome();
                 assert_that!(outcome, any!(eq("answered"), eq("not_run")));
                 outcome == "answered"
@@ -361,13 +384,19 @@
     cluster.platform.fault(|faults| faults.is_down = true);
 
     let headers = [("idempotency-key", "order-1")];
-    let keyed = cluster.call(0, "/bill", &headers).await.expect("an answer");
+    let keyed = cluster
+        .call_service(0, "/bill", &headers)
+        .await
+        .expect("an answer");
     assert_that!(keyed.outcome(), eq("not_run"));
     assert_that!(keyed.code(), eq("claim_store"));
     assert_that!(keyed.headers.contains_key("retry-after"), eq(true));
     assert_that!(cluster.calls("/bill"), eq(0));
 
-    let unkeyed = cluster.call(0, "/bill", &[]).await.expect("an answer");
+    let unkeyed = cluster
+        .call_service(0, "/bill", &[])
+        .await
+        .expect("an answer");
     assert_that!(unkeyed.outcome(), eq("answered"));
     assert_that!(cluster.calls("/bill"), eq(1));
 }
@@ -382,7 +411,10 @@
     let mut outcomes = Vec::new();
     for _ in 0..3 {
         let headers = [("idempotency-key", "order-1")];
-        let answer = cluster.call(0, "/bill", &headers).await.expect("an answer");
+        let answer = cluster
+            .call_service(0, "/bill", &headers)
+            .await
+            .expect("an answer");
         outcomes.push(answer.outcome());
     }
 
@@ -395,7 +427,7 @@
 /// list showed it as live again. The leaving state holds for the rest of the VM's incarnation.
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_target_gets_nothing_new() {
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterSpec {
         services_per_zone: 2,
         ..service_plan()
     })
@@ -410,7 +442,10 @@
         .await;
     let before = leaving.calls().len();
     for _ in 0..40 {
-        let answer = cluster.call(0, "/bill", &[]).await.expect("an answer");
+        let answer = cluster
+            .call_service(0, "/bill", &[])
+            .await
+            .expect("an answer");
         assert_that!(answer.outcome(), eq("answered"));
     }
     assert_that!(leaving.calls(), len(eq(before)));
@@ -420,7 +455,7 @@
 /// was leaving, because only the platform's list was used. The target's own declaration counts too.
 #[tokio::test(flavor = "multi_thread")]
 async fn target_that_says_it_leaves_is_believed() {
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterSpec {
         services_per_zone: 2,
         ..service_plan()
     })
@@ -428,7 +463,10 @@
     let (_, leaving) = cluster.services.iter().next().expect("a service");
     leaving.fault(|faults| faults.is_leaving = true);
     for _ in 0..20 {
-        let answer = cluster.call(0, "/bill", &[]).await.expect("an answer");
+        let answer = cluster
+            .call_service(0, "/bill", &[])
+            .await
+            .expect("an answer");
         assert_that!(answer.outcome(), eq("answered"));
     }
     assert_that!(cluster.calls("/bill"), eq(20));
@@ -440,9 +478,9 @@
 /// exited as soon as its listeners were closed. It has to wait for the last response.
 #[tokio::test(flavor = "multi_thread")]
 async fn graceful_shutdown_cuts_no_answer() {
-    let mut cluster = Cluster::start_bare(&Plan {
+    let mut cluster = Cluster::start_unconfigured(&ClusterSpec {
         engines_per_zone: 0,
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     for index in 0..2 {
@@ -451,7 +489,7 @@
         settings.token_time = Duration::from_millis(20);
         cluster.add_engine("kakkanad", "kakkanad-fabric", settings);
     }
-    let cluster = cluster.configured(&Plan::default()).await;
+    let cluster = cluster.configured(&ClusterSpec::default()).await;
     cluster.wait_routable(1).await;
     let headers = [("authorization", "Bearer kayal-key")];
     let body = chat_body(60, true);
@@ -459,7 +497,7 @@
     for _ in 0..20 {
         let path = "/v1/chat/completions";
         let begun = cluster
-            .begin(&cluster.callers(0), "POST", path, &headers, &body)
+            .send_for_head(&cluster.callers(0), "POST", path, &headers, &body)
             .await;
         streams.push(begun.expect("a head"));
     }
@@ -472,20 +510,20 @@
     let ends = futures_join(
         streams
             .into_iter()
-            .map(|(head, body)| finish(head, body))
+            .map(|(head, body)| read_response(head, body))
             .collect(),
     )
     .await;
 
     for answer in &ends {
         assert_that!(answer.events(), len(eq(60)));
-        assert_that!(answer.has_end_mark() && answer.is_whole, eq(true));
+        assert_that!(answer.has_done_marker() && answer.is_complete, eq(true));
     }
     let mut cluster = cluster;
     let node = &mut cluster.nodes[0];
     let start = std::time::Instant::now();
-    while !node.has_ended() {
-        assert_that!(start.elapsed(), lt(support::LIMIT));
+    while !node.has_exited() {
+        assert_that!(start.elapsed(), lt(support::WAIT_TIMEOUT));
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     let usage = cluster.platform.rows("usage/");
@@ -500,12 +538,12 @@
 /// Each malformed request gets its documented error, and the node continues to serve.
 #[tokio::test(flavor = "multi_thread")]
 async fn malformed_requests_get_their_errors() {
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterSpec {
         settings: vec![
             "requests.body_bytes=2000".to_owned(),
             "requests.json_depth=8".to_owned(),
         ],
-        ..Plan::default()
+        ..ClusterSpec::default()
     })
     .await;
     let chat = "/v1/chat/completions";
@@ -630,7 +668,7 @@
 async fn malformed_http_closes_only_its_connection() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-    let cluster = Cluster::start(Plan::default()).await;
+    let cluster = Cluster::start(ClusterSpec::default()).await;
     let head =
         "POST /v1/chat/completions HTTP/1.1\r\nhost: n\r\nauthorization: Bearer kayal-key\r\n";
     let texts = [
@@ -649,7 +687,7 @@
         let _ = stream.shutdown().await;
         let mut answer = Vec::new();
         let read = stream.read_to_end(&mut answer);
-        let _ = tokio::time::timeout(support::LIMIT, read)
+        let _ = tokio::time::timeout(support::WAIT_TIMEOUT, read)
             .await
             .expect("the node closes the connection");
         assert_that!(
@@ -666,7 +704,7 @@
 /// It has to be refused immediately, with a `retry-after` header.
 #[tokio::test(flavor = "multi_thread")]
 async fn request_without_targets_is_refused_at_once() {
-    let mut cluster = Cluster::start(Plan::default()).await;
+    let mut cluster = Cluster::start(ClusterSpec::default()).await;
     for engine in cluster.engines.values_mut() {
         engine.kill();
     }
@@ -690,7 +728,7 @@
     word.unwrap_or_default().to_owned()
 }
 
-fn count(answers: &[Option<Answer>], outcome: &str) -> usize {
+fn count(answers: &[Option<TestResponse>], outcome: &str) -> usize {
     let answers = answers.iter().flatten();
     answers.filter(|answer| answer.outcome() == outcome).count()
 }
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Real node processes against stand-ins that live in the test.
+//! Runs real node processes against stand-ins of the platform and its targets inside the test.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,10 +25,10 @@
 use nix::unistd::Pid;
 use serde_json::Value;
 
-/// Longest time a condition may take to come about.
-pub const LIMIT: Duration = Duration::from_secs(60);
-/// Times that nodes are started on new ports.
-const STARTS: usize = 5;
+/// Longest time that a test waits for a condition or a response.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Most attempts to start the nodes, each on new ports.
+const MAX_START_ATTEMPTS: usize = 5;
 pub const MODEL: &str = "vilakku-lm";
 pub const SERVICE: &str = "kaunter-app";
 pub const MODEL_POOL: &str = "vilakku-pool";
@@ -36,8 +36,8 @@
 pub const KEY: &str = "kayal-key";
 pub const ZONES: [&str; 3] = ["kakkanad", "edappally", "vyttila"];
 
-/// Short times, so that tests wait little; conditions never depend on them.
-const QUICK: &[&str] = &[
+/// Short times that keep the tests fast; no checked condition depends on them.
+const FAST_SETTINGS: &[&str] = &[
     "lease.duration_ms=1500",
     "lease.margin_ms=200",
     "lease.renew_ms=300",
@@ -99,8 +99,8 @@
         self.start();
     }
 
-    /// Starts the node anew with a standard output that is read only by who holds what is returned.
-    pub fn restart_unread(&mut self) -> ChildStdout {
+    /// Restarts the node with its standard output as a pipe, and returns the reading end.
+    pub fn restart_with_piped_output(&mut self) -> ChildStdout {
         self.kill();
         let mut child = Command::new(env!("CARGO_BIN_EXE_briarswitch-node"))
             .args(&self.arguments)
@@ -114,7 +114,8 @@
 
     /// Sends a signal; one that stops the process has taken effect when this returns.
     ///
-    /// A thread of the process has to run to take the signal, and on a busy machine the others go on until it does.
+    /// SIGSTOP takes effect when a thread of the process next runs; on a busy machine the other
+    /// threads go on until then.
     pub fn signal(&self, signal: Signal) {
         let Some(child) = &self.child else {
             return;
@@ -125,19 +126,19 @@
         }
     }
 
-    pub fn has_ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         let child = self.child.as_mut();
         child.is_none_or(|child| child.try_wait().is_ok_and(|status| status.is_some()))
     }
 }
 
-/// Returns whether every thread of a process stands still.
+/// Returns whether every thread of a process is stopped.
 fn is_stopped(process: u32) -> bool {
     let threads = std::fs::read_dir(format!("/proc/{process}/task")).expect("the process is there");
     let mut states = threads.map(|thread| {
         let stat = thread.map(|thread| std::fs::read_to_string(thread.path().join("stat")));
         let stat = stat.and_then(|stat| stat).expect("a thread's state");
-        // The state follows the name, which stands in brackets.
+        // The state follows the thread's name, which is in parentheses.
         stat.rsplit(") ").next().unwrap_or_default().to_owned()
     });
     states.all(|state| state.starts_with('T'))
@@ -149,17 +150,17 @@
     }
 }
 
-/// One answer as the test's client saw it.
+/// One response as the test's client received it.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct TestResponse {
     pub status: u16,
     pub headers: BTreeMap<String, String>,
     pub body: String,
-    /// Whether the body came to its end.
-    pub is_whole: bool,
+    /// Whether the body was received to its end.
+    pub is_complete: bool,
 }
 
-impl Answer {
+impl TestResponse {
     pub fn outcome(&self) -> String {
         self.headers.get("x-outcome").cloned().unwrap_or_default()
     }
@@ -172,7 +173,7 @@
             .to_owned()
     }
 
-    /// Returns the stream events before the end mark.
+    /// Returns the events of a stream, without the final `[DONE]`.
     pub fn events(&self) -> Vec<String> {
         self.body
             .split("\n\n")
@@ -182,7 +183,7 @@
             .collect()
     }
 
-    pub fn has_end_mark(&self) -> bool {
+    pub fn has_done_marker(&self) -> bool {
         self.body.contains("data: [DONE]")
     }
 }
@@ -195,8 +196,8 @@
     client: TargetClient,
 }
 
-/// What a cluster consists of.
-pub struct Plan {
+/// Size, deployments and settings of a cluster.
+pub struct ClusterSpec {
     pub zones: usize,
     pub nodes_per_zone: usize,
     pub engines_per_zone: usize,
@@ -208,7 +209,7 @@
     pub settings: Vec<String>,
 }
 
-impl Default for Plan {
+impl Default for ClusterSpec {
     fn default() -> Self {
         Self {
             zones: 1,
@@ -225,12 +226,12 @@
 }
 
 impl Cluster {
-    /// Starts everything and waits until every wanted group serves.
-    pub async fn start(plan: Plan) -> Self {
-        let cluster = Self::start_bare(&plan).await;
-        cluster.configure(&plan).await;
-        let groups = plan.zones * plan.replicas_per_zone as usize;
-        if plan.engines_per_zone > 0 {
+    /// Starts a cluster and waits until every wanted group serves.
+    pub async fn start(spec: ClusterSpec) -> Self {
+        let cluster = Self::start_unconfigured(&spec).await;
+        cluster.configure(&spec).await;
+        let groups = spec.zones * spec.replicas_per_zone as usize;
+        if spec.engines_per_zone > 0 {
             cluster.wait_routable(groups).await;
         }
         for index in 0..cluster.nodes.len() {
@@ -239,12 +240,12 @@
                     cluster.sees_its_zone(index).await
                 })
                 .await;
-            // Routes are built a little after evidence and configuration are there; a call that
-            // is answered shows that they are.
-            if plan.services_per_zone > 0 {
+            // Routes are built shortly after reports and configuration have arrived; a successful
+            // call shows that they are.
+            if spec.services_per_zone > 0 {
                 cluster
                     .wait("the service answers", async |cluster| {
-                        let answer = cluster.call(index, "/ping", &[]).await;
+                        let answer = cluster.call_service(index, "/ping", &[]).await;
                         answer.is_some_and(|answer| answer.status == 200)
                     })
                     .await;
@@ -254,7 +255,7 @@
     }
 
     /// Starts processes and stand-ins without any configuration.
-    pub async fn start_bare(plan: &Plan) -> Self {
+    pub async fn start_unconfigured(spec: &ClusterSpec) -> Self {
         let mut cluster = Self {
             platform: PlatformStandin::spawn("127.0.0.1:0").expect("a platform"),
             engines: BTreeMap::new(),
@@ -265,26 +266,26 @@
                 idle: 0,
             }),
         };
-        for zone in &ZONES[..plan.zones] {
-            for index in 0..plan.engines_per_zone {
+        for zone in &ZONES[..spec.zones] {
+            for index in 0..spec.engines_per_zone {
                 let name = format!("{zone}-gpu-{index}");
                 let mut settings = EngineSettings::quick(&name);
-                settings.checks_fencing = plan.checks_fencing;
+                settings.checks_fencing = spec.checks_fencing;
                 cluster.add_engine(zone, &format!("{zone}-fabric"), settings);
             }
-            for index in 0..plan.services_per_zone {
+            for index in 0..spec.services_per_zone {
                 cluster.add_service(zone, &format!("{zone}-app-{index}"), 1, "127.0.0.1:0");
             }
         }
-        cluster.start_nodes(plan).await;
+        cluster.start_nodes(spec).await;
         cluster
     }
 
-    /// Starts the nodes, on other ports if somebody took one between its choice and its use.
-    async fn start_nodes(&mut self, plan: &Plan) {
-        for _ in 0..STARTS {
+    /// Starts the nodes; tries other ports when a chosen port was taken before the node bound it.
+    async fn start_nodes(&mut self, spec: &ClusterSpec) {
+        for _ in 0..MAX_START_ATTEMPTS {
             self.nodes.clear();
-            self.add_nodes(plan);
+            self.add_nodes(spec);
             for node in &mut self.nodes {
                 node.start();
             }
@@ -295,17 +296,17 @@
         panic!("the nodes did not start");
     }
 
-    /// Waits until every node is ready; false when one ended instead.
+    /// Waits until every node is ready; returns false when one exited instead.
     async fn all_ready(&mut self) -> bool {
         for index in 0..self.nodes.len() {
             let start = Instant::now();
             while !self.is_ready(index).await {
-                if self.nodes[index].has_ended() {
+                if self.nodes[index].has_exited() {
                     return false;
                 }
                 assert!(
-                    start.elapsed() < LIMIT,
-                    "the node is ready: did not come about"
+                    start.elapsed() < WAIT_TIMEOUT,
+                    "timed out: the node is ready"
                 );
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
@@ -345,14 +346,14 @@
         self.services.insert(name.to_owned(), service);
     }
 
-    fn add_nodes(&mut self, plan: &Plan) {
-        let count = plan.zones * plan.nodes_per_zone;
+    fn add_nodes(&mut self, spec: &ClusterSpec) {
+        let count = spec.zones * spec.nodes_per_zone;
         let mut ports = free_ports(count * 4).into_iter();
         let mut next = || ports.next().expect("a port");
         let members: Vec<(String, String, Ports)> = (0..count)
             .map(|index| {
-                let zone = ZONES[index / plan.nodes_per_zone];
-                let name = format!("{zone}-{}", index % plan.nodes_per_zone + 1);
+                let zone = ZONES[index / spec.nodes_per_zone];
+                let name = format!("{zone}-{}", index % spec.nodes_per_zone + 1);
                 let ports = Ports {
                     callers: next(),
                     operators: next(),
@@ -368,7 +369,7 @@
             .map(|(name, zone, ports)| (name.clone(), zone.clone(), ports.peers))
             .collect();
         for (name, zone, ports) in members {
-            let arguments = arguments(&name, &zone, &ports, &platform, &peer_ports, plan);
+            let arguments = arguments(&name, &zone, &ports, &platform, &peer_ports, spec);
             self.nodes.push(NodeProcess {
                 name,
                 zone,
@@ -379,31 +380,32 @@
         }
     }
 
-    /// Puts a link before every peer of every node, for the next start, and returns the links by the
-    /// node that asks and the one that is asked.
+    /// Routes the connections between all nodes through links, from their next start on.
+    ///
+    /// Returns the links by the node that connects and the one that it connects to.
     pub fn link_peers(&mut self) -> BTreeMap<(usize, usize), LinkRelay> {
         let mut links = BTreeMap::new();
-        for asker in 0..self.nodes.len() {
+        for from in 0..self.nodes.len() {
             let mut peers = Vec::new();
-            for asked in (0..self.nodes.len()).filter(|asked| *asked != asker) {
-                let node = &self.nodes[asked];
+            for to in (0..self.nodes.len()).filter(|to| *to != from) {
+                let node = &self.nodes[to];
                 let link = LinkRelay::spawn(&format!("127.0.0.1:{}", node.ports.peers));
                 let link = link.expect("a link");
                 let address = link.address().to_string();
                 peers.push(serde_json::json!({
                     "node": node.name, "zone": node.zone, "address": address,
                 }));
-                links.insert((asker, asked), link);
+                links.insert((from, to), link);
             }
-            let file = &self.nodes[asker].arguments[1];
+            let file = &self.nodes[from].arguments[1];
             let text = serde_json::json!({ "peers": peers }).to_string();
             std::fs::write(file, text).expect("a settings file");
         }
         links
     }
 
-    /// Points one node at another platform address, for the next start.
-    pub fn reroute_platform(&mut self, node: usize, address: &str) {
+    /// Sets the platform address of one node, from its next start on.
+    pub fn set_platform_address(&mut self, node: usize, address: &str) {
         for service in ["table", "objects", "vms", "weights"] {
             let flag = format!("platform.{service}=http://{address}");
             self.nodes[node]
@@ -427,20 +429,20 @@
         answer.is_some_and(|answer| answer.status == 200)
     }
 
-    async fn configure(&self, plan: &Plan) {
+    async fn configure(&self, spec: &ClusterSpec) {
         self.must_edit(KindDoc::Organisation, "kayal", organisation(KEY))
             .await;
         let model = ValueDoc::Deployment(DeploymentDoc {
             pool: MODEL_POOL.to_owned(),
             model: Some(ModelDoc {
-                vms_per_replica: plan.vms_per_replica,
-                replicas_per_zone: plan.replicas_per_zone,
-                checks_fencing: plan.checks_fencing,
+                vms_per_replica: spec.vms_per_replica,
+                replicas_per_zone: spec.replicas_per_zone,
+                checks_fencing: spec.checks_fencing,
                 spans_domains: false,
                 downtime_weight: 2,
                 stranded_weight: 1,
             }),
-            target_in_flight: plan.target_in_flight,
+            target_in_flight: spec.target_in_flight,
             priority: 0,
         });
         self.must_edit(KindDoc::Deployment, MODEL, model).await;
@@ -490,13 +492,13 @@
             id: id.to_owned(),
             base,
             value,
-            write: format!("test-{id}-{node}-{base}-{}", rand_suffix()),
+            write: format!("test-{id}-{node}-{base}-{}", next_suffix()),
         };
         let text = serde_json::to_string(&request).expect("an edit");
-        self.operate(node, "POST", "/v1/edit", &text).await
+        self.operator_request(node, "POST", "/v1/edit", &text).await
     }
 
-    pub async fn operate<T: serde::de::DeserializeOwned>(
+    pub async fn operator_request<T: serde::de::DeserializeOwned>(
         &self,
         node: usize,
         method: &str,
@@ -509,27 +511,27 @@
         serde_json::from_str(&answer.body).ok()
     }
 
-    /// Configures a cluster that was started bare.
-    pub async fn configured(self, plan: &Plan) -> Self {
-        self.configure(plan).await;
+    /// Configures a cluster that was started without a configuration.
+    pub async fn configured(self, spec: &ClusterSpec) -> Self {
+        self.configure(spec).await;
         self
     }
 
-    /// Returns one service's part of a node's state dump.
+    /// Returns the part of a node's state dump that describes one service.
     pub async fn dump(&self, node: usize, service: &str) -> Value {
-        let dump: Option<Value> = self.operate(node, "GET", "/v1/dump", "").await;
+        let dump: Option<Value> = self.operator_request(node, "GET", "/v1/dump", "").await;
         dump.unwrap_or_default()["services"][service].clone()
     }
 
     pub async fn status(&self, node: usize) -> Option<StatusReply> {
-        self.operate(node, "GET", "/v1/status", "").await
+        self.operator_request(node, "GET", "/v1/status", "").await
     }
 
     pub async fn version(&self, node: usize) -> Option<u64> {
         Some(self.status(node).await?.versions.first()?.version)
     }
 
-    /// Returns the groups that a node would send requests to.
+    /// Returns the number of groups that a node would send requests to.
     pub async fn routable(&self, node: usize) -> usize {
         let status = self.status(node).await;
         status.map_or(0, |status| {
@@ -551,7 +553,7 @@
     }
 
     /// Returns a node's processor time in seconds and its resident memory in kB.
-    pub fn usage_of(&self, node: usize) -> (f64, u64) {
+    pub fn process_usage(&self, node: usize) -> (f64, u64) {
         let child = self.nodes[node].child.as_ref().expect("a running node");
         let read = |file: &str| {
             std::fs::read_to_string(format!("/proc/{}/{file}", child.id())).unwrap_or_default()
@@ -571,17 +573,17 @@
         (spent / 100.0, resident.unwrap_or(0))
     }
 
-    /// Returns the bytes of questions a node took from its peers.
+    /// Returns the bytes of exchange requests that a node received from its peers.
     pub async fn peer_bytes(&self, node: usize) -> u64 {
-        let dump: Option<Value> = self.operate(node, "GET", "/v1/dump", "").await;
+        let dump: Option<Value> = self.operator_request(node, "GET", "/v1/dump", "").await;
         dump.unwrap_or_default()["peer_bytes"].as_u64().unwrap_or(0)
     }
 
-    /// Waits until a condition holds.
-    pub async fn wait(&self, what: &str, holds: impl AsyncFn(&Self) -> bool) {
+    /// Waits until a condition holds; panics after [`WAIT_TIMEOUT`].
+    pub async fn wait(&self, what: &str, condition: impl AsyncFn(&Self) -> bool) {
         let start = Instant::now();
-        while !holds(self).await {
-            assert!(start.elapsed() < LIMIT, "{what}: did not come about");
+        while !condition(self).await {
+            assert!(start.elapsed() < WAIT_TIMEOUT, "timed out: {what}");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -590,8 +592,8 @@
         format!("127.0.0.1:{}", self.nodes[node].ports.callers)
     }
 
-    /// Sends a chat request for `tokens` tokens.
-    pub async fn chat(&self, node: usize, tokens: u32, is_stream: bool) -> Option<Answer> {
+    /// Sends a chat request for at most `tokens` tokens.
+    pub async fn chat(&self, node: usize, tokens: u32, is_stream: bool) -> Option<TestResponse> {
         self.chat_with(node, tokens, is_stream, &[]).await
     }
 
@@ -601,7 +603,7 @@
         tokens: u32,
         is_stream: bool,
         headers: &[(&str, &str)],
-    ) -> Option<Answer> {
+    ) -> Option<TestResponse> {
         let body = chat_body(tokens, is_stream);
         let mut all = vec![("authorization", "Bearer kayal-key")];
         all.extend_from_slice(headers);
@@ -611,7 +613,12 @@
     }
 
     /// Calls the plain service.
-    pub async fn call(&self, node: usize, path: &str, headers: &[(&str, &str)]) -> Option<Answer> {
+    pub async fn call_service(
+        &self,
+        node: usize,
+        path: &str,
+        headers: &[(&str, &str)],
+    ) -> Option<TestResponse> {
         let mut all = vec![("authorization", "Bearer kayal-key")];
         all.extend_from_slice(headers);
         let path = format!("/services/{SERVICE}{path}");
@@ -619,7 +626,7 @@
             .await
     }
 
-    /// Sends one request on a connection of its own; `None` when no head of an answer came.
+    /// Sends one request on a new connection; `None` when no response head arrived.
     pub async fn send(
         &self,
         address: &str,
@@ -627,13 +634,15 @@
         path: &str,
         headers: &[(&str, &str)],
         body: &str,
-    ) -> Option<Answer> {
-        let (head, body) = self.begin(address, method, path, headers, body).await?;
-        Some(finish(head, body).await)
+    ) -> Option<TestResponse> {
+        let (head, body) = self
+            .send_for_head(address, method, path, headers, body)
+            .await?;
+        Some(read_response(head, body).await)
     }
 
-    /// Sends one request and returns with the head of its answer.
-    pub async fn begin(
+    /// Sends one request and returns the head of its response, with the body still to be read.
+    pub async fn send_for_head(
         &self,
         address: &str,
         method: &str,
@@ -655,28 +664,31 @@
             incarnation: 0,
         };
         let sending = self.client.send(&target, request, true);
-        let reply = tokio::time::timeout(LIMIT, sending).await.ok()?.ok()?;
+        let reply = tokio::time::timeout(WAIT_TIMEOUT, sending)
+            .await
+            .ok()?
+            .ok()?;
         Some((reply.head, reply.body))
     }
 
-    /// Counts the requests that engines ran.
+    /// Returns the number of requests that the engines ran.
     pub fn executions(&self) -> usize {
         let records = self.engines.values().map(EngineStandin::record);
         records.map(|record| record.executions.len()).sum()
     }
 
-    /// Counts the calls that plain services ran on a path.
+    /// Returns the number of calls that the plain services ran on a path.
     pub fn calls(&self, path: &str) -> usize {
         let calls = self.services.values().flat_map(PlainStandin::calls);
         calls.filter(|call| call.path == path).count()
     }
 }
 
-/// Reads an answer to its end, or to where it broke.
-pub async fn finish(head: http::response::Parts, mut body: TargetBody) -> Answer {
+/// Reads a response to its end, or to where it broke off.
+pub async fn read_response(head: http::response::Parts, mut body: TargetBody) -> TestResponse {
     let mut bytes = Vec::new();
-    let is_whole = loop {
-        match tokio::time::timeout(LIMIT, body.next()).await {
+    let is_complete = loop {
+        match tokio::time::timeout(WAIT_TIMEOUT, body.next()).await {
             Ok(Ok(Some(piece))) => bytes.extend_from_slice(&piece),
             Ok(Ok(None)) => break true,
             Ok(Err(_)) | Err(_) => break false,
@@ -686,11 +698,11 @@
         let text = value.to_str().unwrap_or_default().to_owned();
         (name.as_str().to_owned(), text)
     });
-    Answer {
+    TestResponse {
         status: head.status.as_u16(),
         headers: headers.collect(),
         body: String::from_utf8_lossy(&bytes).into_owned(),
-        is_whole,
+        is_complete,
     }
 }
 
@@ -722,10 +734,11 @@
     }
 }
 
-/// Checks from the platform's own history that no machine was ever in two groups.
+/// Checks by the platform's record of writes that no machine was ever in two groups.
 ///
-/// It never looks at what nodes say: after each transaction, every machine's row names one group,
-/// and no two groups that are not dissolving name the same life of a machine as a member.
+/// The nodes' own reports are not used. After each transaction, no two groups that are not
+/// dissolving may have the same incarnation of a machine as a member, and the claim of a member
+/// must name its group unless the claim is for another incarnation.
 pub fn check_history(platform: &PlatformStandin) {
     let mut groups: BTreeMap<String, GroupDoc> = BTreeMap::new();
     let mut claims: BTreeMap<String, VmClaimDoc> = BTreeMap::new();
@@ -749,16 +762,16 @@
                 continue;
             }
             for member in &group.members {
-                let life = (member.vm.clone(), member.incarnation);
-                let other = owners.insert(life, group.id.clone());
+                let incarnation = (member.vm.clone(), member.incarnation);
+                let other = owners.insert(incarnation, group.id.clone());
                 assert_eq!(other, None, "{} is in two groups", member.vm);
                 let zone = group.id.split('-').next().unwrap_or_default();
                 let claim = claims.get(&format!("vm/{zone}/{}", member.vm));
                 if let Some(claim) = claim {
-                    let is_own = claim.group == group.id;
-                    let is_other_life = claim.incarnation != member.incarnation;
+                    let is_same_group = claim.group == group.id;
+                    let is_other_incarnation = claim.incarnation != member.incarnation;
                     assert!(
-                        is_own || is_other_life,
+                        is_same_group || is_other_incarnation,
                         "{} is claimed by another",
                         member.vm
                     );
@@ -768,19 +781,19 @@
     }
 }
 
-/// Starts a service, waiting for an address that a killed one has not let go yet.
+/// Starts a plain service; tries again while a stopped one still holds the address.
 fn spawn_service(address: &str, name: &str, incarnation: u64) -> PlainStandin {
     let start = Instant::now();
     loop {
         match PlainStandin::spawn(address, name, incarnation) {
             Ok(service) => return service,
-            Err(error) => assert!(start.elapsed() < LIMIT, "{address}: {error}"),
+            Err(error) => assert!(start.elapsed() < WAIT_TIMEOUT, "{address}: {error}"),
         }
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-fn rand_suffix() -> u64 {
+fn next_suffix() -> u64 {
     use std::sync::atomic::{AtomicU64, Ordering};
     static NEXT: AtomicU64 = AtomicU64::new(0);
     NEXT.fetch_add(1, Ordering::Relaxed)
@@ -788,8 +801,9 @@
 
 /// Ports handed out in this process.
 ///
-/// Tests run at once. A port that one of them has chosen and not yet bound looks free to the next; its
-/// node then answers for the other's, which has ended, and the other test waits for it in vain.
+/// Tests run concurrently. A port that one test has chosen but its node has not yet bound looks free
+/// to another test. If both use it, only one node can bind it: that node answers in place of the
+/// other, which has exited, and the other test waits until it times out.
 static TAKEN_PORTS: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
 
 fn free_ports(count: usize) -> Vec<u16> {
@@ -813,7 +827,7 @@
     ports: &Ports,
     platform: &str,
     nodes: &[(String, String, u16)],
-    plan: &Plan,
+    spec: &ClusterSpec,
 ) -> Vec<String> {
     let peers: Vec<Value> = nodes
         .iter()
@@ -838,8 +852,8 @@
     for service in ["table", "objects", "vms", "weights"] {
         flags.push(format!("platform.{service}=http://{platform}"));
     }
-    flags.extend(QUICK.iter().map(|flag| (*flag).to_owned()));
-    flags.extend(plan.settings.iter().cloned());
+    flags.extend(FAST_SETTINGS.iter().map(|flag| (*flag).to_owned()));
+    flags.extend(spec.settings.iter().cloned());
     let mut arguments = vec!["--settings".to_owned(), file.display().to_string()];
     for flag in flags {
         arguments.extend(["--set".to_owned(), flag]);
