--- a/crates/fleet/src/controller.rs
+++ b/crates/fleet/src/controller.rs
@@ -438,7 +438,7 @@
             // Before the first request, nothing else needs the weight store.
             return usize::MAX;
         }
-        let remote = self.shared.peer_work.read().all_loading();
+        let remote = self.shared.peer_work.read().total_loading();
         let local: u32 = self.shared.active_loads.read().values().sum();
         let limit = engine.parallel_loads + EXTRA_LOADS;
         limit.saturating_sub((local + remote) as usize)
--- a/crates/fleet/src/feed.rs
+++ b/crates/fleet/src/feed.rs
@@ -14,7 +14,7 @@
 use briarswitch_core::id::*;
 use briarswitch_http::{CallError, CallerClient, Codec};
 use briarswitch_kernel::BootClock;
-use briarswitch_membership::{LiveView, NodeEntry, ZonePart};
+use briarswitch_membership::{LiveView, NodeEntry, ReaderRole};
 use futures::future::{BoxFuture, FutureExt, Shared};
 use futures::stream::{FuturesUnordered, StreamExt};
 use http::Method;
@@ -149,11 +149,11 @@
         live: &LiveView,
         request: FeedRequest,
     ) -> Result<FeedResponse, SourceError> {
-        match live.reader_part(MAX_READERS, MIN_RELAYED_ZONE_NODES, self.reads_store()) {
-            ZonePart::Alone | ZonePart::First => {
+        match live.reader_role(MAX_READERS, MIN_RELAYED_ZONE_NODES, self.reads_store()) {
+            ReaderRole::Independent | ReaderRole::Reader => {
                 self.request_store(request, BootClock::now()).await
             }
-            ZonePart::Other(readers) => {
+            ReaderRole::Follower(readers) => {
                 let nodes = f64::from(live.zone_nodes());
                 let may_probe_store =
                     rand::random::<f64>() < PROBES_PER_SECOND * MEAN_RETRY_INTERVAL_S / nodes;
--- a/crates/fleet/src/fleet_suspect_host.rs
+++ b/crates/fleet/src/fleet_suspect_host.rs
@@ -5,7 +5,7 @@
 
 use briarswitch_core::fingerprint::RequestFingerprint;
 use briarswitch_core::id::*;
-use briarswitch_membership::ThingHolders;
+use briarswitch_membership::KeyHolders;
 use futures::future::BoxFuture;
 
 use crate::costs::CostKind;
@@ -35,7 +35,7 @@
         })
     }
 
-    fn holders_of(&self, print: &RequestFingerprint, count: usize) -> ThingHolders {
+    fn holders_of(&self, print: &RequestFingerprint, count: usize) -> KeyHolders {
         self.live_view.read().holders_of(&print.to_string(), count)
     }
 
--- a/crates/fleet/src/gauge.rs
+++ b/crates/fleet/src/gauge.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use briarswitch_core::id::{Moment, TargetId};
-use briarswitch_membership::{target_key, LoadMap, TargetKey};
+use briarswitch_membership::{target_key, RequestCounts, TargetKey};
 use indexmap::IndexSet;
 
 /// Divisor of the exponential smoothing: the newest sample has a weight of one in this many.
@@ -268,7 +268,7 @@
     }
 
     /// Returns the number of this node's requests by target, without targets that have none.
-    pub fn local_loads(&self) -> LoadMap {
+    pub fn local_loads(&self) -> RequestCounts {
         let gauges = self.read();
         let loads = gauges
             .values()
--- a/crates/fleet/src/peer_api.rs
+++ b/crates/fleet/src/peer_api.rs
@@ -8,7 +8,7 @@
 use briarswitch_core::id::Moment;
 use briarswitch_http::{read_body, reply_packed, reply_text, unpack, Handler, Request, Response};
 use briarswitch_kernel::{BootClock, Mailbox};
-use briarswitch_membership::{Gossip, GossipDoc, Standing};
+use briarswitch_membership::{Gossip, GossipDoc, NodeStatus};
 use futures::future::BoxFuture;
 use http::StatusCode;
 use indexmap::IndexSet;
@@ -32,7 +32,7 @@
 /// Responds to other nodes.
 pub struct PeerApi {
     shared: Arc<FleetShared>,
-    status: Mutex<(Moment, Standing)>,
+    status: Mutex<(Moment, NodeStatus)>,
     suspects: Mailbox<SuspectMessage>,
 }
 
@@ -83,7 +83,7 @@
         if now >= cached.0 + STATUS_TTL {
             *cached = (now, own_status(&self.shared));
         }
-        let response = self.shared.membership().answer(&gossip, &cached.1, now);
+        let response = self.shared.membership().respond(&gossip, &cached.1, now);
         drop(cached);
         reply_packed(StatusCode::OK, &GossipDoc::from(&response))
     }
--- a/crates/fleet/src/peers.rs
+++ b/crates/fleet/src/peers.rs
@@ -8,7 +8,7 @@
 use briarswitch_core::id::*;
 use briarswitch_http::{pack, unpack, CallError, CallerClient, Codec};
 use briarswitch_kernel::{BootClock, Service, ServiceLink};
-use briarswitch_membership::{Gossip, GossipDoc, GossipTarget, LiveView, Standing, WorkSum};
+use briarswitch_membership::{Gossip, GossipDoc, GossipTarget, LiveView, NodeStatus, WorkSum};
 use http::Method;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
@@ -59,17 +59,17 @@
 pub const PEER_SERVICE: &str = "peers";
 
 /// Returns the status that this node reports about itself.
-pub fn own_status(shared: &FleetShared) -> Standing {
+pub fn own_status(shared: &FleetShared) -> NodeStatus {
     let now = BootClock::now();
-    Standing {
+    NodeStatus {
         is_leaving: shared.phase() != FleetPhase::Running,
         reads_store: shared.feed.reads_store(),
         has_traffic: shared.has_traffic.load(Ordering::Relaxed),
         work: WorkSum {
-            loads: shared.gauges.local_loads(),
+            target_requests: shared.gauges.local_loads(),
             loading: shared.active_loads.load().as_ref().clone(),
             demand: shared.demand.group_demand(now),
-            arrivals: shared.demand.request_rates(now),
+            request_rates: shared.demand.request_rates(now),
         },
         suspects: shared.gauges.local_suspects(now),
     }
@@ -212,7 +212,7 @@
         self.mark = Some(update.mark);
         let mut membership = self.shared.membership();
         for entry in &update.nodes {
-            if membership.learn(entry, now) {
+            if membership.add_node(entry, now) {
                 log::info!(peer = entry.node.as_str(), address = entry.address.as_str(); "peer_known");
             }
         }
@@ -222,7 +222,7 @@
 
     fn tick(&mut self, now: Moment, link: &ServiceLink<PeerMessage>) {
         let status = own_status(&self.shared);
-        let due = self.shared.membership().due(&status, now);
+        let due = self.shared.membership().due_messages(&status, now);
         for target in due {
             self.send(target, now, link);
         }
@@ -244,7 +244,7 @@
     fn send(&self, target: GossipTarget, now: Moment, link: &ServiceLink<PeerMessage>) {
         let client = self.client.clone();
         let costs = Arc::clone(&self.shared.costs);
-        let kind = if target.is_near {
+        let kind = if target.is_same_zone {
             CostKind::GossipNear
         } else {
             CostKind::GossipFar
@@ -267,10 +267,10 @@
     fn aggregate(&mut self, now: Moment) {
         self.aggregated_at = now;
         let started_at = BootClock::now();
-        let work = self.shared.membership().work_elsewhere(now);
+        let work = self.shared.membership().peer_work(now);
         let gauges = &self.shared.gauges;
         gauges.for_each(|gauge| {
-            let requests = work.loads.get(&gauge.key()).copied();
+            let requests = work.target_requests.get(&gauge.key()).copied();
             gauge.set_remote_requests(requests.unwrap_or(0));
         });
         self.shared.peer_work.publish(work);
@@ -282,7 +282,7 @@
     /// Publishes the list of live nodes if it has changed.
     fn publish(&mut self, now: Moment) {
         let mut membership = self.shared.membership();
-        for node in membership.take_returned() {
+        for node in membership.take_rejoined() {
             log::info!(peer = node.as_str(); "peer_heard");
         }
         let version = membership.refresh(now);
@@ -290,7 +290,7 @@
             return;
         }
         self.published_version = version;
-        let view = LiveView::of(&membership, now);
+        let view = LiveView::from_membership(&membership, now);
         drop(membership);
         self.shared.live_view.publish(view);
     }
@@ -348,14 +348,14 @@
                 let (target, gossip) = *exchanged;
                 apply_hints(&self.shared, &gossip);
                 let mut membership = self.shared.membership();
-                membership.take_answer(&target, &gossip, sent_at, now);
+                membership.handle_response(&target, &gossip, sent_at, now);
                 drop(membership);
                 if gossip.roster.is_some() {
                     self.aggregate(now);
                 }
             }
             PeerMessage::Failed(node, error) => {
-                self.shared.membership().note_failure(&node, now);
+                self.shared.membership().record_failure(&node, now);
                 log::debug!(peer = node.as_str(), error:% = error; "peer_missed");
             }
             PeerMessage::Suspected(silent) => self.send_suspicion(silent, link),
@@ -390,7 +390,7 @@
         let members = membership.roster().members().values();
         let peers = members.map(|peer| {
             let silence = peer
-                .heard
+                .last_heard
                 .map(|heard| now.saturating_sub(heard).as_millis() as u64);
             json!({
                 "node": peer.entry.node,
--- a/crates/fleet/src/suspect_host.rs
+++ b/crates/fleet/src/suspect_host.rs
@@ -8,7 +8,7 @@
 
 use briarswitch_core::fingerprint::RequestFingerprint;
 use briarswitch_core::id::*;
-use briarswitch_membership::ThingHolders;
+use briarswitch_membership::KeyHolders;
 use futures::future::BoxFuture;
 
 use crate::ports::{FeedMark, FeedResponse, ReportError, SourceFuture, SuspectRegistry};
@@ -88,7 +88,7 @@
     /// Returns the nodes that collect the crash reports of a request.
     ///
     /// A node that reports to no other node writes each crash to the store itself.
-    fn holders_of(&self, fingerprint: &RequestFingerprint, count: usize) -> ThingHolders;
+    fn holders_of(&self, fingerprint: &RequestFingerprint, count: usize) -> KeyHolders;
 
     /// Probes whether the target of a failed run is alive.
     fn probe<'a>(
--- a/crates/fleet/src/suspect_sync.rs
+++ b/crates/fleet/src/suspect_sync.rs
@@ -278,7 +278,7 @@
     fn own_rank(&self, fingerprint: &RequestFingerprint) -> Option<usize> {
         self.host
             .holders_of(fingerprint, HOLDERS_PER_REQUEST)
-            .own_place
+            .own_rank
     }
 
     /// Records that a request did not cause the crashes so far.
@@ -304,7 +304,7 @@
     fn write_due(&mut self, link: &ServiceLink<SuspectMessage>) {
         let host = Arc::clone(&self.host);
         let is_first = |fingerprint: &RequestFingerprint| {
-            host.holders_of(fingerprint, HOLDERS_PER_REQUEST).own_place == Some(0)
+            host.holders_of(fingerprint, HOLDERS_PER_REQUEST).own_rank == Some(0)
         };
         let store_time = host.suspects().now();
         let Some(batch) = self.table.begin_write(link.now(), store_time, is_first) else {
--- a/crates/fleet/src/target_selector.rs
+++ b/crates/fleet/src/target_selector.rs
@@ -168,7 +168,7 @@
                     })
                     .collect();
                 let peer_work = self.shared.peer_work.read();
-                let arrivals = peer_work.arrivals.get(&model.id).copied();
+                let arrivals = peer_work.request_rates.get(&model.id).copied();
                 let terms = PlacementParams {
                     prompt_tokens: slot_request.prompt_tokens,
                     unseen_requests: arrivals.unwrap_or_default() * PROPAGATION_TIME.as_secs_f64(),
--- a/crates/fleet/tests/feed.rs
+++ b/crates/fleet/tests/feed.rs
@@ -305,7 +305,7 @@
         ..NodeEntry::default()
     };
     let now = BootClock::now();
-    let mut membership = Membership::open(own.clone());
+    let mut membership = Membership::new(own.clone());
     let (_stop, stopped) = watch::channel(false);
     let mut guards = Vec::new();
     for index in 0..behaviors.len() {
@@ -317,13 +317,13 @@
             link_mbps: 1_000,
             ..own.clone()
         };
-        membership.learn(&entry, now);
+        membership.add_node(&entry, now);
         let reader = Arc::new(ScriptedReader(Arc::clone(&script)));
         guards.push(server.spawn(reader, stopped.clone()));
     }
     let direct = Arc::new(ScriptedStore(Arc::clone(&script)));
     let relay = FeedRelay::new(direct, Arc::new(CostCounters::default()));
-    let live = LiveView::of(&membership, now);
+    let live = LiveView::from_membership(&membership, now);
     let response = relay.changes(&live, request).await;
     expect_that!(
         response.map(|response| response.rows),
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -21,7 +21,7 @@
 
 /// Sign of life of one node.
 #[derive(Clone, Debug, PartialEq)]
-pub struct MemberSign {
+pub struct Heartbeat {
     /// Node.
     pub node: NodeId,
     /// Life of its process.
@@ -33,7 +33,7 @@
     /// Whether it has lately been answered by the store itself.
     pub reads_store: bool,
     /// Requests that it sees in a second.
-    pub arrivals: f64,
+    pub request_rate: f64,
 }
 
 /// Sums over some nodes.
@@ -47,7 +47,7 @@
     pub has_traffic: bool,
     /// The nodes; for the whole fleet only the one that speaks, for a [`RosterDelta`](crate::RosterDelta)
     /// tells of the others.
-    pub members: Vec<MemberSign>,
+    pub members: Vec<Heartbeat>,
     /// Their work.
     pub work: WorkSum,
     /// Targets that fell silent towards any of them.
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -4,12 +4,12 @@
 
 use crate::digest::Digest;
 use crate::node::NodeEntry;
-use crate::roster::{RosterDelta, RosterMark};
+use crate::roster::{RosterDelta, RosterVersion};
 use crate::work::WorkSum;
 
 /// What a node tells of itself.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Standing {
+pub struct NodeStatus {
     /// Whether it is leaving.
     pub is_leaving: bool,
     /// Whether it has lately been answered by the store itself.
@@ -32,7 +32,7 @@
     /// What it was told by other zones, for a hub of its own zone.
     pub relayed: Vec<Digest>,
     /// What a follower holds of the roster.
-    pub mark: Option<RosterMark>,
+    pub roster_version: Option<RosterVersion>,
     /// What the follower lacks.
     pub roster: Option<RosterDelta>,
 }
@@ -58,7 +58,7 @@
     /// Its address.
     pub address: String,
     /// Whether it is of the own zone.
-    pub is_near: bool,
+    pub is_same_zone: bool,
     /// Message.
     pub gossip: Gossip,
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -8,24 +8,24 @@
 //! speaks to one of each other zone. So a node's cost does not grow with the number of nodes, and no
 //! agreement is needed: whoever is reported to acts as a hub.
 
-mod asking;
 mod digest;
 mod gossip;
 mod membership;
 mod node;
 mod rank;
 mod roster;
+mod schedule;
 mod sums;
 mod view;
 mod wire;
 mod work;
 
-pub use digest::{Digest, DigestOrigin, MemberSign};
-pub use gossip::{Gossip, GossipTarget, Standing};
+pub use digest::{Digest, DigestOrigin, Heartbeat};
+pub use gossip::{Gossip, GossipTarget, NodeStatus};
 pub use membership::Membership;
 pub use node::NodeEntry;
-pub use rank::{node_hash, rank_of, ThingRank};
-pub use roster::{Roster, RosterDelta, RosterMark, RosterMember, RosterSign, MEMBER_SILENCE};
-pub use view::{LiveView, ThingHolders, ZonePart};
+pub use rank::{node_hash, rank_of, RankKey};
+pub use roster::{Roster, RosterDelta, RosterMember, RosterStatus, RosterVersion, MEMBER_TIMEOUT};
+pub use view::{KeyHolders, LiveView, ReaderRole};
 pub use wire::GossipDoc;
-pub use work::{target_key, LoadMap, TargetKey, WorkSum};
+pub use work::{target_key, RequestCounts, TargetKey, WorkSum};
--- a/crates/membership/src/asking.rs
+++ b/crates/membership/src/schedule.rs
@@ -6,9 +6,9 @@
 use indexmap::IndexSet;
 
 use crate::digest::DigestOrigin;
-use crate::gossip::{Gossip, GossipTarget, Standing};
-use crate::membership::{FollowedHub, HeldDigest, Membership};
-use crate::rank::{duty_rank, first_of, ThingRank};
+use crate::gossip::{Gossip, GossipTarget, NodeStatus};
+use crate::membership::{FollowedHub, Membership, ReceivedDigest};
+use crate::rank::{bandwidth_rank, first_ranked, RankKey};
 
 /// Hubs of a zone; two may be lost at once and the third is known to all.
 const HUBS: usize = 3;
@@ -30,8 +30,8 @@
 
 impl Membership {
     /// Returns the messages that are due.
-    pub fn due(&mut self, standing: &Standing, now: Moment) -> Vec<GossipTarget> {
-        self.drop_old(now);
+    pub fn due_messages(&mut self, standing: &NodeStatus, now: Moment) -> Vec<GossipTarget> {
+        self.prune_expired(now);
         let zone = self.own.zone.clone();
         let hubs = self.hubs(&zone, now);
         let mut due = Vec::new();
@@ -46,7 +46,7 @@
             }
         }
         for zone in self.other_zones() {
-            if self.speaks_to(&zone, &hubs) {
+            if self.is_contact_for(&zone, &hubs) {
                 due.extend(self.zone_due(&zone, standing, now));
             }
         }
@@ -56,17 +56,17 @@
 
     /// Returns the hubs of a zone, best first; this node among them where it is one.
     pub(crate) fn hubs(&self, zone: &str, now: Moment) -> Vec<NodeId> {
-        let thing = ThingRank::from(HUB_RANK);
+        let thing = RankKey::from(HUB_RANK);
         let members = self.roster.members().values();
         let usable = members.filter(|member| member.entry.zone == zone && member.is_usable(now));
         let mut ranked: Vec<_> = usable
             .map(|member| {
-                let rank = duty_rank(&member.entry, member.hash, thing);
+                let rank = bandwidth_rank(&member.entry, member.hash, thing);
                 (rank, &member.entry.node)
             })
             .collect();
         if zone == self.own.zone {
-            let rank = duty_rank(&self.own, self.own_hash, thing);
+            let rank = bandwidth_rank(&self.own, self.own_hash, thing);
             ranked.push((rank, &self.own.node));
         }
         ranked.sort_unstable();
@@ -77,7 +77,7 @@
     /// Returns whether this node speaks for others: it is one of its zone's hubs, or is reported to.
     pub(crate) fn is_hub_among(&self, hubs: &[NodeId], now: Moment) -> bool {
         let mut digests = self.digests.values();
-        let is_report = |held: &HeldDigest| matches!(held.digest.origin, DigestOrigin::Node(_));
+        let is_report = |held: &ReceivedDigest| matches!(held.digest.origin, DigestOrigin::Node(_));
         hubs.contains(&self.own.node) || digests.any(|held| is_report(held) && held.is_fresh(now))
     }
 
@@ -91,8 +91,8 @@
     }
 
     /// Returns whether this node is the one of its hubs that speaks to a zone.
-    fn speaks_to(&self, zone: &str, hubs: &[NodeId]) -> bool {
-        first_of(hubs, zone).is_none_or(|node| *node == self.own.node)
+    fn is_contact_for(&self, zone: &str, hubs: &[NodeId]) -> bool {
+        first_ranked(hubs, zone).is_none_or(|node| *node == self.own.node)
     }
 
     /// Returns whether something is to be asked at `now`, and notes that it is.
@@ -110,11 +110,11 @@
         } else {
             interval
         };
-        let heard = self.digests.get(&origin).map(|held| held.at);
-        let asked = self.asked.get(&origin).copied();
+        let heard = self.digests.get(&origin).map(|held| held.made_at);
+        let asked = self.last_sent.get(&origin).copied();
         let is_due = heard.max(asked).is_none_or(|at| now >= at + interval);
         if is_due {
-            self.asked.insert(origin, now);
+            self.last_sent.insert(origin, now);
         }
         is_due
     }
@@ -123,41 +123,41 @@
     fn report_due(
         &mut self,
         hubs: &[NodeId],
-        standing: &Standing,
+        standing: &NodeStatus,
         now: Moment,
     ) -> Option<GossipTarget> {
-        let node = first_of(hubs, &self.own.node)?;
+        let node = first_ranked(hubs, &self.own.node)?;
         let is_same = self.followed.as_ref().is_some_and(|hub| hub.node == *node);
         if !is_same {
-            let told = self.followed.take().and_then(|hub| hub.told);
-            self.asked.swap_remove(&DigestOrigin::Fleet);
+            let told = self.followed.take().and_then(|hub| hub.fleet_sum);
+            self.last_sent.swap_remove(&DigestOrigin::Fleet);
             self.followed = Some(FollowedHub {
                 node: node.clone(),
-                mark: None,
-                told,
+                roster_version: None,
+                fleet_sum: told,
             });
         }
         if !self.is_due(DigestOrigin::Fleet, REPORT_INTERVAL, false, now) {
             return None;
         }
-        let mark = self.followed.as_ref().and_then(|hub| hub.mark);
+        let mark = self.followed.as_ref().and_then(|hub| hub.roster_version);
         let report = Gossip {
-            mark,
+            roster_version: mark,
             ..self.gossip(self.own_digest(standing))
         };
-        self.to(node, report)
+        self.message_to(node, report)
     }
 
-    fn hub_due(&mut self, node: &str, standing: &Standing, now: Moment) -> Option<GossipTarget> {
+    fn hub_due(&mut self, node: &str, standing: &NodeStatus, now: Moment) -> Option<GossipTarget> {
         let origin = DigestOrigin::Hub(node.to_owned());
         let is_yielding = self.own.node.as_str() > node;
         if !self.is_due(origin, HUB_INTERVAL, is_yielding, now) {
             return None;
         }
-        self.to(node, self.hub_gossip(standing, now))
+        self.message_to(node, self.hub_gossip(standing, now))
     }
 
-    fn zone_due(&mut self, zone: &str, standing: &Standing, now: Moment) -> Option<GossipTarget> {
+    fn zone_due(&mut self, zone: &str, standing: &NodeStatus, now: Moment) -> Option<GossipTarget> {
         let is_yielding = self.own.zone.as_str() > zone;
         if !self.is_due(
             DigestOrigin::Zone(zone.to_owned()),
@@ -168,44 +168,44 @@
             return None;
         }
         let hubs = self.hubs(zone, now);
-        let node = match first_of(&hubs, &self.own.zone) {
+        let node = match first_ranked(&hubs, &self.own.zone) {
             Some(node) => node.clone(),
             // A zone of which nothing is heard is asked all the same, or a cut would never heal.
-            None => self.next_lost(zone, now)?,
+            None => self.next_unreachable(zone, now)?,
         };
-        self.to(&node, self.gossip(self.zone_digest(standing, now)))
+        self.message_to(&node, self.gossip(self.zone_digest(standing, now)))
     }
 
     /// Returns a question to a lost node of the own zone.
     ///
     /// It is asked as its follower would, so its answer tells everybody that it knows.
-    fn probe_due(&mut self, standing: &Standing, now: Moment) -> Option<GossipTarget> {
-        if now < self.probed + PROBE_INTERVAL {
+    fn probe_due(&mut self, standing: &NodeStatus, now: Moment) -> Option<GossipTarget> {
+        if now < self.last_probe + PROBE_INTERVAL {
             return None;
         }
-        self.probed = now;
+        self.last_probe = now;
         let zone = self.own.zone.clone();
-        let node = self.next_lost(&zone, now)?;
-        self.to(&node, self.gossip(self.own_digest(standing)))
+        let node = self.next_unreachable(&zone, now)?;
+        self.message_to(&node, self.gossip(self.own_digest(standing)))
     }
 
-    fn next_lost(&mut self, zone: &str, now: Moment) -> Option<NodeId> {
+    fn next_unreachable(&mut self, zone: &str, now: Moment) -> Option<NodeId> {
         let members = self.roster.members().values();
         let lost: Vec<&NodeId> = members
             .filter(|member| member.entry.zone == zone && !member.is_usable(now))
             .map(|member| &member.entry.node)
             .collect();
-        self.turn = self.turn.wrapping_add(1);
-        let index = (self.own_hash as usize).wrapping_add(self.turn) % lost.len().max(1);
+        self.probe_index = self.probe_index.wrapping_add(1);
+        let index = (self.own_hash as usize).wrapping_add(self.probe_index) % lost.len().max(1);
         lost.get(index).map(|node| (*node).clone())
     }
 
-    fn to(&self, node: &str, gossip: Gossip) -> Option<GossipTarget> {
+    fn message_to(&self, node: &str, gossip: Gossip) -> Option<GossipTarget> {
         let member = self.roster.members().get(node)?;
         Some(GossipTarget {
             node: node.to_owned(),
             address: member.entry.address.clone(),
-            is_near: member.entry.zone == self.own.zone,
+            is_same_zone: member.entry.zone == self.own.zone,
             gossip,
         })
     }
--- a/crates/membership/src/sums.rs
+++ b/crates/membership/src/sums.rs
@@ -4,8 +4,8 @@
 
 use briarswitch_core::id::Moment;
 
-use crate::digest::{Digest, DigestOrigin, MemberSign};
-use crate::gossip::{Gossip, Standing};
+use crate::digest::{Digest, DigestOrigin, Heartbeat};
+use crate::gossip::{Gossip, NodeStatus};
 use crate::membership::Membership;
 
 /// Age up to which what another zone told is passed on inside the own one; later all have heard it.
@@ -14,18 +14,18 @@
 const FOLD_TIME: Duration = Duration::from_millis(20);
 
 impl Membership {
-    pub(crate) fn own_digest(&self, standing: &Standing) -> Digest {
+    pub(crate) fn own_digest(&self, standing: &NodeStatus) -> Digest {
         Digest {
             origin: DigestOrigin::Node(self.own.node.clone()),
             age: Duration::ZERO,
             has_traffic: standing.has_traffic,
-            members: vec![MemberSign {
+            members: vec![Heartbeat {
                 node: self.own.node.clone(),
                 incarnation: self.own.incarnation,
                 age: Duration::ZERO,
                 is_leaving: standing.is_leaving,
                 reads_store: standing.reads_store,
-                arrivals: standing.work.all_arrivals(),
+                request_rate: standing.work.total_request_rate(),
             }],
             work: standing.work.clone(),
             suspects: standing.suspects.clone(),
@@ -36,7 +36,7 @@
     fn sum(
         &self,
         origin: DigestOrigin,
-        standing: &Standing,
+        standing: &NodeStatus,
         now: Moment,
         keep: impl Fn(&DigestOrigin) -> bool,
     ) -> Digest {
@@ -46,25 +46,25 @@
         };
         for (origin, held) in &self.digests {
             if keep(origin) {
-                sum.add(&held.digest, now.saturating_sub(held.at));
+                sum.add(&held.digest, now.saturating_sub(held.made_at));
             }
         }
         sum
     }
 
-    pub(crate) fn hub_gossip(&self, standing: &Standing, now: Moment) -> Gossip {
+    pub(crate) fn hub_gossip(&self, standing: &NodeStatus, now: Moment) -> Gossip {
         let origin = DigestOrigin::Hub(self.own.node.clone());
         let digest = self.sum(origin, standing, now, |origin| {
             matches!(origin, DigestOrigin::Node(_))
         });
         let relayed = self.digests.iter().filter(|(origin, held)| {
-            let is_new = now < held.at + RELAYED_AGE;
+            let is_new = now < held.made_at + RELAYED_AGE;
             matches!(origin, DigestOrigin::Zone(_)) && held.is_direct && is_new
         });
         Gossip {
             relayed: relayed
                 .map(|(_, held)| Digest {
-                    age: now.saturating_sub(held.at),
+                    age: now.saturating_sub(held.made_at),
                     ..held.digest.clone()
                 })
                 .collect(),
@@ -72,7 +72,7 @@
         }
     }
 
-    pub(crate) fn zone_digest(&self, standing: &Standing, now: Moment) -> Digest {
+    pub(crate) fn zone_digest(&self, standing: &NodeStatus, now: Moment) -> Digest {
         let origin = DigestOrigin::Zone(self.own.zone.clone());
         self.sum(origin, standing, now, |origin| {
             matches!(origin, DigestOrigin::Hub(_) | DigestOrigin::Node(_))
@@ -80,21 +80,21 @@
     }
 
     /// Returns the sum of all nodes, made anew only every [`FOLD_TIME`].
-    pub(crate) fn everything(&mut self, standing: &Standing, now: Moment) -> Digest {
-        let held = self.fold.as_ref();
+    pub(crate) fn fleet_digest(&mut self, standing: &NodeStatus, now: Moment) -> Digest {
+        let held = self.cached_sum.as_ref();
         if let Some((_, digest)) = held.filter(|(at, _)| now < *at + FOLD_TIME) {
             return digest.clone();
         }
-        self.drop_old(now);
+        self.prune_expired(now);
         let mut digest = self.sum(DigestOrigin::Fleet, standing, now, |_| true);
-        if let Some(told) = self.told() {
+        if let Some(told) = self.fleet_sum() {
             digest.has_traffic |= told.digest.has_traffic;
             digest.work.add(&told.digest.work);
-            digest.work.subtract(&told.reported);
+            digest.work.subtract(&told.own_work);
         }
         // Only the node that speaks; of the others the roster tells.
         digest.members.truncate(1);
-        self.fold = Some((now, digest.clone()));
+        self.cached_sum = Some((now, digest.clone()));
         digest
     }
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -7,7 +7,7 @@
 
 use crate::membership::Membership;
 use crate::node::NodeEntry;
-use crate::rank::{duty_rank, node_hash, rank_of, ThingRank};
+use crate::rank::{bandwidth_rank, node_hash, rank_of, RankKey};
 
 /// Requests in a second that every node is taken to see, so that one whose first callers come finds places.
 const LEAST_ARRIVALS: f64 = 1.0;
@@ -17,22 +17,22 @@
 
 /// A node's part in something that one node of a zone does for all.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum ZonePart {
+pub enum ReaderRole {
     /// The zone is so small that each does it for itself.
-    Alone,
+    Independent,
     /// This node does it.
-    First,
+    Reader,
     /// Others do it, the best first.
-    Other(Vec<Arc<NodeEntry>>),
+    Follower(Vec<Arc<NodeEntry>>),
 }
 
 /// The nodes that keep something for all.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct ThingHolders {
+pub struct KeyHolders {
     /// The holders but this node, the best first.
     pub others: Vec<Arc<NodeEntry>>,
     /// This node's place among the holders, zero for the best; `None` where it is none of them.
-    pub own_place: Option<usize>,
+    pub own_rank: Option<usize>,
 }
 
 /// One live node.
@@ -40,8 +40,8 @@
 struct LiveMember {
     entry: Arc<NodeEntry>,
     hash: u64,
-    arrivals: f64,
-    is_near: bool,
+    request_rate: f64,
+    is_same_zone: bool,
     reads_store: bool,
 }
 
@@ -51,7 +51,7 @@
     own: NodeEntry,
     own_hash: u64,
     live: Vec<LiveMember>,
-    near: u32,
+    zone_peers: u32,
     known: usize,
     composition: u64,
 }
@@ -64,7 +64,7 @@
     ///
     /// assert_eq!(LiveView::open(NodeEntry::default()).live_nodes(), 1);
     /// ```
-    pub fn open(own: NodeEntry) -> Self {
+    pub fn new(own: NodeEntry) -> Self {
         Self {
             own_hash: node_hash(&own.node),
             own,
@@ -73,7 +73,7 @@
     }
 
     /// Returns the view of what is known at `now`.
-    pub fn of(membership: &Membership, now: Moment) -> Self {
+    pub fn from_membership(membership: &Membership, now: Moment) -> Self {
         let own = membership.own().clone();
         let members = membership.roster().members();
         let live = members.values().filter(|member| member.is_live(now));
@@ -81,8 +81,8 @@
             .map(|member| LiveMember {
                 entry: Arc::clone(&member.entry),
                 hash: member.hash,
-                arrivals: member.arrivals,
-                is_near: member.entry.zone == own.zone,
+                request_rate: member.request_rate,
+                is_same_zone: member.entry.zone == own.zone,
                 reads_store: member.reads_store,
             })
             .collect();
@@ -91,10 +91,10 @@
                 let life = member.entry.incarnation.wrapping_mul(member.hash);
                 sum ^ member.hash ^ life
             }),
-            near: live.iter().filter(|member| member.is_near).count() as u32,
+            zone_peers: live.iter().filter(|member| member.is_same_zone).count() as u32,
             live,
             known: members.len(),
-            ..Self::open(own)
+            ..Self::new(own)
         }
     }
 
@@ -110,7 +110,7 @@
 
     /// Returns the number of nodes that live in this node's zone, this one included.
     pub fn zone_nodes(&self) -> u32 {
-        self.near + 1
+        self.zone_peers + 1
     }
 
     /// Returns the number of nodes that are known, living or not, this one included.
@@ -123,10 +123,10 @@
     /// Nodes of that zone go first, since a zone that is cut off has to do without the others; among them
     /// those with more bandwidth. The order is the same at all nodes that see each other.
     pub fn first_for(&self, thing: &str, zone: &str) -> Option<&Arc<NodeEntry>> {
-        let thing = ThingRank::from(thing);
+        let thing = RankKey::from(thing);
         let rank = |entry: &NodeEntry, hash: u64| {
             let is_far = entry.zone != zone;
-            (is_far, duty_rank(entry, hash, thing))
+            (is_far, bandwidth_rank(entry, hash, thing))
         };
         let own = rank(&self.own, self.own_hash);
         let ranked = self
@@ -146,16 +146,16 @@
     /// assert_eq!(alone.own_place, Some(0));
     /// assert!(alone.others.is_empty());
     /// ```
-    pub fn holders_of(&self, thing: &str, count: usize) -> ThingHolders {
-        let thing = ThingRank::from(thing);
+    pub fn holders_of(&self, thing: &str, count: usize) -> KeyHolders {
+        let thing = RankKey::from(thing);
         let others = self.live.iter();
         let others = others.map(|member| (rank_of(member.hash, thing), Some(&member.entry)));
         let mut ranked: Vec<_> = others.collect();
         ranked.push((rank_of(self.own_hash, thing), None));
         ranked.sort_unstable_by_key(|(rank, _)| *rank);
         ranked.truncate(count);
-        ThingHolders {
-            own_place: ranked.iter().position(|(_, entry)| entry.is_none()),
+        KeyHolders {
+            own_rank: ranked.iter().position(|(_, entry)| entry.is_none()),
             others: ranked
                 .into_iter()
                 .filter_map(|(_, entry)| entry.cloned())
@@ -165,7 +165,7 @@
 
     /// Returns this node's part of what all live nodes ask, among ranks for something.
     pub fn weight_for(&self, thing: &str, own_arrivals: f64) -> NodeWeight {
-        let thing = ThingRank::from(thing);
+        let thing = RankKey::from(thing);
         let own_rank = rank_of(self.own_hash, thing);
         let own = own_arrivals + LEAST_ARRIVALS;
         let mut weight = NodeWeight {
@@ -174,7 +174,7 @@
             ..NodeWeight::default()
         };
         for member in &self.live {
-            let arrivals = member.arrivals + LEAST_ARRIVALS;
+            let arrivals = member.request_rate + LEAST_ARRIVALS;
             weight.total += arrivals;
             if rank_of(member.hash, thing) < own_rank {
                 weight.before += arrivals;
@@ -187,13 +187,14 @@
     ///
     /// Who has lately been answered by the store goes on; where nobody has, those with more bandwidth go
     /// first. The `count` best are named, so that there is another when the first one fails.
-    pub fn reader_part(&self, count: usize, least: u32, own_reads: bool) -> ZonePart {
+    pub fn reader_role(&self, count: usize, least: u32, own_reads: bool) -> ReaderRole {
         if self.zone_nodes() < least {
-            return ZonePart::Alone;
+            return ReaderRole::Independent;
         }
-        let thing = ThingRank::from(READER_RANK);
-        let rank = |reads: bool, entry: &NodeEntry, hash| (!reads, duty_rank(entry, hash, thing));
-        let near = self.live.iter().filter(|member| member.is_near);
+        let thing = RankKey::from(READER_RANK);
+        let rank =
+            |reads: bool, entry: &NodeEntry, hash| (!reads, bandwidth_rank(entry, hash, thing));
+        let near = self.live.iter().filter(|member| member.is_same_zone);
         let mut ranked: Vec<_> = near
             .map(|member| {
                 let rank = rank(member.reads_store, &member.entry, member.hash);
@@ -203,9 +204,9 @@
         ranked.sort_unstable_by_key(|(rank, _)| *rank);
         let own = rank(own_reads, &self.own, self.own_hash);
         if ranked.first().is_none_or(|(first, _)| own < *first) {
-            return ZonePart::First;
+            return ReaderRole::Reader;
         }
         let best = ranked.into_iter().take(count);
-        ZonePart::Other(best.map(|(_, entry)| Arc::clone(entry)).collect())
+        ReaderRole::Follower(best.map(|(_, entry)| Arc::clone(entry)).collect())
     }
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -8,10 +8,10 @@
 use briarswitch_core::id::{Incarnation, ModelId, NodeId, TargetId, ZoneId};
 use serde::{Deserialize, Serialize};
 
-use crate::digest::{Digest, DigestOrigin, MemberSign};
+use crate::digest::{Digest, DigestOrigin, Heartbeat};
 use crate::gossip::Gossip;
 use crate::node::NodeEntry;
-use crate::roster::{RosterDelta, RosterMark, RosterSign};
+use crate::roster::{RosterDelta, RosterStatus, RosterVersion};
 use crate::work::{TargetKey, WorkSum};
 
 /// [`Gossip`] on the wire.
@@ -103,15 +103,18 @@
     }
 }
 
-impl From<RosterMark> for MarkDoc {
-    fn from(mark: RosterMark) -> Self {
-        Self(mark.hub, mark.version)
+impl From<RosterVersion> for MarkDoc {
+    fn from(mark: RosterVersion) -> Self {
+        Self(mark.hub_incarnation, mark.version)
     }
 }
 
-impl From<MarkDoc> for RosterMark {
+impl From<MarkDoc> for RosterVersion {
     fn from(MarkDoc(hub, version): MarkDoc) -> Self {
-        Self { hub, version }
+        Self {
+            hub_incarnation: hub,
+            version,
+        }
     }
 }
 
@@ -137,20 +140,20 @@
     }
 }
 
-impl From<&MemberSign> for MemberDoc {
-    fn from(sign: &MemberSign) -> Self {
+impl From<&Heartbeat> for MemberDoc {
+    fn from(sign: &Heartbeat) -> Self {
         Self(
             sign.node.clone(),
             sign.incarnation,
             millis(sign.age),
             sign.is_leaving,
             sign.reads_store,
-            sign.arrivals as f32,
+            sign.request_rate as f32,
         )
     }
 }
 
-impl From<MemberDoc> for MemberSign {
+impl From<MemberDoc> for Heartbeat {
     fn from(doc: MemberDoc) -> Self {
         let MemberDoc(node, incarnation, age, is_leaving, reads_store, arrivals) = doc;
         Self {
@@ -159,7 +162,7 @@
             age: Duration::from_millis(age),
             is_leaving,
             reads_store,
-            arrivals: f64::from(arrivals),
+            request_rate: f64::from(arrivals),
         }
     }
 }
@@ -167,7 +170,10 @@
 impl From<&WorkSum> for WorkDoc {
     fn from(work: &WorkSum) -> Self {
         let rate = |(model, rate): (&ModelId, &f64)| (model.clone(), *rate as f32);
-        let loads = work.loads.iter().filter(|(_, requests)| **requests > 0);
+        let loads = work
+            .target_requests
+            .iter()
+            .filter(|(_, requests)| **requests > 0);
         let loading = work.loading.iter().filter(|(_, count)| **count > 0);
         Self(
             loads
@@ -177,7 +183,7 @@
                 .map(|(model, count)| (model.clone(), *count))
                 .collect(),
             work.demand.iter().map(rate).collect(),
-            work.arrivals.iter().map(rate).collect(),
+            work.request_rates.iter().map(rate).collect(),
         )
     }
 }
@@ -187,10 +193,10 @@
         let WorkDoc(loads, loading, demand, arrivals) = doc;
         let rate = |(model, rate): (ModelId, f32)| (model, f64::from(rate));
         Self {
-            loads: loads.into_iter().collect(),
+            target_requests: loads.into_iter().collect(),
             loading: loading.into_iter().collect(),
             demand: demand.into_iter().map(rate).collect(),
-            arrivals: arrivals.into_iter().map(rate).collect(),
+            request_rates: arrivals.into_iter().map(rate).collect(),
         }
     }
 }
@@ -215,7 +221,7 @@
             origin: origin.into(),
             age: Duration::from_millis(age),
             has_traffic,
-            members: members.into_iter().map(MemberSign::from).collect(),
+            members: members.into_iter().map(Heartbeat::from).collect(),
             work: work.into(),
             suspects,
         }
@@ -224,9 +230,9 @@
 
 impl From<&RosterDelta> for DeltaDoc {
     fn from(delta: &RosterDelta) -> Self {
-        let sign = |sign: &RosterSign| {
+        let sign = |sign: &RosterStatus| {
             let node = sign.node.clone();
-            let arrivals = sign.arrivals as f32;
+            let arrivals = sign.request_rate as f32;
             SignDoc(
                 node,
                 sign.is_live,
@@ -236,10 +242,10 @@
             )
         };
         Self(
-            delta.mark.into(),
-            delta.is_whole,
+            delta.version.into(),
+            delta.is_snapshot,
             delta.entries.iter().map(EntryDoc::from).collect(),
-            delta.signs.iter().map(sign).collect(),
+            delta.statuses.iter().map(sign).collect(),
         )
     }
 }
@@ -248,18 +254,18 @@
     fn from(doc: DeltaDoc) -> Self {
         let DeltaDoc(mark, is_whole, entries, signs) = doc;
         let sign =
-            |SignDoc(node, is_live, is_leaving, reads_store, arrivals): SignDoc| RosterSign {
+            |SignDoc(node, is_live, is_leaving, reads_store, arrivals): SignDoc| RosterStatus {
                 node,
                 is_live,
                 is_leaving,
                 reads_store,
-                arrivals: f64::from(arrivals),
+                request_rate: f64::from(arrivals),
             };
         Self {
-            mark: mark.into(),
-            is_whole,
+            version: mark.into(),
+            is_snapshot: is_whole,
             entries: entries.into_iter().map(NodeEntry::from).collect(),
-            signs: signs.into_iter().map(sign).collect(),
+            statuses: signs.into_iter().map(sign).collect(),
         }
     }
 }
@@ -270,7 +276,7 @@
             sender: EntryDoc::from(&gossip.sender),
             digest: DigestDoc::from(&gossip.digest),
             relayed: gossip.relayed.iter().map(DigestDoc::from).collect(),
-            mark: gossip.mark.map(MarkDoc::from),
+            mark: gossip.roster_version.map(MarkDoc::from),
             roster: gossip.roster.as_ref().map(DeltaDoc::from),
         }
     }
@@ -282,7 +288,7 @@
             sender: doc.sender.into(),
             digest: doc.digest.into(),
             relayed: doc.relayed.into_iter().map(Digest::from).collect(),
-            mark: doc.mark.map(RosterMark::from),
+            roster_version: doc.mark.map(RosterVersion::from),
             roster: doc.roster.map(RosterDelta::from),
         }
     }
--- a/crates/membership/src/work.rs
+++ b/crates/membership/src/work.rs
@@ -14,7 +14,7 @@
 pub type TargetKey = u32;
 
 /// Requests by target.
-pub type LoadMap = IndexMap<TargetKey, u32, BuildHasherDefault<FxHasher>>;
+pub type RequestCounts = IndexMap<TargetKey, u32, BuildHasherDefault<FxHasher>>;
 
 /// Returns the key of a target.
 ///
@@ -32,13 +32,13 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WorkSum {
     /// Requests at targets.
-    pub loads: LoadMap,
+    pub target_requests: RequestCounts,
     /// Loads from the weight store under way, by model.
     pub loading: IndexMap<ModelId, u32>,
     /// Groups that the requests would fill, by model.
     pub demand: IndexMap<ModelId, f64>,
     /// Requests in a second, by model.
-    pub arrivals: IndexMap<ModelId, f64>,
+    pub request_rates: IndexMap<ModelId, f64>,
 }
 
 impl WorkSum {
@@ -55,14 +55,14 @@
     /// assert_eq!(sum.all_loading(), 4);
     /// ```
     pub fn add(&mut self, other: &Self) {
-        for (target, requests) in &other.loads {
-            *self.loads.entry(*target).or_insert(0) += requests;
+        for (target, requests) in &other.target_requests {
+            *self.target_requests.entry(*target).or_insert(0) += requests;
         }
         for (model, count) in &other.loading {
             *self.loading.entry(model.clone()).or_insert(0) += count;
         }
         add_rates(&mut self.demand, &other.demand);
-        add_rates(&mut self.arrivals, &other.arrivals);
+        add_rates(&mut self.request_rates, &other.request_rates);
     }
 
     /// Takes work out of a sum that contains it.
@@ -79,8 +79,8 @@
     /// assert_eq!(sum.all_loading(), 3);
     /// ```
     pub fn subtract(&mut self, other: &Self) {
-        for (target, requests) in &other.loads {
-            if let Some(sum) = self.loads.get_mut(target) {
+        for (target, requests) in &other.target_requests {
+            if let Some(sum) = self.target_requests.get_mut(target) {
                 *sum = sum.saturating_sub(*requests);
             }
         }
@@ -90,17 +90,17 @@
             }
         }
         subtract_rates(&mut self.demand, &other.demand);
-        subtract_rates(&mut self.arrivals, &other.arrivals);
+        subtract_rates(&mut self.request_rates, &other.request_rates);
     }
 
     /// Returns the loads under way of all models.
-    pub fn all_loading(&self) -> u32 {
+    pub fn total_loading(&self) -> u32 {
         self.loading.values().sum()
     }
 
     /// Returns the requests in a second for all models.
-    pub fn all_arrivals(&self) -> f64 {
-        self.arrivals.values().sum()
+    pub fn total_request_rate(&self) -> f64 {
+        self.request_rates.values().sum()
     }
 }
 
--- a/crates/membership/tests/digest.rs
+++ b/crates/membership/tests/digest.rs
@@ -4,8 +4,8 @@
 
 use briarswitch_core::id::Moment;
 use briarswitch_membership::{
-    target_key, Digest, DigestOrigin, Gossip, GossipDoc, MemberSign, Membership, NodeEntry,
-    Standing, WorkSum,
+    target_key, Digest, DigestOrigin, Gossip, GossipDoc, Heartbeat, Membership, NodeEntry,
+    NodeStatus, WorkSum,
 };
 use googletest::prelude::*;
 use indexmap::IndexMap;
@@ -24,28 +24,28 @@
     }
 }
 
-fn standing(node: &str, requests: u32) -> Standing {
-    Standing {
+fn standing(node: &str, requests: u32) -> NodeStatus {
+    NodeStatus {
         work: WorkSum {
-            loads: [(target_key("head"), requests)].into_iter().collect(),
+            target_requests: [(target_key("head"), requests)].into_iter().collect(),
             loading: IndexMap::from([("chat".to_owned(), 1)]),
-            arrivals: [("large".to_owned(), 2.0)].into_iter().collect(),
+            request_rates: [("large".to_owned(), 2.0)].into_iter().collect(),
             ..WorkSum::default()
         },
         suspects: vec![format!("silent-{node}")],
-        ..Standing::default()
+        ..NodeStatus::default()
     }
 }
 
 fn report(node: &str, zone: &str, requests: u32) -> Gossip {
     let told = standing(node, requests);
-    let sign = MemberSign {
+    let sign = Heartbeat {
         node: node.to_owned(),
         incarnation: 7,
         age: Duration::ZERO,
         is_leaving: false,
         reads_store: false,
-        arrivals: 2.0,
+        request_rate: 2.0,
     };
     Gossip {
         sender: entry(node, zone),
@@ -56,16 +56,16 @@
             ..Digest::empty(DigestOrigin::Node(node.to_owned()))
         },
         relayed: Vec::new(),
-        mark: None,
+        roster_version: None,
         roster: None,
     }
 }
 
 /// Returns what zone `a` tells zone `b` at `now`; its second node was heard 300 ms before.
 fn told_by_zone(now: Moment) -> Gossip {
-    let mut hub = Membership::open(entry("a1", "a"));
+    let mut hub = Membership::new(entry("a1", "a"));
     let own = standing("a1", 4);
-    hub.answer(
+    hub.respond(
         &report("a2", "a", 3),
         &own,
         now - Duration::from_millis(300),
@@ -74,7 +74,7 @@
         digest: Digest::empty(DigestOrigin::Zone("b".to_owned())),
         ..report("b1", "b", 0)
     };
-    let answer = hub.answer(&asked, &own, now);
+    let answer = hub.respond(&asked, &own, now);
     let bytes = rmp_serde::to_vec_named(&GossipDoc::from(&answer)).expect("it is written");
     let doc: GossipDoc = rmp_serde::from_slice(&bytes).expect("it is read");
     doc.into()
@@ -82,7 +82,7 @@
 
 /// Has a node take in what another zone told at a moment.
 fn take(membership: &mut Membership, gossip: &Gossip, at: Moment) {
-    membership.answer(gossip, &Standing::default(), at);
+    membership.respond(gossip, &NodeStatus::default(), at);
 }
 
 #[gtest]
@@ -98,13 +98,13 @@
         elements_are![eq("silent-a1"), eq("silent-a2")]
     );
 
-    let mut other = Membership::open(entry("b1", "b"));
+    let mut other = Membership::new(entry("b1", "b"));
     take(&mut other, &report("b2", "b", 5), at(1_000));
     take(&mut other, &told, at(1_000));
-    let work = other.work_elsewhere(at(1_100));
-    expect_that!(work.loads[&target_key("head")], eq(12));
-    expect_that!(work.all_loading(), eq(3));
-    expect_that!(work.arrivals["large"], eq(6.0));
+    let work = other.peer_work(at(1_100));
+    expect_that!(work.target_requests[&target_key("head")], eq(12));
+    expect_that!(work.total_loading(), eq(3));
+    expect_that!(work.request_rates["large"], eq(6.0));
 }
 
 /// Symptom: groups are taken for full that are empty, and loads are not begun, long after a zone was cut
@@ -113,12 +113,12 @@
 /// Cause guarded against: counting work for ever that nobody tells of any more.
 #[gtest]
 fn work_that_nobody_tells_of_any_more_is_forgotten() {
-    let mut other = Membership::open(entry("b1", "b"));
+    let mut other = Membership::new(entry("b1", "b"));
     let newer = told_by_zone(at(1_000));
     let mut older = newer.clone();
     older.digest.work.loading = IndexMap::from([("chat".to_owned(), 99)]);
     take(&mut other, &newer, at(1_000));
     take(&mut other, &older, at(900));
-    expect_that!(other.work_elsewhere(at(1_200)).all_loading(), eq(2));
-    expect_that!(other.work_elsewhere(at(3_000)), eq(&WorkSum::default()));
+    expect_that!(other.peer_work(at(1_200)).total_loading(), eq(2));
+    expect_that!(other.peer_work(at(3_000)), eq(&WorkSum::default()));
 }
--- a/crates/membership/tests/holders.rs
+++ b/crates/membership/tests/holders.rs
@@ -21,18 +21,18 @@
 
 /// Returns the view of a node that knows some others.
 fn view(own: usize, others: impl Iterator<Item = usize>) -> LiveView {
-    let mut membership = Membership::open(entry(own));
+    let mut membership = Membership::new(entry(own));
     for other in others.filter(|other| *other != own) {
-        membership.learn(&entry(other), NOW);
+        membership.add_node(&entry(other), NOW);
     }
-    LiveView::of(&membership, NOW)
+    LiveView::from_membership(&membership, NOW)
 }
 
 /// Returns the holders by name, the best first, as one node sees them.
 fn holders(own: usize, thing: &str, others: impl Iterator<Item = usize>) -> Vec<NodeId> {
     let held = view(own, others).holders_of(thing, 2);
     let mut names: Vec<NodeId> = held.others.iter().map(|entry| entry.node.clone()).collect();
-    if let Some(place) = held.own_place {
+    if let Some(place) = held.own_rank {
         names.insert(place, entry(own).node);
     }
     names
--- a/crates/membership/tests/properties.rs
+++ b/crates/membership/tests/properties.rs
@@ -6,7 +6,7 @@
 
 use briarswitch_core::id::Moment;
 use briarswitch_membership::{
-    target_key, Digest, DigestOrigin, Gossip, MemberSign, Membership, NodeEntry, Standing, WorkSum,
+    target_key, Digest, DigestOrigin, Gossip, Heartbeat, Membership, NodeEntry, NodeStatus, WorkSum,
 };
 use proptest::prelude::*;
 
@@ -28,25 +28,25 @@
 
 fn report(node: &str, incarnation: u64, requests: u32) -> Gossip {
     let work = WorkSum {
-        loads: [(target_key(TARGET), requests)].into_iter().collect(),
+        target_requests: [(target_key(TARGET), requests)].into_iter().collect(),
         ..WorkSum::default()
     };
     Gossip {
         sender: entry(node, incarnation),
         digest: Digest {
-            members: vec![MemberSign {
+            members: vec![Heartbeat {
                 node: node.to_owned(),
                 incarnation,
                 age: Duration::ZERO,
                 is_leaving: false,
                 reads_store: false,
-                arrivals: 1.0,
+                request_rate: 1.0,
             }],
             work,
             ..Digest::empty(DigestOrigin::Node(node.to_owned()))
         },
         relayed: Vec::new(),
-        mark: None,
+        roster_version: None,
         roster: None,
     }
 }
@@ -61,18 +61,18 @@
         early in prop::collection::vec((0..4_usize, 0..3_u64, 0..50_u32, 0..300_u64), 0..40),
         last in prop::collection::vec(0..50_u32, 4),
     ) {
-        let mut hub = Membership::open(entry("hub", 9));
-        let standing = Standing::default();
+        let mut hub = Membership::new(entry("hub", 9));
+        let standing = NodeStatus::default();
         for (node, life, requests, time) in early {
             let gossip = report(&format!("n{node}"), life, requests);
-            hub.answer(&gossip, &standing, at(time));
+            hub.respond(&gossip, &standing, at(time));
         }
         for (node, requests) in last.iter().enumerate() {
             let gossip = report(&format!("n{node}"), 3, *requests);
-            hub.answer(&gossip, &standing, at(301));
+            hub.respond(&gossip, &standing, at(301));
         }
-        let work = hub.work_elsewhere(at(320));
-        let known = work.loads.get(&target_key(TARGET)).copied().unwrap_or(0);
+        let work = hub.peer_work(at(320));
+        let known = work.target_requests.get(&target_key(TARGET)).copied().unwrap_or(0);
         prop_assert_eq!(known, last.iter().sum::<u32>());
     }
 
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -6,7 +6,7 @@
 
 use briarswitch_core::id::Moment;
 use briarswitch_membership::{
-    target_key, Gossip, GossipDoc, GossipTarget, Membership, NodeEntry, Standing, WorkSum,
+    target_key, Gossip, GossipDoc, GossipTarget, Membership, NodeEntry, NodeStatus, WorkSum,
 };
 use indexmap::IndexMap;
 
@@ -80,7 +80,7 @@
             link_mbps: 20,
         };
         let node = TestNode {
-            membership: Membership::open(entry.clone()),
+            membership: Membership::new(entry.clone()),
             entry,
             requests: 1,
             suspects: Vec::new(),
@@ -93,7 +93,7 @@
         let now = self.now;
         for node in self.nodes.values_mut() {
             for entry in &entries {
-                node.membership.learn(entry, now);
+                node.membership.add_node(entry, now);
             }
         }
     }
@@ -102,14 +102,14 @@
         self.nodes.keys().cloned().collect()
     }
 
-    fn standing(&self, name: &str) -> Standing {
+    fn standing(&self, name: &str) -> NodeStatus {
         let node = &self.nodes[name];
-        Standing {
+        NodeStatus {
             is_leaving: node.is_leaving,
             reads_store: false,
             has_traffic: false,
             work: WorkSum {
-                loads: [(target_key(TARGET), node.requests)].into_iter().collect(),
+                target_requests: [(target_key(TARGET), node.requests)].into_iter().collect(),
                 loading: IndexMap::from([("chat".to_owned(), 1)]),
                 ..WorkSum::default()
             },
@@ -144,7 +144,7 @@
         self.missed = left;
         for missed in due {
             if let Some(node) = self.nodes.get_mut(&missed.from) {
-                node.membership.note_failure(&missed.node, now);
+                node.membership.record_failure(&missed.node, now);
             }
         }
     }
@@ -152,7 +152,7 @@
     fn tick(&mut self, name: &str) {
         let (now, standing) = (self.now, self.standing(name));
         let node = &mut self.nodes[name];
-        let due = node.membership.due(&standing, now);
+        let due = node.membership.due_messages(&standing, now);
         node.asked += due.len() as u64;
         for target in due {
             self.exchange(name, &target);
@@ -172,10 +172,10 @@
         let standing = self.standing(&target.node);
         let asked = self.carry(from, &target.gossip);
         let other = &mut self.nodes[&target.node];
-        let answer = other.membership.answer(&asked, &standing, now);
+        let answer = other.membership.respond(&asked, &standing, now);
         let answer = self.carry(from, &answer);
         let node = &mut self.nodes[from];
-        node.membership.take_answer(target, &answer, now, now);
+        node.membership.handle_response(target, &answer, now, now);
     }
 
     /// Writes a message as it goes over the wire and reads it back.
@@ -189,8 +189,11 @@
     /// Returns the requests of all other nodes at the target, as a node knows them.
     pub fn known(&mut self, name: &str) -> u32 {
         let now = self.now;
-        let work = self.nodes[name].membership.work_elsewhere(now);
-        work.loads.get(&target_key(TARGET)).copied().unwrap_or(0)
+        let work = self.nodes[name].membership.peer_work(now);
+        work.target_requests
+            .get(&target_key(TARGET))
+            .copied()
+            .unwrap_or(0)
     }
 
     /// Returns how many other nodes a node holds for live.
--- a/crates/node/src/suspects.rs
+++ b/crates/node/src/suspects.rs
@@ -15,7 +15,7 @@
 use briarswitch_fleet::suspect_ledger::SuspectLedger;
 use briarswitch_fleet::suspect_record::{format_key, SuspectRecord, SuspectValue};
 use briarswitch_kernel::{BootClock, Mailbox};
-use briarswitch_membership::ThingHolders;
+use briarswitch_membership::KeyHolders;
 use briarswitch_platform::{StoreError, TransactBuilder};
 use briarswitch_wire::platform::ReadRequest;
 use futures::future::BoxFuture;
@@ -152,10 +152,10 @@
     }
 
     /// Names nobody: each node writes what it sees to the table, which all follow.
-    fn holders_of(&self, _print: &RequestFingerprint, _count: usize) -> ThingHolders {
-        ThingHolders {
+    fn holders_of(&self, _print: &RequestFingerprint, _count: usize) -> KeyHolders {
+        KeyHolders {
             others: Vec::new(),
-            own_place: Some(0),
+            own_rank: Some(0),
         }
     }
 
