--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -1,4 +1,4 @@
-//! What one node tells another of itself and of those it speaks for.
+//! Digests: what one node sends another about itself and the nodes that it summarizes.
 
 use std::time::Duration;
 
@@ -6,12 +6,12 @@
 
 use crate::work::WorkSum;
 
-/// For whom a digest speaks.
+/// The nodes that a digest summarizes.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum DigestOrigin {
-    /// One node, for itself.
+    /// One node.
     Node(NodeId),
-    /// A hub, for itself and the nodes that report to it.
+    /// A hub and the nodes that report to it.
     Hub(NodeId),
     /// All nodes of a zone.
     Zone(ZoneId),
@@ -19,43 +19,43 @@
     Fleet,
 }
 
-/// Sign of life of one node.
+/// Last known state of one node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Heartbeat {
-    /// Node.
+    /// Node that it describes.
     pub node: NodeId,
-    /// Life of its process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// Time since it was heard.
+    /// Time since it was last heard.
     pub age: Duration,
     /// Whether it is leaving.
     pub is_leaving: bool,
-    /// Whether it has lately been answered by the store itself.
+    /// Whether it has a recent response of the store itself.
     pub reads_store: bool,
-    /// Requests that it sees in a second.
+    /// Requests that it receives per second.
     pub request_rate: f64,
 }
 
-/// Sums over some nodes.
+/// Sums over the nodes of its origin.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Digest {
-    /// For whom it speaks.
+    /// The nodes that it summarizes.
     pub origin: DigestOrigin,
     /// Time since it was made.
     pub age: Duration,
-    /// Whether any of them, or anybody they heard, has seen a caller's request.
+    /// Whether any of the nodes, or a node that they heard, has received a caller's request.
     pub has_traffic: bool,
-    /// The nodes; for the whole fleet only the one that speaks, for a [`RosterDelta`](crate::RosterDelta)
-    /// tells of the others.
+    /// Heartbeats of the nodes. A digest of the whole fleet has only that of its sender; a
+    /// [`RosterDelta`](crate::RosterDelta) reports the others.
     pub members: Vec<Heartbeat>,
-    /// Their work.
+    /// Work of the nodes.
     pub work: WorkSum,
-    /// Targets that fell silent towards any of them.
+    /// Targets that do not respond to at least one of the nodes.
     pub suspects: Vec<TargetId>,
 }
 
 impl Digest {
-    /// Returns the digest of nobody.
+    /// Returns a digest without members, work or suspects.
     ///
     /// ```
     /// use briarswitch_membership::{Digest, DigestOrigin};
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Adds what another digest tells, which was told `age` ago.
+    /// Adds the content of another digest, which was received `age` ago.
     pub(crate) fn add(&mut self, other: &Self, age: Duration) {
         self.has_traffic |= other.has_traffic;
         self.work.add(&other.work);
@@ -82,10 +82,10 @@
                 self.suspects.push(suspect.clone());
             }
         }
-        self.members.extend(other.members.iter().map(|sign| {
-            let mut sign = sign.clone();
-            sign.age += age;
-            sign
+        self.members.extend(other.members.iter().map(|heartbeat| {
+            let mut heartbeat = heartbeat.clone();
+            heartbeat.age += age;
+            heartbeat
         }));
     }
 }
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -1,4 +1,4 @@
-//! The messages that nodes send each other.
+//! Messages between nodes.
 
 use briarswitch_core::id::{NodeId, TargetId};
 
@@ -7,58 +7,58 @@
 use crate::roster::{RosterDelta, RosterVersion};
 use crate::work::WorkSum;
 
-/// What a node tells of itself.
+/// State of this node that it sends to others.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeStatus {
     /// Whether it is leaving.
     pub is_leaving: bool,
-    /// Whether it has lately been answered by the store itself.
+    /// Whether it has a recent response of the store itself.
     pub reads_store: bool,
-    /// Whether it, or anybody it heard, has seen a caller's request.
+    /// Whether it, or a node that it heard, has received a caller's request.
     pub has_traffic: bool,
-    /// Its own work.
+    /// Work of this node alone.
     pub work: WorkSum,
-    /// Targets that fell silent towards it.
+    /// Targets that do not respond to it.
     pub suspects: Vec<TargetId>,
 }
 
-/// A message, or the answer to one.
+/// A message, or the response to one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Gossip {
-    /// Node that speaks.
+    /// Node that sends the message.
     pub sender: NodeEntry,
-    /// What it tells.
+    /// Summary of the sender and the nodes that it speaks for.
     pub digest: Digest,
-    /// What it was told by other zones, for a hub of its own zone.
+    /// Digests received from other zones, for a hub of the sender's own zone.
     pub relayed: Vec<Digest>,
-    /// What a follower holds of the roster.
+    /// Version of the hub's roster that the sender, a follower, has.
     pub roster_version: Option<RosterVersion>,
-    /// What the follower lacks.
+    /// Changes of the roster since the version that the recipient has.
     pub roster: Option<RosterDelta>,
 }
 
 impl Gossip {
-    /// Returns the targets that anybody it tells of suspects.
+    /// Returns the suspected targets of all digests.
     pub fn suspects(&self) -> impl Iterator<Item = &TargetId> {
         let relayed = self.relayed.iter().flat_map(|digest| &digest.suspects);
         self.digest.suspects.iter().chain(relayed)
     }
 
-    /// Returns whether anybody it tells of has seen a caller's request.
+    /// Returns whether any of the digests reports a caller's request.
     pub fn has_traffic(&self) -> bool {
         self.digest.has_traffic || self.relayed.iter().any(|digest| digest.has_traffic)
     }
 }
 
-/// Whom to send a message.
+/// A message with its recipient.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GossipTarget {
-    /// Node.
+    /// Recipient.
     pub node: NodeId,
-    /// Its address.
+    /// Address of the recipient.
     pub address: String,
-    /// Whether it is of the own zone.
+    /// Whether the recipient is in the sender's zone.
     pub is_same_zone: bool,
-    /// Message.
+    /// Message to send.
     pub gossip: Gossip,
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,12 +1,12 @@
-//! What the nodes of a fleet know of each other: who lives, and how much work is where.
+//! Membership of a fleet by gossip: which nodes are live, and how much work each target has.
 //!
-//! Nothing here opens a socket or reads a clock, and nothing knows of callers' requests. [`Membership`]
-//! takes messages in, answers them and says whom to ask next; whoever holds it carries the messages.
+//! Nothing here opens a socket, reads a clock or depends on callers' requests. [`Membership`] merges
+//! messages, responds to them and returns the messages that are due; its owner sends and receives them.
 //!
-//! A few nodes of each zone are its *hubs*, by rank among those that live. Every other node reports to one
-//! hub and gets back the sum of what all nodes told. Hubs of a zone tell each other, and one hub of a zone
-//! speaks to one of each other zone. So a node's cost does not grow with the number of nodes, and no
-//! agreement is needed: whoever is reported to acts as a hub.
+//! The live nodes of a zone that rank first are its *hubs*. Every other node reports to one hub, which
+//! responds with the sum over all nodes. The hubs of a zone exchange digests with each other, and for each
+//! other zone one of them exchanges digests with a hub there. The cost of a node therefore does not grow with
+//! the number of nodes. No agreement on the hubs is needed: a node that receives reports acts as a hub.
 
 mod digest;
 mod gossip;
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -1,18 +1,18 @@
-//! A node as it makes itself known.
+//! Registered description of a node.
 
 use briarswitch_core::id::{Incarnation, NodeId, ZoneId};
 
-/// One node as it registers itself.
+/// Entry of a node in the registry.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 pub struct NodeEntry {
-    /// Name.
+    /// Name of the node.
     pub node: NodeId,
-    /// Zone.
+    /// Zone that it runs in.
     pub zone: ZoneId,
-    /// Address for other nodes.
+    /// Address at which other nodes reach it.
     pub address: String,
-    /// Life of its process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// Bandwidth of its link in Mbit/s; of the nodes of a zone those with more do the zone's work.
+    /// Bandwidth of its link in Mbit/s; nodes with more bandwidth are preferred as hubs and store readers.
     pub link_mbps: u32,
 }
--- a/crates/membership/src/sums.rs
+++ b/crates/membership/src/sums.rs
@@ -1,4 +1,4 @@
-//! What a node tells of itself and of those it speaks for.
+//! Digests that a node makes of its own state and of those that it received.
 
 use std::time::Duration;
 
@@ -8,41 +8,43 @@
 use crate::gossip::{Gossip, NodeStatus};
 use crate::membership::Membership;
 
-/// Age up to which what another zone told is passed on inside the own one; later all have heard it.
-const RELAYED_AGE: Duration = Duration::from_millis(250);
-/// Time for which one sum answers all that ask.
-const FOLD_TIME: Duration = Duration::from_millis(20);
+/// Age up to which a hub relays another zone's digest to the hubs of its own zone.
+///
+/// Older digests have reached all of them.
+const MAX_RELAY_AGE: Duration = Duration::from_millis(250);
+/// Time for which the sum over all nodes is reused for further reports.
+const SUM_CACHE_TIME: Duration = Duration::from_millis(20);
 
 impl Membership {
-    pub(crate) fn own_digest(&self, standing: &NodeStatus) -> Digest {
+    pub(crate) fn own_digest(&self, status: &NodeStatus) -> Digest {
         Digest {
             origin: DigestOrigin::Node(self.own.node.clone()),
             age: Duration::ZERO,
-            has_traffic: standing.has_traffic,
+            has_traffic: status.has_traffic,
             members: vec![Heartbeat {
                 node: self.own.node.clone(),
                 incarnation: self.own.incarnation,
                 age: Duration::ZERO,
-                is_leaving: standing.is_leaving,
-                reads_store: standing.reads_store,
-                request_rate: standing.work.total_request_rate(),
+                is_leaving: status.is_leaving,
+                reads_store: status.reads_store,
+                request_rate: status.work.total_request_rate(),
             }],
-            work: standing.work.clone(),
-            suspects: standing.suspects.clone(),
+            work: status.work.clone(),
+            suspects: status.suspects.clone(),
         }
     }
 
-    /// Returns the sum of this node and those digests that `keep` names.
+    /// Returns the sum of this node and those received digests whose origin `keep` accepts.
     fn sum(
         &self,
         origin: DigestOrigin,
-        standing: &NodeStatus,
+        status: &NodeStatus,
         now: Moment,
         keep: impl Fn(&DigestOrigin) -> bool,
     ) -> Digest {
         let mut sum = Digest {
             origin,
-            ..self.own_digest(standing)
+            ..self.own_digest(status)
         };
         for (origin, held) in &self.digests {
             if keep(origin) {
@@ -52,14 +54,14 @@
         sum
     }
 
-    pub(crate) fn hub_gossip(&self, standing: &NodeStatus, now: Moment) -> Gossip {
+    pub(crate) fn hub_gossip(&self, status: &NodeStatus, now: Moment) -> Gossip {
         let origin = DigestOrigin::Hub(self.own.node.clone());
-        let digest = self.sum(origin, standing, now, |origin| {
+        let digest = self.sum(origin, status, now, |origin| {
             matches!(origin, DigestOrigin::Node(_))
         });
         let relayed = self.digests.iter().filter(|(origin, held)| {
-            let is_new = now < held.made_at + RELAYED_AGE;
-            matches!(origin, DigestOrigin::Zone(_)) && held.is_direct && is_new
+            let is_recent = now < held.made_at + MAX_RELAY_AGE;
+            matches!(origin, DigestOrigin::Zone(_)) && held.is_direct && is_recent
         });
         Gossip {
             relayed: relayed
@@ -72,27 +74,27 @@
         }
     }
 
-    pub(crate) fn zone_digest(&self, standing: &NodeStatus, now: Moment) -> Digest {
+    pub(crate) fn zone_digest(&self, status: &NodeStatus, now: Moment) -> Digest {
         let origin = DigestOrigin::Zone(self.own.zone.clone());
-        self.sum(origin, standing, now, |origin| {
+        self.sum(origin, status, now, |origin| {
             matches!(origin, DigestOrigin::Hub(_) | DigestOrigin::Node(_))
         })
     }
 
-    /// Returns the sum of all nodes, made anew only every [`FOLD_TIME`].
-    pub(crate) fn fleet_digest(&mut self, standing: &NodeStatus, now: Moment) -> Digest {
+    /// Returns the sum over all nodes, computed at most once per [`SUM_CACHE_TIME`].
+    pub(crate) fn fleet_digest(&mut self, status: &NodeStatus, now: Moment) -> Digest {
         let held = self.cached_sum.as_ref();
-        if let Some((_, digest)) = held.filter(|(at, _)| now < *at + FOLD_TIME) {
+        if let Some((_, digest)) = held.filter(|(at, _)| now < *at + SUM_CACHE_TIME) {
             return digest.clone();
         }
         self.prune_expired(now);
-        let mut digest = self.sum(DigestOrigin::Fleet, standing, now, |_| true);
-        if let Some(told) = self.fleet_sum() {
-            digest.has_traffic |= told.digest.has_traffic;
-            digest.work.add(&told.digest.work);
-            digest.work.subtract(&told.own_work);
+        let mut digest = self.sum(DigestOrigin::Fleet, status, now, |_| true);
+        if let Some(fleet_sum) = self.fleet_sum() {
+            digest.has_traffic |= fleet_sum.digest.has_traffic;
+            digest.work.add(&fleet_sum.digest.work);
+            digest.work.subtract(&fleet_sum.own_work);
         }
-        // Only the node that speaks; of the others the roster tells.
+        // Only this node's heartbeat; the roster reports the other nodes.
         digest.members.truncate(1);
         self.cached_sum = Some((now, digest.clone()));
         digest
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,4 +1,4 @@
-//! The live nodes as traffic reads them: ranks and parts among them.
+//! Immutable view of the live nodes for request handling: ranks, roles and weights.
 
 use std::sync::Arc;
 
@@ -9,33 +9,33 @@
 use crate::node::NodeEntry;
 use crate::rank::{bandwidth_rank, node_hash, rank_of, RankKey};
 
-/// Requests in a second that every node is taken to see, so that one whose first callers come finds places.
-const LEAST_ARRIVALS: f64 = 1.0;
+/// Requests per second added to every node's rate, so that a node without callers so far gets slots for its
+/// first ones.
+const MIN_REQUEST_RATE: f64 = 1.0;
 
-/// Rank of the nodes that ask the store; any word does, if all nodes use the same.
-const READER_RANK: &str = "feed";
+/// Key by which the nodes that read the store are ranked; all nodes must use the same.
+const READER_RANK_KEY: &str = "feed";
 
-/// A node's part in something that one node of a zone does for all.
+/// Role of a node in reading the store, which one node of a zone does for the others.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ReaderRole {
-    /// The zone is so small that each does it for itself.
+    /// The zone has so few nodes that each reads for itself.
     Independent,
-    /// This node does it.
+    /// This node reads for its zone.
     Reader,
-    /// Others do it, the best first.
+    /// Other nodes read; the preferred one is first.
     Follower(Vec<Arc<NodeEntry>>),
 }
 
-/// The nodes that keep something for all.
+/// The nodes that hold the data of a key for the whole fleet.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct KeyHolders {
-    /// The holders but this node, the best first.
+    /// The holders other than this node, by rank.
     pub others: Vec<Arc<NodeEntry>>,
-    /// This node's place among the holders, zero for the best; `None` where it is none of them.
+    /// This node's rank among the holders, 0 for the first; `None` if it is not one of them.
     pub own_rank: Option<usize>,
 }
 
-/// One live node.
 #[derive(Clone, Debug)]
 struct LiveMember {
     entry: Arc<NodeEntry>,
@@ -45,7 +45,7 @@
     reads_store: bool,
 }
 
-/// The live nodes at one moment, this one not included.
+/// The live nodes at one moment, without this node.
 #[derive(Clone, Debug, Default)]
 pub struct LiveView {
     own: NodeEntry,
@@ -57,7 +57,7 @@
 }
 
 impl LiveView {
-    /// Opens the view of a node that knows no other.
+    /// Creates the view of a node that knows no other.
     ///
     /// ```
     /// use briarswitch_membership::{LiveView, NodeEntry};
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Returns the view of what is known at `now`.
+    /// Creates the view of the nodes that are live at `now`.
     pub fn from_membership(membership: &Membership, now: Moment) -> Self {
         let own = membership.own().clone();
         let members = membership.roster().members();
@@ -88,8 +88,8 @@
             .collect();
         Self {
             composition: live.iter().fold(0, |sum, member| {
-                let life = member.entry.incarnation.wrapping_mul(member.hash);
-                sum ^ member.hash ^ life
+                let incarnation = member.entry.incarnation.wrapping_mul(member.hash);
+                sum ^ member.hash ^ incarnation
             }),
             zone_peers: live.iter().filter(|member| member.is_same_zone).count() as u32,
             live,
@@ -98,35 +98,35 @@
         }
     }
 
-    /// Returns a number that differs for other nodes, or other lives of them, whatever they see of callers.
+    /// Returns a checksum of the live nodes and their incarnations, which does not depend on request rates.
     pub fn composition(&self) -> u64 {
         self.composition
     }
 
-    /// Returns the number of nodes that live, this one included.
+    /// Returns the number of live nodes, including this one.
     pub fn live_nodes(&self) -> u32 {
         self.live.len() as u32 + 1
     }
 
-    /// Returns the number of nodes that live in this node's zone, this one included.
+    /// Returns the number of live nodes in this node's zone, including this one.
     pub fn zone_nodes(&self) -> u32 {
         self.zone_peers + 1
     }
 
-    /// Returns the number of nodes that are known, living or not, this one included.
+    /// Returns the number of known nodes, live or not, including this one.
     pub fn known_nodes(&self) -> usize {
         self.known + 1
     }
 
-    /// Returns the live node that ranks first for something in `zone`; `None` where that is this node.
+    /// Returns the live node that ranks first for a key in `zone`; `None` if that is this node.
     ///
-    /// Nodes of that zone go first, since a zone that is cut off has to do without the others; among them
-    /// those with more bandwidth. The order is the same at all nodes that see each other.
-    pub fn first_for(&self, thing: &str, zone: &str) -> Option<&Arc<NodeEntry>> {
-        let thing = RankKey::from(thing);
+    /// Nodes of that zone come first, since a zone that is cut off must not depend on other zones; next come
+    /// nodes with more bandwidth. All nodes with the same live nodes compute the same order.
+    pub fn first_for(&self, key: &str, zone: &str) -> Option<&Arc<NodeEntry>> {
+        let key = RankKey::from(key);
         let rank = |entry: &NodeEntry, hash: u64| {
             let is_far = entry.zone != zone;
-            (is_far, bandwidth_rank(entry, hash, thing))
+            (is_far, bandwidth_rank(entry, hash, key))
         };
         let own = rank(&self.own, self.own_hash);
         let ranked = self
@@ -137,21 +137,21 @@
         (first.0 < own).then_some(&first.1.entry)
     }
 
-    /// Returns the `count` live nodes that rank first for something, wherever they are.
+    /// Returns the `count` live nodes that rank first for a key, in any zone.
     ///
     /// ```
     /// use briarswitch_membership::{LiveView, NodeEntry};
     ///
-    /// let alone = LiveView::open(NodeEntry::default()).holders_of("thing", 2);
+    /// let alone = LiveView::open(NodeEntry::default()).holders_of("key", 2);
     /// assert_eq!(alone.own_place, Some(0));
     /// assert!(alone.others.is_empty());
     /// ```
-    pub fn holders_of(&self, thing: &str, count: usize) -> KeyHolders {
-        let thing = RankKey::from(thing);
+    pub fn holders_of(&self, key: &str, count: usize) -> KeyHolders {
+        let key = RankKey::from(key);
         let others = self.live.iter();
-        let others = others.map(|member| (rank_of(member.hash, thing), Some(&member.entry)));
+        let others = others.map(|member| (rank_of(member.hash, key), Some(&member.entry)));
         let mut ranked: Vec<_> = others.collect();
-        ranked.push((rank_of(self.own_hash, thing), None));
+        ranked.push((rank_of(self.own_hash, key), None));
         ranked.sort_unstable_by_key(|(rank, _)| *rank);
         ranked.truncate(count);
         KeyHolders {
@@ -163,37 +163,39 @@
         }
     }
 
-    /// Returns this node's part of what all live nodes ask, among ranks for something.
-    pub fn weight_for(&self, thing: &str, own_arrivals: f64) -> NodeWeight {
-        let thing = RankKey::from(thing);
-        let own_rank = rank_of(self.own_hash, thing);
-        let own = own_arrivals + LEAST_ARRIVALS;
+    /// Returns this node's request rate, that of all live nodes, and that of the nodes that rank before it for a
+    /// key.
+    pub fn weight_for(&self, key: &str, own_request_rate: f64) -> NodeWeight {
+        let key = RankKey::from(key);
+        let own_rank = rank_of(self.own_hash, key);
+        let own = own_request_rate + MIN_REQUEST_RATE;
         let mut weight = NodeWeight {
             own,
             total: own,
             ..NodeWeight::default()
         };
         for member in &self.live {
-            let arrivals = member.request_rate + LEAST_ARRIVALS;
-            weight.total += arrivals;
-            if rank_of(member.hash, thing) < own_rank {
-                weight.before += arrivals;
+            let request_rate = member.request_rate + MIN_REQUEST_RATE;
+            weight.total += request_rate;
+            if rank_of(member.hash, key) < own_rank {
+                weight.before += request_rate;
             }
         }
         weight
     }
 
-    /// Returns this node's part in asking the store, which one node of a zone does for all.
+    /// Returns this node's role in reading the store; every node reads for itself in a zone with fewer than
+    /// `min_nodes` live nodes.
     ///
-    /// Who has lately been answered by the store goes on; where nobody has, those with more bandwidth go
-    /// first. The `count` best are named, so that there is another when the first one fails.
-    pub fn reader_role(&self, count: usize, least: u32, own_reads: bool) -> ReaderRole {
-        if self.zone_nodes() < least {
+    /// Nodes with a recent response of the store come first, then those with more bandwidth. A follower gets
+    /// the `count` first nodes, so that it can use another one when the first fails.
+    pub fn reader_role(&self, count: usize, min_nodes: u32, own_reads: bool) -> ReaderRole {
+        if self.zone_nodes() < min_nodes {
             return ReaderRole::Independent;
         }
-        let thing = RankKey::from(READER_RANK);
+        let key = RankKey::from(READER_RANK_KEY);
         let rank =
-            |reads: bool, entry: &NodeEntry, hash| (!reads, bandwidth_rank(entry, hash, thing));
+            |reads: bool, entry: &NodeEntry, hash| (!reads, bandwidth_rank(entry, hash, key));
         let near = self.live.iter().filter(|member| member.is_same_zone);
         let mut ranked: Vec<_> = near
             .map(|member| {
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,7 +1,7 @@
-//! [`Gossip`] on the wire.
+//! Wire format of [`Gossip`].
 //!
-//! Parts have no names of fields: a digest holds an entry for each node and busy target, and names were a
-//! quarter of what zones tell each other.
+//! The nested types are tuples without field names: a digest has an entry for each node and busy target, and
+//! field names made up a quarter of the traffic between zones.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use crate::roster::{RosterDelta, RosterStatus, RosterVersion};
 use crate::work::{TargetKey, WorkSum};
 
-/// [`Gossip`] on the wire.
+/// Wire format of [`Gossip`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct GossipDoc {
     sender: EntryDoc,
@@ -22,18 +22,18 @@
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     relayed: Vec<DigestDoc>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    mark: Option<MarkDoc>,
+    mark: Option<RosterVersionDoc>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    roster: Option<DeltaDoc>,
+    roster: Option<RosterDeltaDoc>,
 }
 
-/// Name, zone, address, life, bandwidth in Mbit/s.
+/// Name, zone, address, incarnation, bandwidth in Mbit/s.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 struct EntryDoc(NodeId, ZoneId, String, Incarnation, u32);
 
-/// Life of the hub, version.
+/// Incarnation of the hub, version.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
-struct MarkDoc(Incarnation, u64);
+struct RosterVersionDoc(Incarnation, u64);
 
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 enum OriginDoc {
@@ -47,12 +47,12 @@
     Fleet,
 }
 
-/// Node, life, milliseconds since it was heard, whether it is leaving, whether it reads the store, requests in a
-/// second.
+/// Node, incarnation, milliseconds since it was heard, whether it is leaving, whether it reads the store, requests
+/// per second.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-struct MemberDoc(NodeId, Incarnation, u64, bool, bool, f32);
+struct HeartbeatDoc(NodeId, Incarnation, u64, bool, bool, f32);
 
-/// Requests by target, loads under way, demand and arrivals by model.
+/// Requests by target; loads in progress, demand and requests per second by model.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 struct WorkDoc(
     Vec<(TargetKey, u32)>,
@@ -63,15 +63,22 @@
 
 /// Origin, age in milliseconds, whether there is traffic, members, work, suspects.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-struct DigestDoc(OriginDoc, u64, bool, Vec<MemberDoc>, WorkDoc, Vec<TargetId>);
+struct DigestDoc(
+    OriginDoc,
+    u64,
+    bool,
+    Vec<HeartbeatDoc>,
+    WorkDoc,
+    Vec<TargetId>,
+);
 
-/// Node, whether it lives, whether it is leaving, whether it reads the store, requests in a second.
+/// Node, whether it is live, whether it is leaving, whether it reads the store, requests per second.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-struct SignDoc(NodeId, bool, bool, bool, f32);
+struct RosterStatusDoc(NodeId, bool, bool, bool, f32);
 
-/// Mark, whether it is all, entries, states.
+/// Version, whether it is a snapshot, entries, states.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-struct DeltaDoc(MarkDoc, bool, Vec<EntryDoc>, Vec<SignDoc>);
+struct RosterDeltaDoc(RosterVersionDoc, bool, Vec<EntryDoc>, Vec<RosterStatusDoc>);
 
 fn millis(age: Duration) -> u64 {
     u64::try_from(age.as_millis()).unwrap_or(u64::MAX)
@@ -103,16 +110,16 @@
     }
 }
 
-impl From<RosterVersion> for MarkDoc {
-    fn from(mark: RosterVersion) -> Self {
-        Self(mark.hub_incarnation, mark.version)
+impl From<RosterVersion> for RosterVersionDoc {
+    fn from(version: RosterVersion) -> Self {
+        Self(version.hub_incarnation, version.version)
     }
 }
 
-impl From<MarkDoc> for RosterVersion {
-    fn from(MarkDoc(hub, version): MarkDoc) -> Self {
+impl From<RosterVersionDoc> for RosterVersion {
+    fn from(RosterVersionDoc(hub_incarnation, version): RosterVersionDoc) -> Self {
         Self {
-            hub_incarnation: hub,
+            hub_incarnation,
             version,
         }
     }
@@ -140,29 +147,29 @@
     }
 }
 
-impl From<&Heartbeat> for MemberDoc {
-    fn from(sign: &Heartbeat) -> Self {
+impl From<&Heartbeat> for HeartbeatDoc {
+    fn from(heartbeat: &Heartbeat) -> Self {
         Self(
-            sign.node.clone(),
-            sign.incarnation,
-            millis(sign.age),
-            sign.is_leaving,
-            sign.reads_store,
-            sign.request_rate as f32,
+            heartbeat.node.clone(),
+            heartbeat.incarnation,
+            millis(heartbeat.age),
+            heartbeat.is_leaving,
+            heartbeat.reads_store,
+            heartbeat.request_rate as f32,
         )
     }
 }
 
-impl From<MemberDoc> for Heartbeat {
-    fn from(doc: MemberDoc) -> Self {
-        let MemberDoc(node, incarnation, age, is_leaving, reads_store, arrivals) = doc;
+impl From<HeartbeatDoc> for Heartbeat {
+    fn from(doc: HeartbeatDoc) -> Self {
+        let HeartbeatDoc(node, incarnation, age, is_leaving, reads_store, request_rate) = doc;
         Self {
             node,
             incarnation,
             age: Duration::from_millis(age),
             is_leaving,
             reads_store,
-            request_rate: f64::from(arrivals),
+            request_rate: f64::from(request_rate),
         }
     }
 }
@@ -170,13 +177,13 @@
 impl From<&WorkSum> for WorkDoc {
     fn from(work: &WorkSum) -> Self {
         let rate = |(model, rate): (&ModelId, &f64)| (model.clone(), *rate as f32);
-        let loads = work
+        let target_requests = work
             .target_requests
             .iter()
             .filter(|(_, requests)| **requests > 0);
         let loading = work.loading.iter().filter(|(_, count)| **count > 0);
         Self(
-            loads
+            target_requests
                 .map(|(target, requests)| (*target, *requests))
                 .collect(),
             loading
@@ -190,13 +197,13 @@
 
 impl From<WorkDoc> for WorkSum {
     fn from(doc: WorkDoc) -> Self {
-        let WorkDoc(loads, loading, demand, arrivals) = doc;
+        let WorkDoc(target_requests, loading, demand, request_rates) = doc;
         let rate = |(model, rate): (ModelId, f32)| (model, f64::from(rate));
         Self {
-            target_requests: loads.into_iter().collect(),
+            target_requests: target_requests.into_iter().collect(),
             loading: loading.into_iter().collect(),
             demand: demand.into_iter().map(rate).collect(),
-            request_rates: arrivals.into_iter().map(rate).collect(),
+            request_rates: request_rates.into_iter().map(rate).collect(),
         }
     }
 }
@@ -207,7 +214,7 @@
             OriginDoc::from(&digest.origin),
             millis(digest.age),
             digest.has_traffic,
-            digest.members.iter().map(MemberDoc::from).collect(),
+            digest.members.iter().map(HeartbeatDoc::from).collect(),
             WorkDoc::from(&digest.work),
             digest.suspects.clone(),
         )
@@ -228,44 +235,44 @@
     }
 }
 
-impl From<&RosterDelta> for DeltaDoc {
+impl From<&RosterDelta> for RosterDeltaDoc {
     fn from(delta: &RosterDelta) -> Self {
-        let sign = |sign: &RosterStatus| {
-            let node = sign.node.clone();
-            let arrivals = sign.request_rate as f32;
-            SignDoc(
+        let status = |status: &RosterStatus| {
+            let node = status.node.clone();
+            let request_rate = status.request_rate as f32;
+            RosterStatusDoc(
                 node,
-                sign.is_live,
-                sign.is_leaving,
-                sign.reads_store,
-                arrivals,
+                status.is_live,
+                status.is_leaving,
+                status.reads_store,
+                request_rate,
             )
         };
         Self(
             delta.version.into(),
             delta.is_snapshot,
             delta.entries.iter().map(EntryDoc::from).collect(),
-            delta.statuses.iter().map(sign).collect(),
+            delta.statuses.iter().map(status).collect(),
         )
     }
 }
 
-impl From<DeltaDoc> for RosterDelta {
-    fn from(doc: DeltaDoc) -> Self {
-        let DeltaDoc(mark, is_whole, entries, signs) = doc;
-        let sign =
-            |SignDoc(node, is_live, is_leaving, reads_store, arrivals): SignDoc| RosterStatus {
+impl From<RosterDeltaDoc> for RosterDelta {
+    fn from(doc: RosterDeltaDoc) -> Self {
+        let RosterDeltaDoc(version, is_snapshot, entries, statuses) = doc;
+        let status =
+            |RosterStatusDoc(node, is_live, is_leaving, reads_store, request_rate): RosterStatusDoc| RosterStatus {
                 node,
                 is_live,
                 is_leaving,
                 reads_store,
-                request_rate: f64::from(arrivals),
+                request_rate: f64::from(request_rate),
             };
         Self {
-            version: mark.into(),
-            is_snapshot: is_whole,
+            version: version.into(),
+            is_snapshot,
             entries: entries.into_iter().map(NodeEntry::from).collect(),
-            statuses: signs.into_iter().map(sign).collect(),
+            statuses: statuses.into_iter().map(status).collect(),
         }
     }
 }
@@ -276,8 +283,8 @@
             sender: EntryDoc::from(&gossip.sender),
             digest: DigestDoc::from(&gossip.digest),
             relayed: gossip.relayed.iter().map(DigestDoc::from).collect(),
-            mark: gossip.roster_version.map(MarkDoc::from),
-            roster: gossip.roster.as_ref().map(DeltaDoc::from),
+            mark: gossip.roster_version.map(RosterVersionDoc::from),
+            roster: gossip.roster.as_ref().map(RosterDeltaDoc::from),
         }
     }
 }
--- a/crates/membership/src/work.rs
+++ b/crates/membership/src/work.rs
@@ -1,4 +1,4 @@
-//! Sums of work.
+//! Sums of the work of nodes: requests at targets, loads of models and request rates.
 
 use std::hash::BuildHasherDefault;
 
@@ -7,13 +7,13 @@
 use rustc_hash::FxHasher;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Stands for a target's id in what nodes tell each other.
+/// Hash that stands for a target's id in messages between nodes.
 ///
-/// A hash needs no numbering that all nodes would have to agree on. Two of 12,000 targets have the same
-/// with a chance of 2 in 100, and then each looks as loaded as both, which costs a little balance.
+/// Unlike a numbering, a hash needs no agreement of all nodes. Among 12,000 targets a collision has a
+/// probability of 2 %; both targets then appear to have the requests of both, which slightly unbalances them.
 pub type TargetKey = u32;
 
-/// Requests by target.
+/// Number of requests by target.
 pub type RequestCounts = IndexMap<TargetKey, u32, BuildHasherDefault<FxHasher>>;
 
 /// Returns the key of a target.
@@ -28,21 +28,21 @@
     xxh3_64(target.as_bytes()) as TargetKey
 }
 
-/// Work that one or several nodes have or see.
+/// Work of one or several nodes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WorkSum {
-    /// Requests at targets.
+    /// Running requests by target.
     pub target_requests: RequestCounts,
-    /// Loads from the weight store under way, by model.
+    /// Loads from the weight store in progress, by model.
     pub loading: IndexMap<ModelId, u32>,
-    /// Groups that the requests would fill, by model.
+    /// Demand by model, in groups that the requests would fill.
     pub demand: IndexMap<ModelId, f64>,
-    /// Requests in a second, by model.
+    /// Requests per second, by model.
     pub request_rates: IndexMap<ModelId, f64>,
 }
 
 impl WorkSum {
-    /// Adds other work.
+    /// Adds the work of other nodes.
     ///
     /// ```
     /// use briarswitch_membership::WorkSum;
@@ -65,7 +65,7 @@
         add_rates(&mut self.request_rates, &other.request_rates);
     }
 
-    /// Takes work out of a sum that contains it.
+    /// Subtracts work that the sum contains.
     ///
     /// ```
     /// use briarswitch_membership::WorkSum;
@@ -93,12 +93,12 @@
         subtract_rates(&mut self.request_rates, &other.request_rates);
     }
 
-    /// Returns the loads under way of all models.
+    /// Returns the number of loads in progress over all models.
     pub fn total_loading(&self) -> u32 {
         self.loading.values().sum()
     }
 
-    /// Returns the requests in a second for all models.
+    /// Returns the requests per second over all models.
     pub fn total_request_rate(&self) -> f64 {
         self.request_rates.values().sum()
     }
