--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! A node's whole knowledge of the others.
+//! State of a node's membership in the fleet.
 
 use std::time::Duration;
 
@@ -12,35 +12,35 @@
 use crate::roster::{Roster, RosterDelta, RosterVersion};
 use crate::work::WorkSum;
 
-/// Age up to which the work that one node told counts; six reports.
-const REPORT_FRESH: Duration = Duration::from_millis(600);
-/// Age up to which the work of other zones counts.
-const ZONE_FRESH: Duration = Duration::from_millis(1_300);
+/// Age up to which the work that a node reported is counted; six report intervals.
+const REPORT_TTL: Duration = Duration::from_millis(600);
+/// Age up to which the work of other zones, and the sum of a hub, is counted.
+const ZONE_TTL: Duration = Duration::from_millis(1_300);
 
 #[derive(Clone, Debug)]
 pub(crate) struct ReceivedDigest {
     pub(crate) digest: Digest,
     pub(crate) made_at: Moment,
-    /// Whether it came from one for whom it speaks, and not through another hub.
+    /// Whether its origin sent it, as opposed to a hub that relayed it.
     pub(crate) is_direct: bool,
 }
 
 impl ReceivedDigest {
-    /// Returns whether the work that it tells of still counts.
+    /// Returns whether its work is still counted.
     pub(crate) fn is_fresh(&self, now: Moment) -> bool {
-        let fresh = match self.digest.origin {
-            DigestOrigin::Zone(_) => ZONE_FRESH,
-            _ => REPORT_FRESH,
+        let ttl = match self.digest.origin {
+            DigestOrigin::Zone(_) => ZONE_TTL,
+            _ => REPORT_TTL,
         };
-        now < self.made_at + fresh
+        now < self.made_at + ttl
     }
 }
 
-/// The sum of all nodes' work, as a hub answered a report.
+/// The sum over all nodes, from a hub's response to a report.
 #[derive(Clone, Debug)]
 pub(crate) struct FleetSum {
     pub(crate) digest: Digest,
-    /// Own work that it contains.
+    /// This node's work that the sum contains.
     pub(crate) own_work: WorkSum,
     /// When the report was sent.
     pub(crate) sent_at: Moment,
@@ -54,7 +54,7 @@
     pub(crate) fleet_sum: Option<FleetSum>,
 }
 
-/// What a node knows of the others.
+/// What a node knows of the other nodes.
 #[derive(Debug)]
 pub struct Membership {
     pub(crate) own: NodeEntry,
@@ -70,14 +70,14 @@
 }
 
 impl Membership {
-    /// Opens the knowledge of a node that knows no other.
+    /// Creates the membership of a node that knows no other.
     ///
     /// ```
     /// use std::time::Duration;
     ///
     /// use briarswitch_membership::{Membership, NodeEntry};
     ///
-    /// let membership = Membership::open(NodeEntry::default());
+    /// let membership = Membership::new(NodeEntry::default());
     /// assert!(membership.is_hub(Duration::from_secs(1)));
     /// ```
     pub fn new(own: NodeEntry) -> Self {
@@ -95,37 +95,37 @@
         }
     }
 
-    /// Returns this node.
+    /// Returns the entry of this node.
     pub fn own(&self) -> &NodeEntry {
         &self.own
     }
 
-    /// Returns the nodes that are known.
+    /// Returns the known nodes.
     pub fn roster(&self) -> &Roster {
         &self.roster
     }
 
-    /// Brings the roster up to `now` and returns its version.
+    /// Publishes the changes of the roster up to `now` and returns its version.
     pub fn refresh(&mut self, now: Moment) -> u64 {
         self.roster.refresh(now);
         self.roster.version()
     }
 
-    /// Takes in an entry; returns whether it is news.
+    /// Adds or replaces the entry of another node; returns whether anything changed.
     pub fn add_node(&mut self, entry: &NodeEntry, now: Moment) -> bool {
         entry.node != self.own.node && self.roster.add_node(entry, now)
     }
 
-    /// Returns the nodes that were heard for the first time, or again, since this was last asked.
+    /// Returns the nodes that were heard for the first time, or again after a timeout, since the last call.
     pub fn take_rejoined(&mut self) -> IndexSet<NodeId> {
         std::mem::take(&mut self.rejoined)
     }
 
-    /// Notes that a node did not answer; another one is asked at once.
+    /// Records that a node did not respond; the next message for its role is due at once, to another node.
     pub fn record_failure(&mut self, node: &str, now: Moment) {
         self.roster.record_failure(node, now);
         if self.followed.as_ref().is_some_and(|hub| hub.node == node) {
-            // The last sum goes on to count until it is too old.
+            // The last sum is still counted until it expires.
             self.last_sent.swap_remove(&DigestOrigin::Fleet);
         }
         let zone = self.roster.members().get(node);
@@ -134,78 +134,79 @@
         }
     }
 
-    /// Returns whether this node speaks for others at `now`.
+    /// Returns whether this node acts as a hub at `now`.
     pub fn is_hub(&self, now: Moment) -> bool {
         self.is_hub_among(&self.hubs(&self.own.zone, now), now)
     }
 
-    /// Returns how old what is known of the other nodes' work is at most, where anything is known.
+    /// Returns the greatest age of the known work of other nodes, `None` if none is known.
     pub fn knowledge_age(&self, now: Moment) -> Option<Duration> {
-        if let Some(told) = self.fleet_sum() {
-            return Some(now.saturating_sub(told.sent_at));
+        if let Some(fleet_sum) = self.fleet_sum() {
+            return Some(now.saturating_sub(fleet_sum.sent_at));
         }
         let ages = self.digests.values();
         ages.map(|held| now.saturating_sub(held.made_at)).max()
     }
 
-    /// Takes a message in and answers it.
-    pub fn respond(&mut self, gossip: &Gossip, standing: &NodeStatus, now: Moment) -> Gossip {
+    /// Merges a message and returns the response to it.
+    pub fn respond(&mut self, gossip: &Gossip, status: &NodeStatus, now: Moment) -> Gossip {
         if self.is_from_earlier_incarnation(&gossip.sender) {
             return self.gossip(Digest::empty(DigestOrigin::Fleet));
         }
         self.merge_gossip(gossip, now);
-        let answer = match &gossip.digest.origin {
+        let response = match &gossip.digest.origin {
             DigestOrigin::Node(_) | DigestOrigin::Fleet => {
-                let digest = self.fleet_digest(standing, now);
+                let digest = self.fleet_digest(status, now);
                 self.gossip(digest)
             }
-            DigestOrigin::Hub(_) => self.hub_gossip(standing, now),
-            DigestOrigin::Zone(_) => self.gossip(self.zone_digest(standing, now)),
+            DigestOrigin::Hub(_) => self.hub_gossip(status, now),
+            DigestOrigin::Zone(_) => self.gossip(self.zone_digest(status, now)),
         };
         Gossip {
             roster: self.roster_for(&gossip.digest.origin, gossip.roster_version, now),
-            ..answer
+            ..response
         }
     }
 
-    /// Returns what an asker lacks of the roster.
+    /// Returns the changes of the roster for the sender of a message.
     ///
-    /// Hubs tell each other of nodes in their digests. One that took this node for a hub knows too few of
-    /// those that live: it would go on asking a node that speaks for nobody, and never find the hubs.
+    /// Hubs need none from each other, since their digests contain the heartbeats of their nodes. But a hub that
+    /// mistakes this node for a hub knows too few live nodes: without the roster it would keep sending to a node
+    /// without followers and never find the hubs.
     fn roster_for(
         &mut self,
-        asker: &DigestOrigin,
-        mark: Option<RosterVersion>,
+        sender: &DigestOrigin,
+        since: Option<RosterVersion>,
         now: Moment,
     ) -> Option<RosterDelta> {
-        let is_report = matches!(asker, DigestOrigin::Node(_));
+        let is_report = matches!(sender, DigestOrigin::Node(_));
         if !is_report && self.is_hub(now) {
             return None;
         }
         self.roster.refresh(now);
-        Some(self.roster.delta(mark, self.own.incarnation))
+        Some(self.roster.delta(since, self.own.incarnation))
     }
 
-    /// Takes in the answer to a message that was sent at `asked`.
+    /// Merges the response to a message that was sent at `sent_at`.
     pub fn handle_response(
         &mut self,
         sent: &GossipTarget,
-        answer: &Gossip,
-        asked: Moment,
+        response: &Gossip,
+        sent_at: Moment,
         now: Moment,
     ) {
-        if self.is_from_earlier_incarnation(&answer.sender) {
+        if self.is_from_earlier_incarnation(&response.sender) {
             return;
         }
         self.roster.record_response(&sent.node);
-        self.merge_gossip(answer, asked);
-        let Some(delta) = &answer.roster else {
+        self.merge_gossip(response, sent_at);
+        let Some(delta) = &response.roster else {
             return;
         };
         let own = self.own.node.clone();
         match self.followed.as_mut().filter(|hub| hub.node == sent.node) {
             Some(hub) => {
-                // Answers may overtake each other; an older state must not replace a newer one.
+                // Responses may arrive out of order; an older state must not replace a newer one.
                 let is_overtaken = hub.roster_version.is_some_and(|held| {
                     held.hub_incarnation == delta.version.hub_incarnation
                         && held.version > delta.version.version
@@ -215,14 +216,14 @@
                 }
                 hub.roster_version = Some(delta.version);
                 hub.fleet_sum = Some(FleetSum {
-                    digest: answer.digest.clone(),
+                    digest: response.digest.clone(),
                     own_work: sent.gossip.digest.work.clone(),
-                    sent_at: asked,
+                    sent_at,
                 });
                 self.roster.apply(delta, &own, now);
-                self.roster.confirm_live(asked);
+                self.roster.confirm_live(sent_at);
             }
-            // A node that was lost answered, or one that is no hub: others are found through it.
+            // The response is from a node that was probed or is no hub; its roster helps to find the hubs.
             None => self.roster.apply_hints(delta, &own, now),
         }
     }
@@ -231,10 +232,10 @@
     pub fn peer_work(&mut self, now: Moment) -> WorkSum {
         self.prune_expired(now);
         let mut sum = WorkSum::default();
-        let told = self.fleet_sum();
-        if let Some(told) = told.filter(|told| now < told.sent_at + ZONE_FRESH) {
-            sum = told.digest.work.clone();
-            sum.subtract(&told.own_work);
+        let fleet_sum = self.fleet_sum();
+        if let Some(fleet_sum) = fleet_sum.filter(|fleet_sum| now < fleet_sum.sent_at + ZONE_TTL) {
+            sum = fleet_sum.digest.work.clone();
+            sum.subtract(&fleet_sum.own_work);
         }
         for held in self.digests.values() {
             sum.add(&held.digest.work);
@@ -242,7 +243,7 @@
         sum
     }
 
-    /// Returns the last sum that the followed hub told.
+    /// Returns the last sum that the followed hub sent.
     pub(crate) fn fleet_sum(&self) -> Option<&FleetSum> {
         self.followed.as_ref()?.fleet_sum.as_ref()
     }
@@ -272,19 +273,19 @@
 
     fn merge_digest(&mut self, digest: &Digest, is_direct: bool, at: Moment) {
         let at = at.saturating_sub(digest.age);
-        for sign in &digest.members {
+        for heartbeat in &digest.members {
             if self
                 .roster
-                .record_heartbeat(sign, at.saturating_sub(sign.age))
+                .record_heartbeat(heartbeat, at.saturating_sub(heartbeat.age))
             {
-                self.rejoined.insert(sign.node.clone());
+                self.rejoined.insert(heartbeat.node.clone());
             }
         }
         match &digest.origin {
-            // The whole fleet's sum is kept with the hub that told it.
+            // The sum over all nodes is kept with the followed hub that sent it.
             DigestOrigin::Fleet => return,
             DigestOrigin::Zone(zone) if *zone == self.own.zone => return,
-            // A node that has become a hub, or is one no more, would count twice.
+            // The work of a node that has become a hub, or has ceased to be one, would be counted twice.
             DigestOrigin::Node(node) => {
                 self.digests.swap_remove(&DigestOrigin::Hub(node.clone()));
             }
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -1,4 +1,4 @@
-//! The nodes that are known, and which of them live.
+//! The known nodes, and which of them are live.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,46 +10,47 @@
 use crate::node::NodeEntry;
 use crate::rank::node_hash;
 
-/// Silence after which a node counts as gone; several intervals of its reports.
+/// Time without a heartbeat after which a node no longer counts as live; several report intervals.
 pub const MEMBER_TIMEOUT: Duration = Duration::from_millis(1_300);
-/// Time for which a node that has just registered counts as live without having been heard.
+/// Time for which a node that has just registered counts as live before its first heartbeat.
 ///
-/// Until they are heard, nodes that start together would each see themselves alone.
-const PRESUMED_TIME: Duration = Duration::from_millis(1_500);
-/// Time for which a node that did not answer is not chosen for anything.
-const AVOIDED_TIME: Duration = Duration::from_secs(1);
-/// Part by which a node's arrivals must change to be told anew.
+/// Without it, nodes that start together would each see no other until the first heartbeats arrive.
+const PRESUMED_LIVE_TIME: Duration = Duration::from_millis(1_500);
+/// Time for which no messages are sent to a node that did not respond.
+const AVOID_TIME: Duration = Duration::from_secs(1);
+/// Relative change of a node's request rate above which followers are informed.
 ///
-/// They divide the places of groups among nodes. Counts over three seconds vary by a quarter by chance.
-const ARRIVALS_STEP: f64 = 0.5;
-/// Requests in a second by which a node's arrivals must change to be told anew.
-const LEAST_STEP: f64 = 1.0;
+/// Request rates determine how the slots of groups are divided among nodes. Counts over three seconds vary by a
+/// quarter by chance.
+const RELATIVE_RATE_STEP: f64 = 0.5;
+/// Change of a node's request rate, in requests per second, up to which followers are not informed.
+const MIN_RATE_STEP: f64 = 1.0;
 
-/// One node.
+/// One known node.
 #[derive(Clone, Debug)]
 pub struct RosterMember {
-    /// Its entry.
+    /// Registered entry.
     pub entry: Arc<NodeEntry>,
-    /// Hash of its name.
+    /// Hash of the node's name.
     pub hash: u64,
-    /// When it was last heard, by this node or by one that told of it.
+    /// When it was last heard, directly or by a node that reported it.
     pub last_heard: Option<Moment>,
     /// Whether it is leaving.
     pub is_leaving: bool,
-    /// Whether it has lately been answered by the store itself.
+    /// Whether it has a recent response of the store itself.
     pub reads_store: bool,
-    /// Requests that it sees in a second.
+    /// Requests that it receives per second.
     pub request_rate: f64,
     presumed_live_until: Moment,
     avoided_until: Moment,
-    /// Until when it is asked because another node holds it for live.
+    /// Until when messages are sent to it because another node reports it as live.
     hinted_until: Moment,
-    /// Whether the hub that this node follows holds it for live.
+    /// Whether the followed hub reports it as live.
     is_live_at_hub: bool,
     published: PublishedState,
 }
 
-/// What was last told of a node.
+/// State of a node as last published to followers.
 #[derive(Clone, Debug, Default)]
 struct PublishedState {
     entry_version: u64,
@@ -60,44 +61,44 @@
     request_rate: f64,
 }
 
-/// State of the roster that a follower holds: the hub's life and the version.
+/// Version of a hub's roster, as held by a follower.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RosterVersion {
-    /// Life of the hub that counts the versions.
+    /// Incarnation of the hub that counts the versions.
     pub hub_incarnation: Incarnation,
-    /// Version.
+    /// Number that rises with each published change.
     pub version: u64,
 }
 
-/// State of one node, as a hub tells its followers.
+/// State of one node, as a hub sends it to its followers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RosterStatus {
-    /// Node.
+    /// Node that it describes.
     pub node: NodeId,
-    /// Whether it lives.
+    /// Whether it is live.
     pub is_live: bool,
     /// Whether it is leaving.
     pub is_leaving: bool,
-    /// Whether it has lately been answered by the store itself.
+    /// Whether it has a recent response of the store itself.
     pub reads_store: bool,
-    /// Requests that it sees in a second.
+    /// Requests that it receives per second.
     pub request_rate: f64,
 }
 
-/// What has changed in a hub's roster since a follower's mark.
+/// Changes of a hub's roster since the version that a follower has.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RosterDelta {
-    /// What the follower holds afterwards.
+    /// Version that the follower has after it applied the changes.
     pub version: RosterVersion,
-    /// Whether it is all that the hub knows.
+    /// Whether it has all nodes that the hub knows, not only changed ones.
     pub is_snapshot: bool,
-    /// Entries that are new or have changed.
+    /// New and changed entries.
     pub entries: Vec<NodeEntry>,
-    /// States that are new or have changed.
+    /// New and changed states.
     pub statuses: Vec<RosterStatus>,
 }
 
-/// The nodes by name, this one not included.
+/// The known nodes by name, without this node.
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
     members: IndexMap<NodeId, RosterMember>,
@@ -105,20 +106,20 @@
 }
 
 impl RosterMember {
-    /// Returns whether the node was heard lately, or has just registered, and stays.
+    /// Returns whether the node was heard recently or has just registered, and is not leaving.
     pub fn is_live(&self, now: Moment) -> bool {
         let is_heard = self.last_heard.is_some_and(|at| now < at + MEMBER_TIMEOUT);
         !self.is_leaving && (is_heard || now < self.presumed_live_until)
     }
 
-    /// Returns whether the node may be chosen to answer something.
+    /// Returns whether messages may be sent to the node.
     pub fn is_usable(&self, now: Moment) -> bool {
         let is_hinted = !self.is_leaving && now < self.hinted_until;
         (is_hinted || self.is_live(now)) && now >= self.avoided_until
     }
 
     fn needs_publishing(&self, now: Moment) -> bool {
-        let step = (self.published.request_rate * ARRIVALS_STEP).max(LEAST_STEP);
+        let step = (self.published.request_rate * RELATIVE_RATE_STEP).max(MIN_RATE_STEP);
         self.published.is_live != self.is_live(now)
             || self.published.is_leaving != self.is_leaving
             || self.published.reads_store != self.reads_store
@@ -132,14 +133,14 @@
         &self.members
     }
 
-    /// Returns the version, which rises with every change that followers are told of.
+    /// Returns the version, which rises with every change that is published to followers.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Takes in a node's entry; returns whether it is news.
+    /// Adds or replaces a node's entry; returns whether anything changed.
     ///
-    /// An entry of an earlier life of the node, which may be read late, changes nothing.
+    /// An entry of an earlier incarnation, which may be read late, is ignored.
     pub(crate) fn add_node(&mut self, entry: &NodeEntry, now: Moment) -> bool {
         if let Some(held) = self.members.get(&entry.node) {
             if *held.entry == *entry || held.entry.incarnation > entry.incarnation {
@@ -160,7 +161,7 @@
             is_leaving: false,
             reads_store: false,
             request_rate: 0.0,
-            presumed_live_until: now + PRESUMED_TIME,
+            presumed_live_until: now + PRESUMED_LIVE_TIME,
             avoided_until: Moment::ZERO,
             hinted_until: Moment::ZERO,
             is_live_at_hub: false,
@@ -176,42 +177,42 @@
         }
     }
 
-    /// Takes in a sign of life from a moment; returns whether the node had been lost or never heard.
-    pub(crate) fn record_heartbeat(&mut self, sign: &Heartbeat, at: Moment) -> bool {
-        let Some(member) = self.members.get_mut(&sign.node) else {
+    /// Records that a node was heard at `at`; returns whether it had timed out or was never heard before.
+    pub(crate) fn record_heartbeat(&mut self, status: &Heartbeat, at: Moment) -> bool {
+        let Some(member) = self.members.get_mut(&status.node) else {
             return false;
         };
         let is_old = member.last_heard.is_some_and(|heard| heard > at);
-        if is_old || sign.incarnation < member.entry.incarnation {
+        if is_old || status.incarnation < member.entry.incarnation {
             return false;
         }
-        let was_lost = member
+        let had_timed_out = member
             .last_heard
             .is_none_or(|heard| heard + MEMBER_TIMEOUT < at);
         member.last_heard = Some(at);
-        member.is_leaving = sign.is_leaving;
-        member.reads_store = sign.reads_store;
-        member.request_rate = sign.request_rate;
-        was_lost
+        member.is_leaving = status.is_leaving;
+        member.reads_store = status.reads_store;
+        member.request_rate = status.request_rate;
+        had_timed_out
     }
 
-    /// Notes that a node answered, whoever doubted it before.
+    /// Records that a node responded; it is no longer avoided.
     pub(crate) fn record_response(&mut self, node: &str) {
         if let Some(member) = self.members.get_mut(node) {
             member.avoided_until = Moment::ZERO;
         }
     }
 
-    /// Notes that a node did not answer: it is avoided, and no longer presumed to live.
+    /// Records that a node did not respond: it is avoided, and no longer presumed to be live.
     pub(crate) fn record_failure(&mut self, node: &str, now: Moment) {
         if let Some(member) = self.members.get_mut(node) {
-            member.avoided_until = now + AVOIDED_TIME;
+            member.avoided_until = now + AVOID_TIME;
             member.presumed_live_until = Moment::ZERO;
             member.hinted_until = Moment::ZERO;
         }
     }
 
-    /// Notes what has changed since followers were last told.
+    /// Publishes the changes since the last call under new versions.
     pub(crate) fn refresh(&mut self, now: Moment) {
         for member in self.members.values_mut() {
             if member.needs_publishing(now) {
@@ -225,14 +226,15 @@
         }
     }
 
-    /// Returns what a follower lacks that holds `mark`; all there is where that is of another life.
-    pub(crate) fn delta(&self, mark: Option<RosterVersion>, hub: Incarnation) -> RosterDelta {
-        let held = mark.filter(|mark| mark.hub_incarnation == hub && mark.version <= self.version);
-        let since = held.map_or(0, |mark| mark.version);
+    /// Returns the changes since `since`; a snapshot if that is `None` or of another incarnation of the hub.
+    pub(crate) fn delta(&self, since: Option<RosterVersion>, hub: Incarnation) -> RosterDelta {
+        let held =
+            since.filter(|since| since.hub_incarnation == hub && since.version <= self.version);
+        let since = held.map_or(0, |held| held.version);
         let members = self.members.values();
         let entries = members.clone();
         let entries = entries.filter(|member| member.published.entry_version > since);
-        let signs = members.filter(|member| member.published.version > since);
+        let statuses = members.filter(|member| member.published.version > since);
         RosterDelta {
             version: RosterVersion {
                 hub_incarnation: hub,
@@ -240,7 +242,7 @@
             },
             is_snapshot: held.is_none(),
             entries: entries.map(|member| (*member.entry).clone()).collect(),
-            statuses: signs
+            statuses: statuses
                 .map(|member| RosterStatus {
                     node: member.entry.node.clone(),
                     is_live: member.published.is_live,
@@ -252,7 +254,7 @@
         }
     }
 
-    /// Takes in what another node's roster tells.
+    /// Applies the changes that the followed hub sent.
     pub(crate) fn apply(&mut self, delta: &RosterDelta, own: &str, now: Moment) {
         self.add_nodes(&delta.entries, own, now);
         if delta.is_snapshot {
@@ -260,36 +262,38 @@
                 member.is_live_at_hub = false;
             }
         }
-        for sign in &delta.statuses {
-            let Some(member) = self.members.get_mut(&sign.node) else {
+        for status in &delta.statuses {
+            let Some(member) = self.members.get_mut(&status.node) else {
                 continue;
             };
-            member.is_live_at_hub = sign.is_live;
-            member.is_leaving = sign.is_leaving;
-            member.reads_store = sign.reads_store;
-            member.request_rate = sign.request_rate;
-            if !sign.is_live {
-                // The hub has waited long enough; waiting again here doubled the time until a node was missed.
+            member.is_live_at_hub = status.is_live;
+            member.is_leaving = status.is_leaving;
+            member.reads_store = status.reads_store;
+            member.request_rate = status.request_rate;
+            if !status.is_live {
+                // The hub has already waited for the timeout; waiting again here would double the time until a lost
+                // node is noticed.
                 member.last_heard = None;
                 member.presumed_live_until = Moment::ZERO;
             }
         }
     }
 
-    /// Takes in whom a node that is not followed holds for live: these are asked, and not held for live.
+    /// Applies the roster of a node that is not the followed hub: messages may be sent to the nodes that it
+    /// reports as live, but they do not count as live.
     ///
-    /// What it believes may be seconds old. Held for live on its word alone and told on, nodes that are gone
-    /// were kept alive for good by two halves of a fleet that told each other of them.
+    /// Its information may be seconds old. If they counted as live and were reported on, two halves of a fleet
+    /// would keep lost nodes alive for ever by reporting them to each other.
     pub(crate) fn apply_hints(&mut self, delta: &RosterDelta, own: &str, now: Moment) {
         self.add_nodes(&delta.entries, own, now);
-        for sign in delta.statuses.iter().filter(|sign| sign.is_live) {
-            if let Some(member) = self.members.get_mut(&sign.node) {
-                member.hinted_until = now + PRESUMED_TIME;
+        for status in delta.statuses.iter().filter(|status| status.is_live) {
+            if let Some(member) = self.members.get_mut(&status.node) {
+                member.hinted_until = now + PRESUMED_LIVE_TIME;
             }
         }
     }
 
-    /// Counts every node that the followed hub vouches for as heard at `at`.
+    /// Records every node that the followed hub reports as live as heard at `at`.
     pub(crate) fn confirm_live(&mut self, at: Moment) {
         for member in self.members.values_mut().filter(|held| held.is_live_at_hub) {
             member.last_heard = member.last_heard.max(Some(at));
--- a/crates/membership/src/schedule.rs
+++ b/crates/membership/src/schedule.rs
@@ -1,4 +1,4 @@
-//! Whom a node asks, and when.
+//! Schedule of the messages that a node sends, and their recipients.
 
 use std::time::Duration;
 
@@ -10,71 +10,71 @@
 use crate::membership::{FollowedHub, Membership, ReceivedDigest};
 use crate::rank::{bandwidth_rank, first_ranked, RankKey};
 
-/// Hubs of a zone; two may be lost at once and the third is known to all.
-const HUBS: usize = 3;
-/// Rank of the hubs; any word does, if all nodes use the same.
-const HUB_RANK: &str = "hub";
-/// Time between two reports of a node to its hub.
+/// Hubs of a zone; if two fail at once, all nodes still know the third.
+const HUBS_PER_ZONE: usize = 3;
+/// Key by which hubs are ranked; all nodes must use the same.
+const HUB_RANK_KEY: &str = "hub";
+/// Interval between reports of a node to its hub.
 const REPORT_INTERVAL: Duration = Duration::from_millis(100);
-/// Time after which a hub asks another hub of its zone, unless that one asked before.
+/// Interval of the messages between two hubs of a zone.
 const HUB_INTERVAL: Duration = Duration::from_millis(50);
-/// Time after which a hub asks another zone, where each byte is paid for.
+/// Interval of the messages between two zones; longer, since traffic between zones is paid by the byte.
 const ZONE_INTERVAL: Duration = Duration::from_millis(100);
-/// Factor on an interval for the side with the higher name, so that one of two asks.
-const YIELDING: u32 = 2;
-/// Time between two questions to nodes of the own zone that were lost.
+/// Factor on the interval for the side with the higher name, so that usually only the other one sends.
+const YIELD_FACTOR: u32 = 2;
+/// Interval of the probes to unreachable nodes of this node's zone.
 ///
-/// Without them two halves of a zone that could not reach each other would stay apart for good. With one a
-/// second the halves of a fleet took 5.7 s to find hubs of their own in every zone, with two at most 5 s.
+/// Without probes two halves of a partitioned zone would never merge again. The halves of a fleet took 5.7 s to
+/// find hubs of their own in every zone with one probe a second, and at most 5 s with two.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Membership {
-    /// Returns the messages that are due.
-    pub fn due_messages(&mut self, standing: &NodeStatus, now: Moment) -> Vec<GossipTarget> {
+    /// Returns the messages that are due at `now`.
+    pub fn due_messages(&mut self, status: &NodeStatus, now: Moment) -> Vec<GossipTarget> {
         self.prune_expired(now);
         let zone = self.own.zone.clone();
         let hubs = self.hubs(&zone, now);
         let mut due = Vec::new();
         if !self.is_hub_among(&hubs, now) {
-            due.extend(self.report_due(&hubs, standing, now));
+            due.extend(self.report_due(&hubs, status, now));
             return due;
         }
         self.followed = None;
         for node in &hubs {
             if *node != self.own.node {
-                due.extend(self.hub_due(node, standing, now));
+                due.extend(self.hub_due(node, status, now));
             }
         }
         for zone in self.other_zones() {
             if self.is_contact_for(&zone, &hubs) {
-                due.extend(self.zone_due(&zone, standing, now));
+                due.extend(self.zone_due(&zone, status, now));
             }
         }
-        due.extend(self.probe_due(standing, now));
+        due.extend(self.probe_due(status, now));
         due
     }
 
-    /// Returns the hubs of a zone, best first; this node among them where it is one.
+    /// Returns the hubs of a zone by rank, including this node if it is one.
     pub(crate) fn hubs(&self, zone: &str, now: Moment) -> Vec<NodeId> {
-        let thing = RankKey::from(HUB_RANK);
+        let key = RankKey::from(HUB_RANK_KEY);
         let members = self.roster.members().values();
         let usable = members.filter(|member| member.entry.zone == zone && member.is_usable(now));
         let mut ranked: Vec<_> = usable
             .map(|member| {
-                let rank = bandwidth_rank(&member.entry, member.hash, thing);
+                let rank = bandwidth_rank(&member.entry, member.hash, key);
                 (rank, &member.entry.node)
             })
             .collect();
         if zone == self.own.zone {
-            let rank = bandwidth_rank(&self.own, self.own_hash, thing);
+            let rank = bandwidth_rank(&self.own, self.own_hash, key);
             ranked.push((rank, &self.own.node));
         }
         ranked.sort_unstable();
-        ranked.truncate(HUBS);
+        ranked.truncate(HUBS_PER_ZONE);
         ranked.into_iter().map(|(_, node)| node.clone()).collect()
     }
 
-    /// Returns whether this node speaks for others: it is one of its zone's hubs, or is reported to.
+    /// Returns whether this node acts as a hub: it is one of its zone's `hubs`, or receives reports.
     pub(crate) fn is_hub_among(&self, hubs: &[NodeId], now: Moment) -> bool {
         let mut digests = self.digests.values();
         let is_report = |held: &ReceivedDigest| matches!(held.digest.origin, DigestOrigin::Node(_));
@@ -90,14 +90,15 @@
             .collect()
     }
 
-    /// Returns whether this node is the one of its hubs that speaks to a zone.
+    /// Returns whether this node is the one of its zone's hubs that exchanges messages with another zone.
     fn is_contact_for(&self, zone: &str, hubs: &[NodeId]) -> bool {
         first_ranked(hubs, zone).is_none_or(|node| *node == self.own.node)
     }
 
-    /// Returns whether something is to be asked at `now`, and notes that it is.
+    /// Returns whether a message to `origin` is due at `now`, and records it as sent if so.
     ///
-    /// Where the other side asks as well, `is_yielding` makes this one wait for that.
+    /// A digest received from `origin` restarts the interval. `is_yielding` extends it where the other side
+    /// sends messages as well, so that this side waits for those.
     fn is_due(
         &mut self,
         origin: DigestOrigin,
@@ -106,35 +107,35 @@
         now: Moment,
     ) -> bool {
         let interval = if is_yielding {
-            interval * YIELDING
+            interval * YIELD_FACTOR
         } else {
             interval
         };
         let heard = self.digests.get(&origin).map(|held| held.made_at);
-        let asked = self.last_sent.get(&origin).copied();
-        let is_due = heard.max(asked).is_none_or(|at| now >= at + interval);
+        let sent_at = self.last_sent.get(&origin).copied();
+        let is_due = heard.max(sent_at).is_none_or(|at| now >= at + interval);
         if is_due {
             self.last_sent.insert(origin, now);
         }
         is_due
     }
 
-    /// Returns the report to this node's hub: of the zone's hubs the same one while they stay.
+    /// Returns the report to this node's hub, which remains the same as long as the zone's hubs do.
     fn report_due(
         &mut self,
         hubs: &[NodeId],
-        standing: &NodeStatus,
+        status: &NodeStatus,
         now: Moment,
     ) -> Option<GossipTarget> {
         let node = first_ranked(hubs, &self.own.node)?;
         let is_same = self.followed.as_ref().is_some_and(|hub| hub.node == *node);
         if !is_same {
-            let told = self.followed.take().and_then(|hub| hub.fleet_sum);
+            let fleet_sum = self.followed.take().and_then(|hub| hub.fleet_sum);
             self.last_sent.swap_remove(&DigestOrigin::Fleet);
             self.followed = Some(FollowedHub {
                 node: node.clone(),
                 roster_version: None,
-                fleet_sum: told,
+                fleet_sum,
             });
         }
         if !self.is_due(DigestOrigin::Fleet, REPORT_INTERVAL, false, now) {
@@ -143,21 +144,21 @@
         let mark = self.followed.as_ref().and_then(|hub| hub.roster_version);
         let report = Gossip {
             roster_version: mark,
-            ..self.gossip(self.own_digest(standing))
+            ..self.gossip(self.own_digest(status))
         };
         self.message_to(node, report)
     }
 
-    fn hub_due(&mut self, node: &str, standing: &NodeStatus, now: Moment) -> Option<GossipTarget> {
+    fn hub_due(&mut self, node: &str, status: &NodeStatus, now: Moment) -> Option<GossipTarget> {
         let origin = DigestOrigin::Hub(node.to_owned());
         let is_yielding = self.own.node.as_str() > node;
         if !self.is_due(origin, HUB_INTERVAL, is_yielding, now) {
             return None;
         }
-        self.message_to(node, self.hub_gossip(standing, now))
+        self.message_to(node, self.hub_gossip(status, now))
     }
 
-    fn zone_due(&mut self, zone: &str, standing: &NodeStatus, now: Moment) -> Option<GossipTarget> {
+    fn zone_due(&mut self, zone: &str, status: &NodeStatus, now: Moment) -> Option<GossipTarget> {
         let is_yielding = self.own.zone.as_str() > zone;
         if !self.is_due(
             DigestOrigin::Zone(zone.to_owned()),
@@ -170,34 +171,35 @@
         let hubs = self.hubs(zone, now);
         let node = match first_ranked(&hubs, &self.own.zone) {
             Some(node) => node.clone(),
-            // A zone of which nothing is heard is asked all the same, or a cut would never heal.
+            // Messages go to a zone without usable nodes as well, or a partition would never heal.
             None => self.next_unreachable(zone, now)?,
         };
-        self.message_to(&node, self.gossip(self.zone_digest(standing, now)))
+        self.message_to(&node, self.gossip(self.zone_digest(status, now)))
     }
 
-    /// Returns a question to a lost node of the own zone.
+    /// Returns a probe to an unreachable node of this node's zone.
     ///
-    /// It is asked as its follower would, so its answer tells everybody that it knows.
-    fn probe_due(&mut self, standing: &NodeStatus, now: Moment) -> Option<GossipTarget> {
+    /// The probe has the form of a follower's report, so the response has a snapshot of the roster.
+    fn probe_due(&mut self, status: &NodeStatus, now: Moment) -> Option<GossipTarget> {
         if now < self.last_probe + PROBE_INTERVAL {
             return None;
         }
         self.last_probe = now;
         let zone = self.own.zone.clone();
         let node = self.next_unreachable(&zone, now)?;
-        self.message_to(&node, self.gossip(self.own_digest(standing)))
+        self.message_to(&node, self.gossip(self.own_digest(status)))
     }
 
     fn next_unreachable(&mut self, zone: &str, now: Moment) -> Option<NodeId> {
         let members = self.roster.members().values();
-        let lost: Vec<&NodeId> = members
+        let unreachable: Vec<&NodeId> = members
             .filter(|member| member.entry.zone == zone && !member.is_usable(now))
             .map(|member| &member.entry.node)
             .collect();
         self.probe_index = self.probe_index.wrapping_add(1);
-        let index = (self.own_hash as usize).wrapping_add(self.probe_index) % lost.len().max(1);
-        lost.get(index).map(|node| (*node).clone())
+        let index =
+            (self.own_hash as usize).wrapping_add(self.probe_index) % unreachable.len().max(1);
+        unreachable.get(index).map(|node| (*node).clone())
     }
 
     fn message_to(&self, node: &str, gossip: Gossip) -> Option<GossipTarget> {
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -62,7 +62,7 @@
     /// ```
     /// use briarswitch_membership::{LiveView, NodeEntry};
     ///
-    /// assert_eq!(LiveView::open(NodeEntry::default()).live_nodes(), 1);
+    /// assert_eq!(LiveView::new(NodeEntry::default()).live_nodes(), 1);
     /// ```
     pub fn new(own: NodeEntry) -> Self {
         Self {
@@ -142,7 +142,7 @@
     /// ```
     /// use briarswitch_membership::{LiveView, NodeEntry};
     ///
-    /// let alone = LiveView::open(NodeEntry::default()).holders_of("key", 2);
+    /// let alone = LiveView::new(NodeEntry::default()).holders_of("key", 2);
     /// assert_eq!(alone.own_place, Some(0));
     /// assert!(alone.others.is_empty());
     /// ```
