--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -30,7 +30,7 @@
     pub age: Duration,
     /// Whether it is leaving.
     pub is_leaving: bool,
-    /// Whether it has a recent response of the store itself.
+    /// Whether it has recently received a response directly from the store.
     pub reads_store: bool,
     /// Requests that it receives per second.
     pub request_rate: f64,
@@ -50,7 +50,7 @@
     pub members: Vec<Heartbeat>,
     /// Work of the nodes.
     pub work: WorkSum,
-    /// Targets that do not respond to at least one of the nodes.
+    /// Targets that stopped responding to at least one of the nodes.
     pub suspects: Vec<TargetId>,
 }
 
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -12,13 +12,13 @@
 pub struct NodeStatus {
     /// Whether it is leaving.
     pub is_leaving: bool,
-    /// Whether it has a recent response of the store itself.
+    /// Whether it has recently received a response directly from the store.
     pub reads_store: bool,
     /// Whether it, or a node that it heard, has received a caller's request.
     pub has_traffic: bool,
     /// Work of this node alone.
     pub work: WorkSum,
-    /// Targets that do not respond to it.
+    /// Targets that stopped responding to it.
     pub suspects: Vec<TargetId>,
 }
 
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -121,7 +121,7 @@
         std::mem::take(&mut self.rejoined)
     }
 
-    /// Records that a node did not respond; the next message for its role is due at once, to another node.
+    /// Records that a node did not respond, so that another node is contacted at once.
     pub fn record_failure(&mut self, node: &str, now: Moment) {
         self.roster.record_failure(node, now);
         if self.followed.as_ref().is_some_and(|hub| hub.node == node) {
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -37,7 +37,7 @@
     pub last_heard: Option<Moment>,
     /// Whether it is leaving.
     pub is_leaving: bool,
-    /// Whether it has a recent response of the store itself.
+    /// Whether it has recently received a response directly from the store.
     pub reads_store: bool,
     /// Requests that it receives per second.
     pub request_rate: f64,
@@ -79,7 +79,7 @@
     pub is_live: bool,
     /// Whether it is leaving.
     pub is_leaving: bool,
-    /// Whether it has a recent response of the store itself.
+    /// Whether it has recently received a response directly from the store.
     pub reads_store: bool,
     /// Requests that it receives per second.
     pub request_rate: f64,
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -187,7 +187,7 @@
     /// Returns this node's role in reading the store; every node reads for itself in a zone with fewer than
     /// `min_nodes` live nodes.
     ///
-    /// Nodes with a recent response of the store come first, then those with more bandwidth. A follower gets
+    /// Nodes that recently received a response from the store come first, then those with more bandwidth. A follower gets
     /// the `count` first nodes, so that it can use another one when the first fails.
     pub fn reader_role(&self, count: usize, min_nodes: u32, own_reads: bool) -> ReaderRole {
         if self.zone_nodes() < min_nodes {
--- a/crates/membership/tests/holders.rs
+++ b/crates/membership/tests/holders.rs
@@ -1,4 +1,4 @@
-//! Who keeps something for all, by rank among the nodes that live.
+//! Holders of a key, chosen by rank among the live nodes.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// Returns the view of a node that knows some others.
+/// Returns the view of a node that knows the nodes `others`.
 fn view(own: usize, others: impl Iterator<Item = usize>) -> LiveView {
     let mut membership = Membership::new(entry(own));
     for other in others.filter(|other| *other != own) {
@@ -28,49 +28,48 @@
     LiveView::from_membership(&membership, NOW)
 }
 
-/// Returns the holders by name, the best first, as one node sees them.
-fn holders(own: usize, thing: &str, others: impl Iterator<Item = usize>) -> Vec<NodeId> {
-    let held = view(own, others).holders_of(thing, 2);
-    let mut names: Vec<NodeId> = held.others.iter().map(|entry| entry.node.clone()).collect();
-    if let Some(place) = held.own_rank {
-        names.insert(place, entry(own).node);
+/// Returns the names of the holders by rank, as one node computes them.
+fn holders(own: usize, key: &str, others: impl Iterator<Item = usize>) -> Vec<NodeId> {
+    let found = view(own, others).holders_of(key, 2);
+    let mut names: Vec<NodeId> = found
+        .others
+        .iter()
+        .map(|entry| entry.node.clone())
+        .collect();
+    if let Some(rank) = found.own_rank {
+        names.insert(rank, entry(own).node);
     }
     names
 }
 
-/// Symptom: two nodes tell different nodes of the same request, and nobody sees its ends add up.
-/// Cause guarded against: a rank that hangs on who asks.
+/// The rank must not depend on the node that computes it. Otherwise crashes caused by one request would be
+/// reported to different nodes, and none of them would count all.
 #[gtest]
-fn nodes_that_see_each_other_name_the_same_holders() {
-    for thing in ["a", "b", "c", "d", "e"] {
-        let first = holders(0, thing, 0..NODES);
+fn all_nodes_compute_the_same_holders() {
+    for key in ["a", "b", "c", "d", "e"] {
+        let first = holders(0, key, 0..NODES);
         expect_that!(first.len(), eq(2));
         for own in 1..NODES {
-            expect_that!(
-                holders(own, thing, 0..NODES),
-                eq(&first),
-                "{thing} at {own}"
-            );
+            expect_that!(holders(own, key, 0..NODES), eq(&first), "{key} at {own}");
         }
     }
 }
 
-/// Symptom: what was told is lost whenever a node ends.
-/// Cause guarded against: holders that all change when one of them is gone.
+/// If the failure of one holder replaced all of them, the reported data would be lost whenever a node fails.
 #[gtest]
-fn the_second_holder_stays_when_the_first_is_gone() {
-    for thing in ["a", "b", "c", "d", "e"] {
-        let before = holders(0, thing, 0..NODES);
+fn the_second_holder_remains_when_the_first_fails() {
+    for key in ["a", "b", "c", "d", "e"] {
+        let before = holders(0, key, 0..NODES);
         let left = (0..NODES).filter(|index| entry(*index).node != before[0]);
-        let own = left.clone().next().expect("a node");
-        let after = holders(own, thing, left);
-        expect_that!(&after[0], eq(&before[1]), "{thing}");
+        let own = left.clone().next().expect("a node is left");
+        let after = holders(own, key, left);
+        expect_that!(&after[0], eq(&before[1]), "{key}");
     }
 }
 
 #[gtest]
-fn things_are_spread_over_the_nodes() {
-    let firsts = (0..300).map(|thing| holders(0, &thing.to_string(), 0..NODES).remove(0));
+fn keys_are_spread_over_the_nodes() {
+    let firsts = (0..300).map(|key| holders(0, &key.to_string(), 0..NODES).remove(0));
     let mut counts = indexmap::IndexMap::<NodeId, usize>::new();
     for first in firsts {
         *counts.entry(first).or_default() += 1;
--- a/crates/membership/tests/properties.rs
+++ b/crates/membership/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Whatever comes late, twice or in another order, sums are right again soon after.
+//! Sums become correct again after messages were delayed, duplicated, reordered or lost.
 
 mod support;
 
@@ -54,57 +54,57 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// Reports of some nodes arrive in any order and any number, some from earlier lives; then each node
-    /// reports once more.
+    /// Reports arrive in any order and number, some from earlier incarnations; then each node reports once more,
+    /// and only these last reports count.
     #[test]
-    fn the_last_reports_are_what_counts(
+    fn only_the_last_reports_count(
         early in prop::collection::vec((0..4_usize, 0..3_u64, 0..50_u32, 0..300_u64), 0..40),
         last in prop::collection::vec(0..50_u32, 4),
     ) {
         let mut hub = Membership::new(entry("hub", 9));
-        let standing = NodeStatus::default();
-        for (node, life, requests, time) in early {
-            let gossip = report(&format!("n{node}"), life, requests);
-            hub.respond(&gossip, &standing, at(time));
+        let status = NodeStatus::default();
+        for (node, incarnation, requests, time) in early {
+            let gossip = report(&format!("n{node}"), incarnation, requests);
+            hub.respond(&gossip, &status, at(time));
         }
         for (node, requests) in last.iter().enumerate() {
             let gossip = report(&format!("n{node}"), 3, *requests);
-            hub.respond(&gossip, &standing, at(301));
+            hub.respond(&gossip, &status, at(301));
         }
         let work = hub.peer_work(at(320));
         let known = work.target_requests.get(&target_key(TARGET)).copied().unwrap_or(0);
         prop_assert_eq!(known, last.iter().sum::<u32>());
     }
 
-    /// Nodes stop and wake, links are cut and heal, loads change, at random; when all is well again
-    /// every node knows every other and the right sums.
+    /// Nodes stop, resume and restart, partitions begin and heal, and messages are lost, at random. After the last
+    /// fault every node knows all others and the correct sums.
     #[test]
-    fn any_run_of_faults_ends_in_full_knowledge(
+    fn fleet_recovers_from_any_sequence_of_faults(
         steps in prop::collection::vec((0..6_u8, 0..24_usize, 1..9_u64), 1..25),
     ) {
-        let mut fleet = Fleet::open(24, 3);
+        let mut fleet = Fleet::new(24, 3);
         let names = fleet.names();
         for (kind, index, time) in steps {
             let name = names[index].clone();
             match kind {
-                0 => { fleet.silent.insert(name); }
-                1 => { fleet.silent.clear(); }
-                2 => { fleet.sides.insert(name, 1); }
-                3 => { fleet.sides.clear(); }
+                0 => { fleet.stopped.insert(name); }
+                1 => { fleet.stopped.clear(); }
+                2 => { fleet.partitions.insert(name, 1); }
+                3 => { fleet.partitions.clear(); }
                 4 => {
-                    let (zone, life) = {
+                    let (zone, incarnation) = {
                         let held = &fleet.nodes[&name].entry;
                         (held.zone.clone(), held.incarnation + 1)
                     };
-                    fleet.add(&name, &zone, life);
+                    fleet.add(&name, &zone, incarnation);
                 }
-                _ => fleet.loss = |count| count % 3 == 0,
+                _ => fleet.is_lost = |count| count % 3 == 0,
             }
             fleet.run(Duration::from_millis(time * 200));
         }
-        fleet.silent.clear();
-        fleet.sides.clear();
-        fleet.loss = |_| false;
-        fleet.until(Duration::from_secs(12), Fleet::is_settled);
+        fleet.stopped.clear();
+        fleet.partitions.clear();
+        fleet.is_lost = |_| false;
+        fleet.run_until(Duration::from_secs(12), Fleet::is_settled);
     }
 }
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes that exchange messages through a network of this process, in a time of its own.
+//! Simulation of nodes that exchange messages in one process, with a simulated clock.
 #![allow(dead_code)]
 
 use std::collections::BTreeSet;
@@ -10,12 +10,12 @@
 };
 use indexmap::IndexMap;
 
-/// Time between two ticks of every node.
+/// Interval between the ticks of every node.
 pub const TICK: Duration = Duration::from_millis(50);
-/// Time after which an answer that has not come is missed.
-const ANSWER_TIME: Duration = Duration::from_millis(400);
+/// Time after which a missing response counts as a failure.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Target at which every node has its requests.
+/// Target of all requests of every node.
 pub const TARGET: &str = "head";
 
 pub struct TestNode {
@@ -24,27 +24,27 @@
     pub requests: u32,
     pub suspects: Vec<String>,
     pub is_leaving: bool,
-    pub asked: u64,
+    pub sent_messages: u64,
     pub bytes: u64,
 }
 
-struct Missed {
+struct PendingFailure {
     from: String,
     node: String,
     at: Moment,
 }
 
-/// A fleet whose links are cut and whose nodes are stopped by name.
+/// A fleet whose nodes can be stopped or partitioned by name.
 pub struct Fleet {
     pub now: Moment,
     pub nodes: IndexMap<String, TestNode>,
-    /// Nodes that neither ask nor answer.
-    pub silent: BTreeSet<String>,
-    /// Sides of a cut; nodes of different sides do not reach each other.
-    pub sides: IndexMap<String, u32>,
-    missed: Vec<Missed>,
-    /// Whether a message is lost, by a count of all messages.
-    pub loss: fn(u64) -> bool,
+    /// Nodes that neither send nor respond.
+    pub stopped: BTreeSet<String>,
+    /// Partition of each node, 0 if absent; nodes of different partitions do not reach each other.
+    pub partitions: IndexMap<String, u32>,
+    pending_failures: Vec<PendingFailure>,
+    /// Whether the message with a given number is lost.
+    pub is_lost: fn(u64) -> bool,
     count: u64,
 }
 
@@ -53,15 +53,15 @@
 }
 
 impl Fleet {
-    /// Opens a fleet in which every node knows every other from the registry.
-    pub fn open(nodes: usize, zones: usize) -> Self {
+    /// Creates a fleet in which every node knows all others from the registry.
+    pub fn new(nodes: usize, zones: usize) -> Self {
         let mut fleet = Self {
             now: Duration::from_secs(100),
             nodes: IndexMap::new(),
-            silent: BTreeSet::new(),
-            sides: IndexMap::new(),
-            missed: Vec::new(),
-            loss: |_| false,
+            stopped: BTreeSet::new(),
+            partitions: IndexMap::new(),
+            pending_failures: Vec::new(),
+            is_lost: |_| false,
             count: 0,
         };
         for index in 0..nodes {
@@ -70,7 +70,7 @@
         fleet
     }
 
-    /// Adds a node, or starts one again, in a life of its own.
+    /// Adds a node, or restarts one as the given incarnation.
     pub fn add(&mut self, name: &str, zone: &str, incarnation: u64) {
         let entry = NodeEntry {
             node: name.to_owned(),
@@ -85,7 +85,7 @@
             requests: 1,
             suspects: Vec::new(),
             is_leaving: false,
-            asked: 0,
+            sent_messages: 0,
             bytes: 0,
         };
         self.nodes.insert(name.to_owned(), node);
@@ -102,7 +102,7 @@
         self.nodes.keys().cloned().collect()
     }
 
-    fn standing(&self, name: &str) -> NodeStatus {
+    fn status(&self, name: &str) -> NodeStatus {
         let node = &self.nodes[name];
         NodeStatus {
             is_leaving: node.is_leaving,
@@ -118,42 +118,44 @@
     }
 
     fn reaches(&self, from: &str, to: &str) -> bool {
-        let side = |name: &str| self.sides.get(name).copied().unwrap_or(0);
-        let is_up = |name: &str| !self.silent.contains(name) && self.nodes.contains_key(name);
+        let side = |name: &str| self.partitions.get(name).copied().unwrap_or(0);
+        let is_up = |name: &str| !self.stopped.contains(name) && self.nodes.contains_key(name);
         is_up(from) && is_up(to) && side(from) == side(to)
     }
 
-    /// Lets time pass; answers come at once, failures are noticed after a while.
+    /// Advances the clock; responses arrive at once, failures are noticed after [`RESPONSE_TIMEOUT`].
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now += TICK;
-            self.note_missed();
+            self.record_failures();
             for name in self.names() {
-                if !self.silent.contains(&name) {
+                if !self.stopped.contains(&name) {
                     self.tick(&name);
                 }
             }
         }
     }
 
-    fn note_missed(&mut self) {
+    fn record_failures(&mut self) {
         let now = self.now;
-        let (due, left): (Vec<Missed>, Vec<Missed>) =
-            self.missed.drain(..).partition(|missed| missed.at <= now);
-        self.missed = left;
-        for missed in due {
-            if let Some(node) = self.nodes.get_mut(&missed.from) {
-                node.membership.record_failure(&missed.node, now);
+        let (due, left): (Vec<PendingFailure>, Vec<PendingFailure>) = self
+            .pending_failures
+            .drain(..)
+            .partition(|failure| failure.at <= now);
+        self.pending_failures = left;
+        for failure in due {
+            if let Some(node) = self.nodes.get_mut(&failure.from) {
+                node.membership.record_failure(&failure.node, now);
             }
         }
     }
 
     fn tick(&mut self, name: &str) {
-        let (now, standing) = (self.now, self.standing(name));
+        let (now, status) = (self.now, self.status(name));
         let node = &mut self.nodes[name];
-        let due = node.membership.due_messages(&standing, now);
-        node.asked += due.len() as u64;
+        let due = node.membership.due_messages(&status, now);
+        node.sent_messages += due.len() as u64;
         for target in due {
             self.exchange(name, &target);
         }
@@ -161,33 +163,35 @@
 
     fn exchange(&mut self, from: &str, target: &GossipTarget) {
         self.count += 1;
-        let is_lost = (self.loss)(self.count);
+        let is_lost = (self.is_lost)(self.count);
         if is_lost || !self.reaches(from, &target.node) {
-            let at = self.now + ANSWER_TIME;
+            let at = self.now + RESPONSE_TIMEOUT;
             let (from, node) = (from.to_owned(), target.node.clone());
-            self.missed.push(Missed { from, node, at });
+            self.pending_failures
+                .push(PendingFailure { from, node, at });
             return;
         }
         let now = self.now;
-        let standing = self.standing(&target.node);
-        let asked = self.carry(from, &target.gossip);
+        let status = self.status(&target.node);
+        let request = self.transmit(from, &target.gossip);
         let other = &mut self.nodes[&target.node];
-        let answer = other.membership.respond(&asked, &standing, now);
-        let answer = self.carry(from, &answer);
+        let response = other.membership.respond(&request, &status, now);
+        let response = self.transmit(from, &response);
         let node = &mut self.nodes[from];
-        node.membership.handle_response(target, &answer, now, now);
+        node.membership.handle_response(target, &response, now, now);
     }
 
-    /// Writes a message as it goes over the wire and reads it back.
-    fn carry(&mut self, from: &str, gossip: &Gossip) -> Gossip {
-        let bytes = rmp_serde::to_vec_named(&GossipDoc::from(gossip)).expect("it is written");
+    /// Serializes a message for the wire and deserializes it, counting its bytes.
+    fn transmit(&mut self, from: &str, gossip: &Gossip) -> Gossip {
+        let bytes =
+            rmp_serde::to_vec_named(&GossipDoc::from(gossip)).expect("message must serialize");
         self.nodes[from].bytes += bytes.len() as u64;
-        let doc: GossipDoc = rmp_serde::from_slice(&bytes).expect("it is read");
+        let doc: GossipDoc = rmp_serde::from_slice(&bytes).expect("message must deserialize");
         doc.into()
     }
 
-    /// Returns the requests of all other nodes at the target, as a node knows them.
-    pub fn known(&mut self, name: &str) -> u32 {
+    /// Returns the number of requests of all other nodes that a node knows.
+    pub fn known_requests(&mut self, name: &str) -> u32 {
         let now = self.now;
         let work = self.nodes[name].membership.peer_work(now);
         work.target_requests
@@ -196,52 +200,52 @@
             .unwrap_or(0)
     }
 
-    /// Returns how many other nodes a node holds for live.
-    pub fn live(&self, name: &str) -> usize {
+    /// Returns how many other nodes are live according to a node.
+    pub fn live_peers(&self, name: &str) -> usize {
         let members = self.nodes[name].membership.roster().members();
         let live = members.values().filter(|member| member.is_live(self.now));
         live.count()
     }
 
-    /// Lets time pass until something holds; returns how long that took.
-    pub fn until(&mut self, limit: Duration, holds: impl Fn(&mut Self) -> bool) -> Duration {
+    /// Advances the clock until a condition holds and returns how long that took.
+    pub fn run_until(&mut self, limit: Duration, holds: impl Fn(&mut Self) -> bool) -> Duration {
         let begun = self.now;
         while !holds(self) {
             if self.now >= begun + limit {
-                let faults = self.faults();
-                panic!("it did not come about in {limit:?}: {faults:#?}");
+                let discrepancies = self.discrepancies();
+                panic!("condition not met within {limit:?}: {discrepancies:#?}");
             }
             self.run(TICK);
         }
         self.now - begun
     }
 
-    /// Returns whether every node that runs knows exactly those it reaches, and their work.
+    /// Returns whether every running node knows exactly the nodes that it reaches, and their work.
     pub fn is_settled(&mut self) -> bool {
         self.names().iter().all(|name| {
-            if self.silent.contains(name) {
+            if self.stopped.contains(name) {
                 return true;
             }
             let names = self.names();
             let reached = names.iter().filter(|other| self.reaches(name, other));
             let count = reached.count() - 1;
-            self.live(name) == count && self.known(name) as usize == count
+            self.live_peers(name) == count && self.known_requests(name) as usize == count
         })
     }
 
-    /// Returns what nodes believe wrongly, a few of it.
-    pub fn faults(&mut self) -> Vec<String> {
+    /// Describes the first few nodes whose knowledge is wrong.
+    pub fn discrepancies(&mut self) -> Vec<String> {
         let names = self.names();
-        let mut faults = Vec::new();
+        let mut discrepancies = Vec::new();
         for name in &names {
-            if self.silent.contains(name) {
+            if self.stopped.contains(name) {
                 continue;
             }
             let reached: Vec<&String> = names
                 .iter()
                 .filter(|other| *other != name && self.reaches(name, other))
                 .collect();
-            let known = self.known(name);
+            let known = self.known_requests(name);
             let membership = &self.nodes[name].membership;
             let members = membership.roster().members().values();
             let live = members.filter(|member| member.is_live(self.now));
@@ -256,20 +260,20 @@
                 .collect();
             if known as usize != reached.len() || !wrong.is_empty() || !missing.is_empty() {
                 let is_hub = membership.is_hub(self.now);
-                faults.push(format!(
-                    "{name} hub {is_hub} knows {known} of {}, wrong {wrong:?}, missing {missing:?}",
+                discrepancies.push(format!(
+                    "{name} (hub: {is_hub}) knows {known} of {} requests; wrongly live {wrong:?}, missing {missing:?}",
                     reached.len()
                 ));
             }
         }
-        faults.truncate(8);
-        faults
+        discrepancies.truncate(8);
+        discrepancies
     }
 
-    /// Returns the hubs of a zone, as they see themselves.
+    /// Returns the nodes of a zone that act as hubs.
     pub fn hubs(&self, zone: &str) -> Vec<String> {
         let hubs = self.nodes.iter().filter(|(name, node)| {
-            let is_up = !self.silent.contains(*name);
+            let is_up = !self.stopped.contains(*name);
             is_up && node.entry.zone == zone && node.membership.is_hub(self.now)
         });
         hubs.map(|(name, _)| name.clone()).collect()
