--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -178,21 +178,21 @@
     }
 
     /// Records that a node was heard at `at`; returns whether it had timed out or was never heard before.
-    pub(crate) fn record_heartbeat(&mut self, status: &Heartbeat, at: Moment) -> bool {
-        let Some(member) = self.members.get_mut(&status.node) else {
+    pub(crate) fn record_heartbeat(&mut self, heartbeat: &Heartbeat, at: Moment) -> bool {
+        let Some(member) = self.members.get_mut(&heartbeat.node) else {
             return false;
         };
         let is_old = member.last_heard.is_some_and(|heard| heard > at);
-        if is_old || status.incarnation < member.entry.incarnation {
+        if is_old || heartbeat.incarnation < member.entry.incarnation {
             return false;
         }
         let had_timed_out = member
             .last_heard
             .is_none_or(|heard| heard + MEMBER_TIMEOUT < at);
         member.last_heard = Some(at);
-        member.is_leaving = status.is_leaving;
-        member.reads_store = status.reads_store;
-        member.request_rate = status.request_rate;
+        member.is_leaving = heartbeat.is_leaving;
+        member.reads_store = heartbeat.reads_store;
+        member.request_rate = heartbeat.request_rate;
         had_timed_out
     }
 
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -125,8 +125,8 @@
     pub fn first_for(&self, key: &str, zone: &str) -> Option<&Arc<NodeEntry>> {
         let key = RankKey::from(key);
         let rank = |entry: &NodeEntry, hash: u64| {
-            let is_far = entry.zone != zone;
-            (is_far, bandwidth_rank(entry, hash, key))
+            let is_other_zone = entry.zone != zone;
+            (is_other_zone, bandwidth_rank(entry, hash, key))
         };
         let own = rank(&self.own, self.own_hash);
         let ranked = self
@@ -143,7 +143,7 @@
     /// use briarswitch_membership::{LiveView, NodeEntry};
     ///
     /// let alone = LiveView::new(NodeEntry::default()).holders_of("key", 2);
-    /// assert_eq!(alone.own_place, Some(0));
+    /// assert_eq!(alone.own_rank, Some(0));
     /// assert!(alone.others.is_empty());
     /// ```
     pub fn holders_of(&self, key: &str, count: usize) -> KeyHolders {
--- a/crates/membership/src/work.rs
+++ b/crates/membership/src/work.rs
@@ -52,7 +52,7 @@
     /// let other = WorkSum { loading, ..WorkSum::default() };
     /// sum.add(&other);
     /// sum.add(&other);
-    /// assert_eq!(sum.all_loading(), 4);
+    /// assert_eq!(sum.total_loading(), 4);
     /// ```
     pub fn add(&mut self, other: &Self) {
         for (target, requests) in &other.target_requests {
@@ -76,7 +76,7 @@
     /// };
     /// let mut sum = sum_of(5);
     /// sum.subtract(&sum_of(2));
-    /// assert_eq!(sum.all_loading(), 3);
+    /// assert_eq!(sum.total_loading(), 3);
     /// ```
     pub fn subtract(&mut self, other: &Self) {
         for (target, requests) in &other.target_requests {
