--- a/crates/fleet/src/controller.rs
+++ b/crates/fleet/src/controller.rs
@@ -586,7 +586,7 @@
     }
 
     fn start(&mut self, link: &ServiceLink<ControllerMessage>) {
-        link.later(ROUND_INTERVAL, ControllerMessage::Round);
+        link.send_after(ROUND_INTERVAL, ControllerMessage::Round);
     }
 
     fn handle(&mut self, message: ControllerMessage, link: &ServiceLink<ControllerMessage>) {
@@ -596,7 +596,7 @@
                 self.round(link);
                 let took = link.now().saturating_sub(begun);
                 self.shared.costs.count_time(CostKind::ControlRound, took);
-                link.later(ROUND_INTERVAL, ControllerMessage::Round);
+                link.send_after(ROUND_INTERVAL, ControllerMessage::Round);
             }
             ControllerMessage::ReportReceived {
                 target,
--- a/crates/fleet/src/crash_watcher.rs
+++ b/crates/fleet/src/crash_watcher.rs
@@ -139,7 +139,7 @@
         }
         if !self.is_sweep_scheduled {
             self.is_sweep_scheduled = true;
-            link.later(SWEEP_INTERVAL, CrashWatchMessage::Sweep);
+            link.send_after(SWEEP_INTERVAL, CrashWatchMessage::Sweep);
         }
     }
 
@@ -292,7 +292,7 @@
                 self.sweep(link.now());
                 self.is_sweep_scheduled = !self.targets.is_empty();
                 if self.is_sweep_scheduled {
-                    link.later(SWEEP_INTERVAL, CrashWatchMessage::Sweep);
+                    link.send_after(SWEEP_INTERVAL, CrashWatchMessage::Sweep);
                 }
             }
         }
--- a/crates/fleet/src/peers.rs
+++ b/crates/fleet/src/peers.rs
@@ -191,7 +191,7 @@
     fn read_registry(&self, link: &ServiceLink<PeerMessage>) {
         let reads_registry = self.mark.is_none() || self.shared.membership().is_hub(link.now());
         if !reads_registry {
-            link.later(REGISTRY_READ_INTERVAL, PeerMessage::ReadRegistry);
+            link.send_after(REGISTRY_READ_INTERVAL, PeerMessage::ReadRegistry);
             return;
         }
         let shared = Arc::clone(&self.shared);
@@ -333,8 +333,8 @@
         } else {
             Duration::ZERO
         };
-        link.later(first_read, PeerMessage::ReadRegistry);
-        link.later(TICK_INTERVAL, PeerMessage::Tick);
+        link.send_after(first_read, PeerMessage::ReadRegistry);
+        link.send_after(TICK_INTERVAL, PeerMessage::Tick);
     }
 
     fn handle(&mut self, message: PeerMessage, link: &ServiceLink<PeerMessage>) {
@@ -342,7 +342,7 @@
         match message {
             PeerMessage::Tick => {
                 self.tick(now, link);
-                link.later(TICK_INTERVAL, PeerMessage::Tick);
+                link.send_after(TICK_INTERVAL, PeerMessage::Tick);
             }
             PeerMessage::Responded(exchanged, sent_at) => {
                 let (target, gossip) = *exchanged;
@@ -371,14 +371,14 @@
             PeerMessage::RegistryRead(Ok(update)) => {
                 self.apply_registry_update(&update, now);
                 self.shared.peers_known.send_replace(true);
-                link.later(REGISTRY_READ_INTERVAL, PeerMessage::ReadRegistry);
+                link.send_after(REGISTRY_READ_INTERVAL, PeerMessage::ReadRegistry);
             }
             PeerMessage::RegistryRead(Err(error)) => {
                 if error == SourceError::HistoryGone {
                     self.mark = None;
                 }
                 self.shared.peers_known.send_replace(true);
-                link.later(REGISTRY_RETRY_DELAY, PeerMessage::ReadRegistry);
+                link.send_after(REGISTRY_RETRY_DELAY, PeerMessage::ReadRegistry);
             }
             PeerMessage::ReadRegistry => self.read_registry(link),
         }
--- a/crates/fleet/src/store_sync.rs
+++ b/crates/fleet/src/store_sync.rs
@@ -235,7 +235,7 @@
                     self.request = ConfigRequest::Whole;
                     self.poll(link);
                 } else {
-                    link.later(retry_delay(), ConfigMessage::Poll);
+                    link.send_after(retry_delay(), ConfigMessage::Poll);
                 }
             }
         }
@@ -346,7 +346,7 @@
     fn schedule_expiry_check(&mut self, link: &ServiceLink<DirectoryMessage>) {
         if self.view.cache.is_pending() && !self.is_expiry_scheduled {
             self.is_expiry_scheduled = true;
-            link.later(EXPIRY_CHECK_INTERVAL, DirectoryMessage::Expire);
+            link.send_after(EXPIRY_CHECK_INTERVAL, DirectoryMessage::Expire);
         }
     }
 
@@ -381,7 +381,7 @@
             DirectoryMessage::Polled(Ok(update)) => {
                 self.source_health.record(DIRECTORY_SERVICE, None, now);
                 self.apply(update, now, link);
-                link.later(MIN_DIRECTORY_DELAY, DirectoryMessage::Poll);
+                link.send_after(MIN_DIRECTORY_DELAY, DirectoryMessage::Poll);
             }
             DirectoryMessage::Polled(Err(error)) => {
                 self.source_health
@@ -391,7 +391,7 @@
                 } else {
                     self.lapse_window.note_failure();
                 }
-                link.later(retry_delay(), DirectoryMessage::Poll);
+                link.send_after(retry_delay(), DirectoryMessage::Poll);
             }
             DirectoryMessage::Expire => {
                 self.is_expiry_scheduled = false;
--- a/crates/fleet/src/suspect_sync.rs
+++ b/crates/fleet/src/suspect_sync.rs
@@ -389,7 +389,7 @@
 
     fn start(&mut self, link: &ServiceLink<SuspectMessage>) {
         self.poll(link);
-        link.later(ROUND_INTERVAL, SuspectMessage::Round);
+        link.send_after(ROUND_INTERVAL, SuspectMessage::Round);
     }
 
     fn handle(&mut self, message: SuspectMessage, link: &ServiceLink<SuspectMessage>) {
@@ -414,14 +414,14 @@
                 if error == SourceError::HistoryGone {
                     self.mark = None;
                 }
-                link.later(retry_delay(), SuspectMessage::Poll);
+                link.send_after(retry_delay(), SuspectMessage::Poll);
             }
             SuspectMessage::Written(batch, written) => {
                 self.apply_write_result(&batch, written, now);
             }
             SuspectMessage::Round => {
                 self.run_round(link);
-                link.later(ROUND_INTERVAL, SuspectMessage::Round);
+                link.send_after(ROUND_INTERVAL, SuspectMessage::Round);
             }
         }
     }
--- a/crates/kernel/src/mailbox.rs
+++ b/crates/kernel/src/mailbox.rs
@@ -40,7 +40,7 @@
 }
 
 impl<M: Send> Mailbox<M> {
-    pub(crate) fn open(capacity: usize) -> (Self, mpsc::Receiver<Envelope<M>>) {
+    pub(crate) fn new(capacity: usize) -> (Self, mpsc::Receiver<Envelope<M>>) {
         let (sender, receiver) = mpsc::channel(capacity);
         let mailbox = Self {
             sender,
--- a/crates/kernel/src/service.rs
+++ b/crates/kernel/src/service.rs
@@ -41,7 +41,7 @@
 /// What a service reaches the rest of the process by.
 pub struct ServiceLink<M> {
     kernel: Kernel,
-    own: Mailbox<M>,
+    mailbox: Mailbox<M>,
 }
 
 impl<M: Send + 'static> ServiceLink<M> {
@@ -56,8 +56,8 @@
     }
 
     /// Returns the service's own mailbox.
-    pub fn own(&self) -> &Mailbox<M> {
-        &self.own
+    pub fn mailbox(&self) -> &Mailbox<M> {
+        &self.mailbox
     }
 
     /// Runs `work` on the control thread and sends its result to the service.
@@ -65,7 +65,7 @@
     /// Input and output happen here, between messages, so the service's state is never borrowed
     /// while something is awaited.
     pub fn spawn(&self, work: impl Future<Output = M> + 'static) {
-        let own = self.own.clone();
+        let own = self.mailbox.clone();
         tokio::task::spawn_local(async move {
             let message = work.await;
             let _ = own.send(message).await;
@@ -73,7 +73,7 @@
     }
 
     /// Sends the service a message after `delay`.
-    pub fn later(&self, delay: Duration, message: M) {
+    pub fn send_after(&self, delay: Duration, message: M) {
         self.spawn(async move {
             tokio::time::sleep(delay).await;
             message
@@ -89,7 +89,7 @@
     Thread(#[from] io::Error),
     /// A service of that name is there already.
     #[error("a service named {0} is there already")]
-    Taken(&'static str),
+    NameInUse(&'static str),
 }
 
 type DumpFn = Arc<dyn Fn() -> BoxFuture<'static, Value> + Send + Sync>;
@@ -142,7 +142,7 @@
     /// Returns [`KernelError::Taken`] when the name is in use.
     pub fn mount<S: Service>(&self, service: S) -> Result<Mailbox<S::Message>, KernelError> {
         let name = service.name();
-        let (mailbox, receiver) = Mailbox::open(MAILBOX_CAPACITY);
+        let (mailbox, receiver) = Mailbox::new(MAILBOX_CAPACITY);
         let dumped = mailbox.clone();
         let registration = Registration {
             mailbox: Box::new(mailbox.clone()),
@@ -153,13 +153,13 @@
         };
         let mut registry = self.registry();
         if registry.contains_key(name) {
-            return Err(KernelError::Taken(name));
+            return Err(KernelError::NameInUse(name));
         }
         registry.insert(name, registration);
         drop(registry);
         let link = ServiceLink {
             kernel: self.clone(),
-            own: mailbox.clone(),
+            mailbox: mailbox.clone(),
         };
         let run: MountFn = Box::new(move || {
             tokio::task::spawn_local(run_service(service, receiver, link));
--- a/crates/kernel/src/snapshot.rs
+++ b/crates/kernel/src/snapshot.rs
@@ -28,7 +28,7 @@
     /// snapshot.publish(2);
     /// assert_eq!(**snapshot.read(), 2);
     /// ```
-    pub fn open(value: T) -> Self {
+    pub fn new(value: T) -> Self {
         Self {
             value: Arc::new(ArcSwap::from_pointee(value)),
         }
--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -152,7 +152,7 @@
                 answer_all(jobs, ClaimVerdict::Unsettled);
                 return;
             }
-            Err(StoreError::Lost) => {
+            Err(StoreError::NoResponse) => {
                 settle_batch(shared, jobs, &write).await;
                 return;
             }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -155,7 +155,7 @@
                 if let Ok(state) = result {
                     self.take_table(state);
                 }
-                link.later(
+                link.send_after(
                     self.shared.settings.control.config_poll,
                     ConfigMessage::Poll,
                 );
--- a/crates/node/src/controller.rs
+++ b/crates/node/src/controller.rs
@@ -495,7 +495,7 @@
                 // The order may still arrive; an engine that ignores fencing numbers would take it
                 // after the next one, so that one waits until it has arrived or died.
                 let bound = self.shared.settings.control.transport_bound;
-                link.later(bound, ControllerMessage::OrderDied(vm));
+                link.send_after(bound, ControllerMessage::OrderDied(vm));
             }
         }
     }
@@ -537,7 +537,7 @@
     }
 
     fn start(&mut self, link: &ServiceLink<ControllerMessage>) {
-        link.later(Duration::ZERO, ControllerMessage::Tick);
+        link.send_after(Duration::ZERO, ControllerMessage::Tick);
     }
 
     fn handle(&mut self, message: ControllerMessage, link: &ServiceLink<ControllerMessage>) {
@@ -545,7 +545,7 @@
             ControllerMessage::Tick => {
                 self.tick(link);
                 let interval = self.shared.settings.control.plan_interval;
-                link.later(interval, ControllerMessage::Tick);
+                link.send_after(interval, ControllerMessage::Tick);
             }
             ControllerMessage::LeaseRead(result) => {
                 self.lease.take_read(result, link.now());
--- a/crates/node/src/editor.rs
+++ b/crates/node/src/editor.rs
@@ -112,7 +112,7 @@
             Ok(TransactReply::Committed { .. }) => {
                 Ok(Some((EditReply::Accepted { version }, Some(entry))))
             }
-            Ok(TransactReply::Conflict { .. }) | Err(StoreError::Lost) => Ok(None),
+            Ok(TransactReply::Conflict { .. }) | Err(StoreError::NoResponse) => Ok(None),
             Err(StoreError::Refused(text)) => {
                 log::warn!(text = text.as_str(); "config_edit_turned_away");
                 Ok(None)
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -100,7 +100,7 @@
     fn ask(&self, index: usize, link: &ServiceLink<PeersMessage>) {
         let gate = self.shared.settings.gate;
         if !self.is_asked(index) {
-            link.later(
+            link.send_after(
                 gate.remote_exchange_interval,
                 PeersMessage::TestRequest(index),
             );
@@ -224,7 +224,7 @@
                 } else {
                     gate.remote_exchange_interval
                 };
-                link.later(interval, PeersMessage::TestRequest(index));
+                link.send_after(interval, PeersMessage::TestRequest(index));
             }
         }
     }
--- a/crates/node/src/usage.rs
+++ b/crates/node/src/usage.rs
@@ -138,7 +138,7 @@
     }
 
     fn start(&mut self, link: &ServiceLink<UsageMessage>) {
-        link.later(
+        link.send_after(
             self.shared.settings.control.usage_flush,
             UsageMessage::Flush,
         );
@@ -148,7 +148,7 @@
         match message {
             UsageMessage::Flush => {
                 self.flush(link);
-                link.later(
+                link.send_after(
                     self.shared.settings.control.usage_flush,
                     UsageMessage::Flush,
                 );
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -207,7 +207,7 @@
             });
         }
         self.expire(now);
-        link.later(interval, WatchMessage::Round);
+        link.send_after(interval, WatchMessage::Round);
     }
 
     fn expire(&mut self, now: Moment) {
@@ -343,8 +343,8 @@
 
     fn start(&mut self, link: &ServiceLink<WatchMessage>) {
         self.list(link);
-        link.later(Duration::ZERO, WatchMessage::Round);
-        link.later(PUBLISH_INTERVAL, WatchMessage::Publish);
+        link.send_after(Duration::ZERO, WatchMessage::Round);
+        link.send_after(PUBLISH_INTERVAL, WatchMessage::Publish);
     }
 
     fn handle(&mut self, message: WatchMessage, link: &ServiceLink<WatchMessage>) {
@@ -354,7 +354,7 @@
                 if let Ok(vms) = result {
                     self.take_list(vms);
                 }
-                link.later(self.shared.settings.control.list_poll, WatchMessage::List);
+                link.send_after(self.shared.settings.control.list_poll, WatchMessage::List);
             }
             WatchMessage::Round => self.start_round(link),
             WatchMessage::Probed(result) => self.take_probe(result),
@@ -370,7 +370,7 @@
                 if self.news > WatchNews::None {
                     self.publish(link.now());
                 }
-                link.later(PUBLISH_INTERVAL, WatchMessage::Publish);
+                link.send_after(PUBLISH_INTERVAL, WatchMessage::Publish);
             }
         }
         if self.news == WatchNews::Changed {
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -73,7 +73,7 @@
             // A server error may follow a write that took effect; only a client error says that
             // the call was turned away.
             CallError::Status { status, text } if status < 500 => Self::Refused(text),
-            _ => Self::Lost,
+            _ => Self::NoResponse,
         }
     }
 }
--- a/crates/platform/src/table.rs
+++ b/crates/platform/src/table.rs
@@ -15,7 +15,7 @@
 pub enum StoreError {
     /// No answer came; a write may or may not be in force.
     #[error("the platform gave no answer")]
-    Lost,
+    NoResponse,
     /// The platform turned the call away; nothing was done.
     #[error("the platform refused the call: {0}")]
     Refused(String),
@@ -24,7 +24,7 @@
 impl StoreError {
     /// Returns whether a write that ended so may be in force.
     pub fn is_ambiguous(&self) -> bool {
-        *self == Self::Lost
+        *self == Self::NoResponse
     }
 }
 
