--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -1,7 +1,7 @@
-//! A micro-kernel: services that find each other by name and share one control thread.
+//! Message-driven services that find each other by name and run on one control thread.
 //!
 //! Each service owns its state and handles one message at a time, so control state needs no locks.
-//! Traffic threads never touch it: they read published [`Snapshot`]s and post messages.
+//! Traffic threads do not access it: they read published [`Snapshot`]s and post messages.
 //!
 //! ```
 //! use briarswitch_kernel::BootClock;
--- a/crates/kernel/src/mailbox.rs
+++ b/crates/kernel/src/mailbox.rs
@@ -6,13 +6,13 @@
 use serde_json::Value;
 use tokio::sync::{mpsc, oneshot};
 
-/// What a mailbox carries.
+/// Content of a mailbox: a message, or a request for the service's state.
 pub(crate) enum Envelope<M> {
     Message(M),
     Dump(oneshot::Sender<Value>),
 }
 
-/// Why a message was not taken.
+/// Reason why a message was not delivered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum PostError {
     /// The mailbox is full.
@@ -51,13 +51,13 @@
 
     /// Posts a message without waiting.
     ///
-    /// A full mailbox refuses the message and counts it. Traffic threads post only hints whose loss
-    /// costs precision, such as a failed connection; whatever must arrive is sent with
+    /// A full mailbox rejects the message and counts it. Traffic threads post only hints whose loss
+    /// reduces precision, such as failed connections; messages that must be delivered are sent with
     /// [`Mailbox::send`].
     ///
     /// # Errors
     ///
-    /// Returns [`PostError`] when the message was not taken.
+    /// Returns [`PostError`] if the message was not delivered.
     pub fn post(&self, message: M) -> Result<(), PostError> {
         match self.sender.try_send(Envelope::Message(message)) {
             Ok(()) => Ok(()),
@@ -69,11 +69,11 @@
         }
     }
 
-    /// Sends a message, waiting for room.
+    /// Sends a message, waiting for capacity.
     ///
     /// # Errors
     ///
-    /// Returns [`PostError::Stopped`] when the service has stopped.
+    /// Returns [`PostError::Stopped`] if the service has stopped.
     pub async fn send(&self, message: M) -> Result<(), PostError> {
         self.sender
             .send(Envelope::Message(message))
@@ -81,16 +81,16 @@
             .map_err(|_| PostError::Stopped)
     }
 
-    /// Returns how many messages were refused because the mailbox was full.
+    /// Returns the number of messages that were rejected because the mailbox was full.
     pub fn refused(&self) -> u64 {
         self.refused.load(Ordering::Relaxed)
     }
 
     pub(crate) async fn dump(&self) -> Value {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         if self.sender.send(Envelope::Dump(reply)).await.is_err() {
             return Value::Null;
         }
-        answer.await.unwrap_or(Value::Null)
+        response.await.unwrap_or(Value::Null)
     }
 }
--- a/crates/kernel/src/service.rs
+++ b/crates/kernel/src/service.rs
@@ -1,4 +1,4 @@
-//! Services, the registry of their names, and the thread that runs them.
+//! Services, their registry by name, and the control thread that runs them.
 
 use std::any::Any;
 use std::future::Future;
@@ -17,40 +17,40 @@
 use crate::clock::BootClock;
 use crate::mailbox::{Envelope, Mailbox};
 
-/// Messages a mailbox holds.
+/// Messages that a mailbox can hold.
 const MAILBOX_CAPACITY: usize = 4096;
 
-/// One part of the control state.
+/// A component that owns one part of the control state.
 pub trait Service: Send + 'static {
-    /// What it is sent.
+    /// Type of the messages that it handles.
     type Message: Send + 'static;
 
-    /// Returns the name that others find it by.
+    /// Returns the name under which it is registered.
     fn name(&self) -> &'static str;
 
-    /// Begins its work, once, before the first message.
+    /// Called once, before the first message.
     fn start(&mut self, link: &ServiceLink<Self::Message>);
 
     /// Handles one message.
     fn handle(&mut self, message: Self::Message, link: &ServiceLink<Self::Message>);
 
-    /// Shows its state.
+    /// Returns its state for diagnostics.
     fn dump(&self) -> Value;
 }
 
-/// What a service reaches the rest of the process by.
+/// Access of a service to the kernel and to its own mailbox.
 pub struct ServiceLink<M> {
     kernel: Kernel,
     mailbox: Mailbox<M>,
 }
 
 impl<M: Send + 'static> ServiceLink<M> {
-    /// Returns the present time.
+    /// Returns the current time.
     pub fn now(&self) -> Moment {
         BootClock::now()
     }
 
-    /// Returns the kernel, to find other services by name.
+    /// Returns the kernel, through which other services are found.
     pub fn kernel(&self) -> &Kernel {
         &self.kernel
     }
@@ -62,8 +62,8 @@
 
     /// Runs `work` on the control thread and sends its result to the service.
     ///
-    /// Input and output happen here, between messages, so the service's state is never borrowed
-    /// while something is awaited.
+    /// Input and output run here, between messages, so that the service's state is never borrowed
+    /// across an await.
     pub fn spawn(&self, work: impl Future<Output = M> + 'static) {
         let own = self.mailbox.clone();
         tokio::task::spawn_local(async move {
@@ -72,7 +72,7 @@
         });
     }
 
-    /// Sends the service a message after `delay`.
+    /// Sends a message to the service after `delay`.
     pub fn send_after(&self, delay: Duration, message: M) {
         self.spawn(async move {
             tokio::time::sleep(delay).await;
@@ -81,14 +81,14 @@
     }
 }
 
-/// Why the kernel could not do what it was asked.
+/// Error of the kernel.
 #[derive(Debug, thiserror::Error)]
 pub enum KernelError {
     /// The control thread could not be started.
     #[error("the control thread could not be started: {0}")]
     Thread(#[from] io::Error),
-    /// A service of that name is there already.
-    #[error("a service named {0} is there already")]
+    /// A service of that name is already registered.
+    #[error("a service named {0} is already registered")]
     NameInUse(&'static str),
 }
 
@@ -117,7 +117,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`KernelError::Thread`] when the thread cannot be started.
+    /// Returns [`KernelError::Thread`] if the thread cannot be started.
     pub fn spawn() -> Result<Self, KernelError> {
         let (mounts, receiver) = mpsc::unbounded_channel();
         let runtime = tokio::runtime::Builder::new_current_thread()
@@ -139,7 +139,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`KernelError::Taken`] when the name is in use.
+    /// Returns [`KernelError::NameInUse`] if the name is in use.
     pub fn mount<S: Service>(&self, service: S) -> Result<Mailbox<S::Message>, KernelError> {
         let name = service.name();
         let (mailbox, receiver) = Mailbox::new(MAILBOX_CAPACITY);
@@ -168,7 +168,7 @@
         Ok(mailbox)
     }
 
-    /// Finds a service's mailbox by its name and the type of its messages.
+    /// Returns a service's mailbox; `None` if no service has this name and message type.
     pub fn find<M: Send + 'static>(&self, name: &str) -> Option<Mailbox<M>> {
         self.registry()
             .get(name)?
@@ -177,7 +177,7 @@
             .cloned()
     }
 
-    /// Returns every service's state by name.
+    /// Returns the state of every service by name.
     pub async fn dump(&self) -> IndexMap<&'static str, Value> {
         let dumps: Vec<(&'static str, DumpFn)> = self
             .registry()
@@ -191,7 +191,7 @@
         states
     }
 
-    /// Returns whether the control thread still runs.
+    /// Returns whether the control thread is running.
     pub fn is_running(&self) -> bool {
         let thread = self.state.thread.lock();
         thread.is_ok_and(|thread| thread.as_ref().is_some_and(|handle| !handle.is_finished()))
--- a/crates/kernel/src/snapshot.rs
+++ b/crates/kernel/src/snapshot.rs
@@ -4,7 +4,7 @@
 
 use arc_swap::{ArcSwap, Guard};
 
-/// A value that is replaced as a whole and read without locks.
+/// A value that is replaced atomically and read without locks.
 #[derive(Debug)]
 pub struct Snapshot<T> {
     value: Arc<ArcSwap<T>>,
@@ -19,12 +19,12 @@
 }
 
 impl<T> Snapshot<T> {
-    /// Opens a snapshot with a first value.
+    /// Creates a snapshot with an initial value.
     ///
     /// ```
     /// use briarswitch_kernel::Snapshot;
     ///
-    /// let snapshot = Snapshot::open(1);
+    /// let snapshot = Snapshot::new(1);
     /// snapshot.publish(2);
     /// assert_eq!(**snapshot.read(), 2);
     /// ```
@@ -39,12 +39,12 @@
         self.value.store(Arc::new(value));
     }
 
-    /// Borrows the present value for a short while.
+    /// Borrows the current value; the guard should be held only briefly.
     pub fn read(&self) -> Guard<Arc<T>> {
         self.value.load()
     }
 
-    /// Returns the present value to keep.
+    /// Returns a shared handle to the current value.
     pub fn load(&self) -> Arc<T> {
         self.value.load_full()
     }
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -1,4 +1,4 @@
-//! The platform's services over HTTP.
+//! HTTP client of the platform's services.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,33 +17,33 @@
     ObjectStore, Platform, StoreError, StoreFuture, TableStore, VmDirectory, WeightStore,
 };
 
-/// Where the platform's services are.
+/// Base URLs of the platform's services, as `http://ip:port`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PlatformAddresses {
-    /// Table service as `http://ip:port`.
+    /// Transactional table.
     pub table: String,
     /// Object store.
     pub objects: String,
-    /// List of machines.
+    /// Directory of VMs.
     pub vms: String,
     /// Weight store.
     pub weights: String,
 }
 
-/// Speaks with every service of the platform.
+/// HTTP client of all of the platform's services.
 pub struct HttpPlatform {
     addresses: PlatformAddresses,
     client: CallerClient,
-    limit: Duration,
+    timeout: Duration,
 }
 
 impl HttpPlatform {
-    /// Opens clients that wait at most `limit` for an answer.
-    pub fn open(addresses: PlatformAddresses, limit: Duration) -> Platform {
+    /// Creates clients that wait at most `timeout` for a response.
+    pub fn open(addresses: PlatformAddresses, timeout: Duration) -> Platform {
         let client = Arc::new(Self {
             addresses,
             client: CallerClient::open(Codec::Json, None),
-            limit,
+            timeout,
         });
         Platform {
             table: Arc::clone(&client) as Arc<dyn TableStore>,
@@ -61,7 +61,7 @@
     ) -> Result<R, StoreError> {
         let url = format!("{base}{path}");
         self.client
-            .call(Method::POST, &url, Some(body), self.limit)
+            .call(Method::POST, &url, Some(body), self.timeout)
             .await
             .map_err(StoreError::from)
     }
@@ -70,8 +70,8 @@
 impl From<CallError> for StoreError {
     fn from(error: CallError) -> Self {
         match error {
-            // A server error may follow a write that took effect; only a client error says that
-            // the call was turned away.
+            // The write may have taken effect despite a server error; only a client error means that the
+            // call was rejected.
             CallError::Status { status, text } if status < 500 => Self::Refused(text),
             _ => Self::NoResponse,
         }
@@ -99,7 +99,7 @@
         let url = format!("{}/objects/{name}", self.addresses.objects);
         Box::pin(async move {
             self.client
-                .call_raw(Method::PUT, &url, bytes.into(), self.limit)
+                .call_raw(Method::PUT, &url, bytes.into(), self.timeout)
                 .await?;
             Ok(())
         })
@@ -110,7 +110,7 @@
         Box::pin(async move {
             let reply = self
                 .client
-                .call_raw(Method::GET, &url, Vec::new().into(), self.limit)
+                .call_raw(Method::GET, &url, Vec::new().into(), self.timeout)
                 .await;
             match reply {
                 Ok(bytes) => Ok(Some(bytes.to_vec())),
@@ -127,7 +127,7 @@
         Box::pin(async move {
             let list: VmListDoc = self
                 .client
-                .call(Method::GET, &url, None::<&()>, self.limit)
+                .call(Method::GET, &url, None::<&()>, self.timeout)
                 .await?;
             Ok(list.vms.into_iter().map(Vm::from).collect())
         })
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,12 +1,12 @@
-//! The platform's services as traits, and the clients that speak their protocols.
+//! The platform's services as traits, and the HTTP clients that implement them.
 //!
-//! Every other package sees only the traits; the formats on the wire stay in
-//! `briarswitch_wire::platform` and [`HttpPlatform`].
+//! Other crates use only the traits; the wire formats are confined to `briarswitch_wire::platform` and
+//! [`HttpPlatform`].
 //!
 //! ```
 //! use briarswitch_platform::StoreError;
 //!
-//! assert!(StoreError::Lost.is_ambiguous());
+//! assert!(StoreError::NoResponse.is_ambiguous());
 //! ```
 
 mod client;
--- a/crates/platform/src/table.rs
+++ b/crates/platform/src/table.rs
@@ -1,4 +1,4 @@
-//! Traits at the border to the platform.
+//! Traits of the platform's services.
 
 use std::sync::Arc;
 
@@ -10,54 +10,54 @@
 use serde::Serialize;
 use serde_json::Value;
 
-/// Why the platform gave no result.
+/// Error of a call to the platform.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum StoreError {
-    /// No answer came; a write may or may not be in force.
-    #[error("the platform gave no answer")]
+    /// No usable response arrived; a write may or may not have taken effect.
+    #[error("the platform did not respond")]
     NoResponse,
-    /// The platform turned the call away; nothing was done.
-    #[error("the platform refused the call: {0}")]
+    /// The platform rejected the call, which had no effect.
+    #[error("the platform rejected the call: {0}")]
     Refused(String),
 }
 
 impl StoreError {
-    /// Returns whether a write that ended so may be in force.
+    /// Returns whether a write that failed with this error may have taken effect.
     pub fn is_ambiguous(&self) -> bool {
         *self == Self::NoResponse
     }
 }
 
-/// A pending answer of the platform.
+/// Future of the result of a call to the platform.
 pub type StoreFuture<'a, T> = BoxFuture<'a, Result<T, StoreError>>;
 
 /// The transactional table.
 pub trait TableStore: Send + Sync {
-    /// Writes several rows together if every condition holds.
+    /// Writes several rows atomically if every check succeeds.
     fn transact(&self, request: TransactRequest) -> StoreFuture<'_, TransactReply>;
 
-    /// Reads rows, all at one moment.
+    /// Reads rows from one consistent state of the table.
     fn read(&self, request: ReadRequest) -> StoreFuture<'_, ReadReply>;
 }
 
 /// The object store.
 pub trait ObjectStore: Send + Sync {
-    /// Writes an object whole.
+    /// Writes a complete object.
     fn put(&self, name: &str, bytes: Vec<u8>) -> StoreFuture<'_, ()>;
 
-    /// Reads an object; `None` when there is none.
+    /// Reads an object; `None` if it does not exist.
     fn get(&self, name: &str) -> StoreFuture<'_, Option<Vec<u8>>>;
 }
 
-/// The list of machines, which lags.
+/// The directory of VMs, which lags behind their actual state.
 pub trait VmDirectory: Send + Sync {
-    /// Lists a zone's machines.
+    /// Lists the VMs of a zone.
     fn list(&self, zone: &str) -> StoreFuture<'_, Vec<Vm>>;
 }
 
-/// The weight store, which limits how many loads may run.
+/// The weight store, which limits the number of concurrent loads.
 pub trait WeightStore: Send + Sync {
-    /// Asks to begin some loads and returns how many may begin.
+    /// Requests permits for a number of loads and returns how many were granted.
     fn permit(&self, loads: usize) -> StoreFuture<'_, usize>;
 }
 
@@ -68,20 +68,20 @@
     pub table: Arc<dyn TableStore>,
     /// Object store.
     pub objects: Arc<dyn ObjectStore>,
-    /// List of machines.
+    /// Directory of VMs.
     pub vms: Arc<dyn VmDirectory>,
     /// Weight store.
     pub weights: Arc<dyn WeightStore>,
 }
 
-/// Collects the conditions and writes of one transaction.
+/// Builds the checks and writes of one transaction.
 #[derive(Clone, Debug, Default)]
 pub struct TransactBuilder {
     request: TransactRequest,
 }
 
 impl TransactBuilder {
-    /// Demands that a row has a version; zero demands that it is absent.
+    /// Requires a row to have a version; zero requires it to be absent.
     #[must_use]
     pub fn check(mut self, key: impl Into<String>, version: RowVersion) -> Self {
         let key = key.into();
