--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -27,7 +27,7 @@
 pub struct Gossip {
     /// Node that sends the message.
     pub sender: NodeEntry,
-    /// Summary of the sender and the nodes that it speaks for.
+    /// Digest of the nodes that the sender summarizes.
     pub digest: Digest,
     /// Digests received from other zones, for a hub of the sender's own zone.
     pub relayed: Vec<Digest>,
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -148,7 +148,7 @@
             }
         }
         self.version += 1;
-        let told = PublishedState {
+        let published = PublishedState {
             entry_version: self.version,
             version: self.version,
             is_live: true,
@@ -165,7 +165,7 @@
             avoided_until: Moment::ZERO,
             hinted_until: Moment::ZERO,
             is_live_at_hub: false,
-            published: told,
+            published,
         };
         self.members.insert(entry.node.clone(), member);
         true
--- a/crates/membership/src/schedule.rs
+++ b/crates/membership/src/schedule.rs
@@ -141,9 +141,9 @@
         if !self.is_due(DigestOrigin::Fleet, REPORT_INTERVAL, false, now) {
             return None;
         }
-        let mark = self.followed.as_ref().and_then(|hub| hub.roster_version);
+        let roster_version = self.followed.as_ref().and_then(|hub| hub.roster_version);
         let report = Gossip {
-            roster_version: mark,
+            roster_version,
             ..self.gossip(self.own_digest(status))
         };
         self.message_to(node, report)
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -88,8 +88,8 @@
             .collect();
         Self {
             composition: live.iter().fold(0, |sum, member| {
-                let incarnation = member.entry.incarnation.wrapping_mul(member.hash);
-                sum ^ member.hash ^ incarnation
+                let mixed = member.entry.incarnation.wrapping_mul(member.hash);
+                sum ^ member.hash ^ mixed
             }),
             zone_peers: live.iter().filter(|member| member.is_same_zone).count() as u32,
             live,
