--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,4 +1,4 @@
-//! The live nodes as traffic reads them: ranks and parts among them.
+//! Immutable view of the live nodes for request handling: ranks, roles and weights.
 
 use std::sync::Arc;
 
@@ -7,64 +7,64 @@
 
 use crate::membership::Membership;
 use crate::node::NodeEntry;
-use crate::rank::{duty_rank, node_hash, rank_of, ThingRank};
+use crate::rank::{bandwidth_rank, node_hash, rank_of, RankKey};
 
-/// Requests in a second that every node is taken to see, so that one whose first callers come finds places.
-const LEAST_ARRIVALS: f64 = 1.0;
+/// Requests per second added to every node's rate, so that a node without callers so far gets slots for its
+/// first ones.
+const MIN_REQUEST_RATE: f64 = 1.0;
 
-/// Rank of the nodes that ask the store; any word does, if all nodes use the same.
-const READER_RANK: &str = "feed";
+/// Key by which the nodes that read the store are ranked; all nodes must use the same.
+const READER_RANK_KEY: &str = "feed";
 
-/// A node's part in something that one node of a zone does for all.
+/// Role of a node in reading the store, which one node of a zone does for the others.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum ZonePart {
-    /// The zone is so small that each does it for itself.
-    Alone,
-    /// This node does it.
-    First,
-    /// Others do it, the best first.
-    Other(Vec<Arc<NodeEntry>>),
+pub enum ReaderRole {
+    /// The zone has so few nodes that each reads for itself.
+    Independent,
+    /// This node reads for its zone.
+    Reader,
+    /// Other nodes read; the preferred one is first.
+    Follower(Vec<Arc<NodeEntry>>),
 }
 
-/// The nodes that keep something for all.
+/// The nodes that hold the data of a key for the whole fleet.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct ThingHolders {
-    /// The holders but this node, the best first.
+pub struct KeyHolders {
+    /// The holders other than this node, by rank.
     pub others: Vec<Arc<NodeEntry>>,
-    /// This node's place among the holders, zero for the best; `None` where it is none of them.
-    pub own_place: Option<usize>,
+    /// This node's rank among the holders, 0 for the first; `None` if it is not one of them.
+    pub own_rank: Option<usize>,
 }
 
-/// One live node.
 #[derive(Clone, Debug)]
 struct LiveMember {
     entry: Arc<NodeEntry>,
     hash: u64,
-    arrivals: f64,
-    is_near: bool,
+    request_rate: f64,
+    is_same_zone: bool,
     reads_store: bool,
 }
 
-/// The live nodes at one moment, this one not included.
+/// The live nodes at one moment, without this node.
 #[derive(Clone, Debug, Default)]
 pub struct LiveView {
     own: NodeEntry,
     own_hash: u64,
     live: Vec<LiveMember>,
-    near: u32,
+    zone_peers: u32,
     known: usize,
     composition: u64,
 }
 
 impl LiveView {
-    /// Opens the view of a node that knows no other.
+    /// Creates the view of a node that knows no other.
     ///
     /// ```
     /// use briarswitch_membership::{LiveView, NodeEntry};
     ///
-    /// assert_eq!(LiveView::open(NodeEntry::default()).live_nodes(), 1);
+    /// assert_eq!(LiveView::new(NodeEntry::default()).live_nodes(), 1);
     /// ```
-    pub fn open(own: NodeEntry) -> Self {
+    pub fn new(own: NodeEntry) -> Self {
         Self {
             own_hash: node_hash(&own.node),
             own,
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Returns the view of what is known at `now`.
-    pub fn of(membership: &Membership, now: Moment) -> Self {
+    /// Creates the view of the nodes that are live at `now`.
+    pub fn from_membership(membership: &Membership, now: Moment) -> Self {
         let own = membership.own().clone();
         let members = membership.roster().members();
         let live = members.values().filter(|member| member.is_live(now));
@@ -81,52 +81,52 @@
             .map(|member| LiveMember {
                 entry: Arc::clone(&member.entry),
                 hash: member.hash,
-                arrivals: member.arrivals,
-                is_near: member.entry.zone == own.zone,
+                request_rate: member.request_rate,
+                is_same_zone: member.entry.zone == own.zone,
                 reads_store: member.reads_store,
             })
             .collect();
         Self {
             composition: live.iter().fold(0, |sum, member| {
-                let life = member.entry.incarnation.wrapping_mul(member.hash);
-                sum ^ member.hash ^ life
+                let mixed = member.entry.incarnation.wrapping_mul(member.hash);
+                sum ^ member.hash ^ mixed
             }),
-            near: live.iter().filter(|member| member.is_near).count() as u32,
+            zone_peers: live.iter().filter(|member| member.is_same_zone).count() as u32,
             live,
             known: members.len(),
-            ..Self::open(own)
+            ..Self::new(own)
         }
     }
 
-    /// Returns a number that differs for other nodes, or other lives of them, whatever they see of callers.
+    /// Returns a checksum of the live nodes and their incarnations, which does not depend on request rates.
     pub fn composition(&self) -> u64 {
         self.composition
     }
 
-    /// Returns the number of nodes that live, this one included.
+    /// Returns the number of live nodes, including this one.
     pub fn live_nodes(&self) -> u32 {
         self.live.len() as u32 + 1
     }
 
-    /// Returns the number of nodes that live in this node's zone, this one included.
+    /// Returns the number of live nodes in this node's zone, including this one.
     pub fn zone_nodes(&self) -> u32 {
-        self.near + 1
+        self.zone_peers + 1
     }
 
-    /// Returns the number of nodes that are known, living or not, this one included.
+    /// Returns the number of known nodes, live or not, including this one.
     pub fn known_nodes(&self) -> usize {
         self.known + 1
     }
 
-    /// Returns the live node that ranks first for something in `zone`; `None` where that is this node.
+    /// Returns the live node that ranks first for a key in `zone`; `None` if that is this node.
     ///
-    /// Nodes of that zone go first, since a zone that is cut off has to do without the others; among them
-    /// those with more bandwidth. The order is the same at all nodes that see each other.
-    pub fn first_for(&self, thing: &str, zone: &str) -> Option<&Arc<NodeEntry>> {
-        let thing = ThingRank::from(thing);
+    /// Nodes of that zone come first, since a zone that is cut off must not depend on other zones; next come
+    /// nodes with more bandwidth. All nodes with the same live nodes compute the same order.
+    pub fn first_for(&self, key: &str, zone: &str) -> Option<&Arc<NodeEntry>> {
+        let key = RankKey::from(key);
         let rank = |entry: &NodeEntry, hash: u64| {
-            let is_far = entry.zone != zone;
-            (is_far, duty_rank(entry, hash, thing))
+            let is_other_zone = entry.zone != zone;
+            (is_other_zone, bandwidth_rank(entry, hash, key))
         };
         let own = rank(&self.own, self.own_hash);
         let ranked = self
@@ -137,25 +137,25 @@
         (first.0 < own).then_some(&first.1.entry)
     }
 
-    /// Returns the `count` live nodes that rank first for something, wherever they are.
+    /// Returns the `count` live nodes that rank first for a key, in any zone.
     ///
     /// ```
     /// use briarswitch_membership::{LiveView, NodeEntry};
     ///
-    /// let alone = LiveView::open(NodeEntry::default()).holders_of("thing", 2);
-    /// assert_eq!(alone.own_place, Some(0));
+    /// let alone = LiveView::new(NodeEntry::default()).holders_of("key", 2);
+    /// assert_eq!(alone.own_rank, Some(0));
     /// assert!(alone.others.is_empty());
     /// ```
-    pub fn holders_of(&self, thing: &str, count: usize) -> ThingHolders {
-        let thing = ThingRank::from(thing);
+    pub fn holders_of(&self, key: &str, count: usize) -> KeyHolders {
+        let key = RankKey::from(key);
         let others = self.live.iter();
-        let others = others.map(|member| (rank_of(member.hash, thing), Some(&member.entry)));
+        let others = others.map(|member| (rank_of(member.hash, key), Some(&member.entry)));
         let mut ranked: Vec<_> = others.collect();
-        ranked.push((rank_of(self.own_hash, thing), None));
+        ranked.push((rank_of(self.own_hash, key), None));
         ranked.sort_unstable_by_key(|(rank, _)| *rank);
         ranked.truncate(count);
-        ThingHolders {
-            own_place: ranked.iter().position(|(_, entry)| entry.is_none()),
+        KeyHolders {
+            own_rank: ranked.iter().position(|(_, entry)| entry.is_none()),
             others: ranked
                 .into_iter()
                 .filter_map(|(_, entry)| entry.cloned())
@@ -163,37 +163,40 @@
         }
     }
 
-    /// Returns this node's part of what all live nodes ask, among ranks for something.
-    pub fn weight_for(&self, thing: &str, own_arrivals: f64) -> NodeWeight {
-        let thing = ThingRank::from(thing);
-        let own_rank = rank_of(self.own_hash, thing);
-        let own = own_arrivals + LEAST_ARRIVALS;
+    /// Returns this node's request rate, that of all live nodes, and that of the nodes that rank before it for a
+    /// key.
+    pub fn weight_for(&self, key: &str, own_request_rate: f64) -> NodeWeight {
+        let key = RankKey::from(key);
+        let own_rank = rank_of(self.own_hash, key);
+        let own = own_request_rate + MIN_REQUEST_RATE;
         let mut weight = NodeWeight {
             own,
             total: own,
             ..NodeWeight::default()
         };
         for member in &self.live {
-            let arrivals = member.arrivals + LEAST_ARRIVALS;
-            weight.total += arrivals;
-            if rank_of(member.hash, thing) < own_rank {
-                weight.before += arrivals;
+            let request_rate = member.request_rate + MIN_REQUEST_RATE;
+            weight.total += request_rate;
+            if rank_of(member.hash, key) < own_rank {
+                weight.before += request_rate;
             }
         }
         weight
     }
 
-    /// Returns this node's part in asking the store, which one node of a zone does for all.
+    /// Returns this node's role in reading the store; every node reads for itself in a zone with fewer than
+    /// `min_nodes` live nodes.
     ///
-    /// Who has lately been answered by the store goes on; where nobody has, those with more bandwidth go
-    /// first. The `count` best are named, so that there is another when the first one fails.
-    pub fn reader_part(&self, count: usize, least: u32, own_reads: bool) -> ZonePart {
-        if self.zone_nodes() < least {
-            return ZonePart::Alone;
+    /// Nodes that recently received a response from the store come first, then those with more bandwidth. A follower gets
+    /// the `count` first nodes, so that it can use another one when the first fails.
+    pub fn reader_role(&self, count: usize, min_nodes: u32, own_reads: bool) -> ReaderRole {
+        if self.zone_nodes() < min_nodes {
+            return ReaderRole::Independent;
         }
-        let thing = ThingRank::from(READER_RANK);
-        let rank = |reads: bool, entry: &NodeEntry, hash| (!reads, duty_rank(entry, hash, thing));
-        let near = self.live.iter().filter(|member| member.is_near);
+        let key = RankKey::from(READER_RANK_KEY);
+        let rank =
+            |reads: bool, entry: &NodeEntry, hash| (!reads, bandwidth_rank(entry, hash, key));
+        let near = self.live.iter().filter(|member| member.is_same_zone);
         let mut ranked: Vec<_> = near
             .map(|member| {
                 let rank = rank(member.reads_store, &member.entry, member.hash);
@@ -203,9 +206,9 @@
         ranked.sort_unstable_by_key(|(rank, _)| *rank);
         let own = rank(own_reads, &self.own, self.own_hash);
         if ranked.first().is_none_or(|(first, _)| own < *first) {
-            return ZonePart::First;
+            return ReaderRole::Reader;
         }
         let best = ranked.into_iter().take(count);
-        ZonePart::Other(best.map(|(_, entry)| Arc::clone(entry)).collect())
+        ReaderRole::Follower(best.map(|(_, entry)| Arc::clone(entry)).collect())
     }
 }
--- a/crates/node/src/claims.rs
+++ b/crates/node/src/claims.rs
@@ -154,7 +154,7 @@
                 reply_all(jobs, ClaimVerdict::Unknown);
                 return;
             }
-            Err(StoreError::Lost) => {
+            Err(StoreError::NoResponse) => {
                 resolve_batch(shared, jobs, &write).await;
                 return;
             }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -156,7 +156,7 @@
                 if let Ok(state) = result {
                     self.apply_table(state);
                 }
-                link.later(
+                link.send_after(
                     self.shared.settings.control.config_poll,
                     ConfigMessage::Poll,
                 );
--- a/crates/node/src/controller.rs
+++ b/crates/node/src/controller.rs
@@ -502,7 +502,7 @@
                 // would accept it after a later order. The next order to this VM therefore waits
                 // for the transport bound.
                 let bound = self.shared.settings.control.transport_bound;
-                link.later(bound, ControllerMessage::OrderExpired(vm));
+                link.send_after(bound, ControllerMessage::OrderExpired(vm));
             }
         }
     }
@@ -544,7 +544,7 @@
     }
 
     fn start(&mut self, link: &ServiceLink<ControllerMessage>) {
-        link.later(Duration::ZERO, ControllerMessage::Tick);
+        link.send_after(Duration::ZERO, ControllerMessage::Tick);
     }
 
     fn handle(&mut self, message: ControllerMessage, link: &ServiceLink<ControllerMessage>) {
@@ -552,7 +552,7 @@
             ControllerMessage::Tick => {
                 self.tick(link);
                 let interval = self.shared.settings.control.plan_interval;
-                link.later(interval, ControllerMessage::Tick);
+                link.send_after(interval, ControllerMessage::Tick);
             }
             ControllerMessage::LeaseRead(result) => {
                 self.lease.handle_read(result, link.now());
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -102,7 +102,7 @@
     fn poll(&self, index: usize, link: &ServiceLink<PeersMessage>) {
         let gate = self.shared.settings.gate;
         if !self.is_polled(index) {
-            link.later(gate.remote_exchange_interval, PeersMessage::PollDue(index));
+            link.send_after(gate.remote_exchange_interval, PeersMessage::PollDue(index));
             return;
         }
         let request = self.build_request(index);
@@ -235,7 +235,7 @@
                 } else {
                     gate.remote_exchange_interval
                 };
-                link.later(interval, PeersMessage::PollDue(index));
+                link.send_after(interval, PeersMessage::PollDue(index));
             }
         }
     }
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -209,7 +209,7 @@
             });
         }
         self.expire(now);
-        link.later(interval, WatchMessage::ProbeRound);
+        link.send_after(interval, WatchMessage::ProbeRound);
     }
 
     fn expire(&mut self, now: Moment) {
@@ -348,8 +348,8 @@
 
     fn start(&mut self, link: &ServiceLink<WatchMessage>) {
         self.list(link);
-        link.later(Duration::ZERO, WatchMessage::ProbeRound);
-        link.later(PUBLISH_INTERVAL, WatchMessage::Publish);
+        link.send_after(Duration::ZERO, WatchMessage::ProbeRound);
+        link.send_after(PUBLISH_INTERVAL, WatchMessage::Publish);
     }
 
     fn handle(&mut self, message: WatchMessage, link: &ServiceLink<WatchMessage>) {
@@ -359,7 +359,7 @@
                 if let Ok(vms) = result {
                     self.apply_list(vms);
                 }
-                link.later(self.shared.settings.control.list_poll, WatchMessage::List);
+                link.send_after(self.shared.settings.control.list_poll, WatchMessage::List);
             }
             WatchMessage::ProbeRound => self.start_probe_round(link),
             WatchMessage::Probed(result) => self.handle_probe(result),
@@ -375,7 +375,7 @@
                 if self.pending_update > PendingUpdate::None {
                     self.publish(link.now());
                 }
-                link.later(PUBLISH_INTERVAL, WatchMessage::Publish);
+                link.send_after(PUBLISH_INTERVAL, WatchMessage::Publish);
             }
         }
         if self.pending_update == PendingUpdate::Changed {
