--- a/crates/core/examples/policies.rs
+++ b/crates/core/examples/policies.rs
@@ -24,7 +24,7 @@
 const REGROUP: u64 = 3;
 /// Seconds until a failed machine is replaced under the same name.
 const REPLACEMENT_TIME: u64 = 4 * 3600;
-/// Seconds until a failed fabric domain comes back.
+/// Seconds until a failed fabric domain is up again.
 const DOMAIN_OUTAGE: u64 = 3600;
 /// Mean downtime of a machine in hours per day, from the rates and times above; restarts take 237 s
 /// on average.
@@ -163,7 +163,7 @@
 }
 
 fn run(policy: Policy, weights: PlanWeights, scale: &Scale, size: usize, seed: u64) -> Replay {
-    let mut replay = Replay::open(policy, weights, scale.vms, size);
+    let mut replay = Replay::new(policy, weights, scale.vms, size);
     let end = scale.days * DAY;
     let mut events = faults(scale, seed);
     replay.run_policy();
@@ -239,7 +239,7 @@
 }
 
 impl Replay {
-    fn open(policy: Policy, weights: PlanWeights, vms: usize, size: usize) -> Self {
+    fn new(policy: Policy, weights: PlanWeights, vms: usize, size: usize) -> Self {
         let wanted = wanted(vms, size);
         let mut fleet = FleetState {
             load_budget: usize::MAX,
@@ -292,7 +292,7 @@
                 .fleet
                 .groups
                 .values()
-                .filter(|group| self.is_whole(group))
+                .filter(|group| self.is_complete(group))
             {
                 let ready = self.ready.get(&group.id).copied().unwrap_or(u64::MAX);
                 if ready <= self.now {
@@ -310,7 +310,7 @@
         }
     }
 
-    fn is_whole(&self, group: &GroupRecord) -> bool {
+    fn is_complete(&self, group: &GroupRecord) -> bool {
         group.members.iter().all(|member| {
             let machine = &self.machines[index_of(&member.vm)];
             machine.is_up && machine.incarnation == member.incarnation
@@ -342,9 +342,9 @@
             facts.vm.incarnation = machine.incarnation;
             facts.claimed = None;
         }
-        // A member that came back serves only after it has loaded its weights again.
-        let back = absence + Duration::from_secs(LOAD);
-        self.planner.history.record(back);
+        // A restored member serves only after it has loaded its weights again.
+        let outage = absence + Duration::from_secs(LOAD);
+        self.planner.history.record(outage);
         machine.has_weights = facts.claimed.is_some();
         if let Some(group) = &facts.claimed {
             let ready = self.ready.entry(group.clone()).or_default();
@@ -394,7 +394,8 @@
         }
     }
 
-    /// Forms the wanted groups at the start; afterwards only takes replaced machines back.
+    /// Forms the wanted groups at the start; afterwards only updates the incarnations of replaced
+    /// machines.
     fn decide_await(&self) -> Vec<PlanStep> {
         if self.fleet.groups.is_empty() {
             return self.formation_steps();
@@ -418,7 +419,7 @@
     /// Dissolves a group as soon as a member is lost, and forms new groups from free machines.
     fn decide_rebuild(&self) -> Vec<PlanStep> {
         let mut groups = self.fleet.groups.values();
-        match groups.find(|group| !self.is_whole(group)) {
+        match groups.find(|group| !self.is_complete(group)) {
             Some(group) => vec![PlanStep::Dissolve {
                 group: group.id.clone(),
                 reason: String::new(),
@@ -485,12 +486,12 @@
     }
 
     fn release(&mut self, group: &str) {
-        let held: Vec<VmId> = self.fleet.groups[group]
+        let members: Vec<VmId> = self.fleet.groups[group]
             .members
             .iter()
             .map(|member| member.vm.clone())
             .collect();
-        for vm in held {
+        for vm in members {
             if let Some(facts) = self.fleet.vms.get_mut(&vm) {
                 if facts.claimed.as_deref() == Some(group) {
                     facts.claimed = None;
@@ -572,7 +573,7 @@
 fn print_planner_times() {
     println!("\nplanner time for one round");
     for vms in [108, 1_008, 4_014, 12_006] {
-        let mut replay = Replay::open(Policy::Planner, weights(3, 1), vms, 4);
+        let mut replay = Replay::new(Policy::Planner, weights(3, 1), vms, 4);
         replay.run_policy();
         replay.now = 1_000;
         for vm in (9..vms).step_by(400) {
--- a/crates/core/examples/routing.rs
+++ b/crates/core/examples/routing.rs
@@ -25,7 +25,7 @@
 /// Microseconds to process one uncached block of a prompt.
 const BLOCK_US: u64 = 8_000;
 /// Microseconds to generate a response.
-const ANSWER_US: u64 = 600_000;
+const RESPONSE_US: u64 = 600_000;
 /// Microseconds between reports, the maximum age of a report.
 const REPORT_US: u64 = 500_000;
 const BLOCK_BYTES: usize = 256;
@@ -65,7 +65,7 @@
 /// What a node knows of a target.
 struct TargetView {
     in_flight: u32,
-    sent_since: u32,
+    sent_since_report: u32,
     latency: Duration,
     prefix: PrefixIndex,
 }
@@ -112,7 +112,7 @@
 
 impl Simulation {
     fn simulate(policy: Policy, per_second: u64) -> Self {
-        let mut run = Self::open(policy);
+        let mut run = Self::new(policy);
         let arrivals = arrivals(per_second);
         for (index, arrival) in arrivals.iter().enumerate() {
             run.events
@@ -140,7 +140,7 @@
         run
     }
 
-    fn open(policy: Policy) -> Self {
+    fn new(policy: Policy) -> Self {
         let server = || Server {
             running: 0,
             queue: VecDeque::new(),
@@ -149,7 +149,7 @@
         };
         let known = || TargetView {
             in_flight: 0,
-            sent_since: 0,
+            sent_since_report: 0,
             latency: Duration::ZERO,
             prefix: PrefixIndex::new(CACHE_BLOCKS),
         };
@@ -173,7 +173,7 @@
         let target = self.choose(&arrival);
         let known = &mut self.known[arrival.node][target];
         known.in_flight += 1;
-        known.sent_since += 1;
+        known.sent_since_report += 1;
         known.prefix.record(&arrival.chain);
         self.servers[target].queue.push_back(arrival);
         self.start(target, now);
@@ -195,17 +195,17 @@
             }
             Policy::Blend => {
                 let names: Vec<String> = (0..TARGETS).map(|index| index.to_string()).collect();
-                let home = arrival
+                let affinity_target = arrival
                     .chain
                     .affinity_target(names.iter().map(String::as_str));
                 let known = self.known[arrival.node].iter().zip(&self.servers);
                 let loads: Vec<TargetLoad> = known
                     .enumerate()
                     .map(|(index, (known, server))| TargetLoad {
-                        is_affinity_target: home == Some(index),
+                        is_affinity_target: affinity_target == Some(index),
                         reported: server.reported,
                         in_flight: known.in_flight,
-                        sent_since_report: known.sent_since,
+                        sent_since_report: known.sent_since_report,
                         cached_share: known.prefix.cached_share(&arrival.chain),
                         latency: known.latency,
                         is_remote: false,
@@ -248,7 +248,7 @@
                 target,
                 node: arrival.node,
             };
-            let ends = now + prefill_us + ANSWER_US * slowness;
+            let ends = now + prefill_us + RESPONSE_US * slowness;
             self.events.push(Reverse((ends, finish)));
         }
     }
@@ -264,7 +264,7 @@
             server.reported = (server.running + server.queue.len()) as u32;
         }
         for known in self.known.iter_mut().flatten() {
-            known.sent_since = 0;
+            known.sent_since_report = 0;
         }
         self.events.push(Reverse((now + REPORT_US, Event::Report)));
     }
--- a/crates/core/src/outage_history.rs
+++ b/crates/core/src/outage_history.rs
@@ -28,8 +28,9 @@
     /// Returns how long to wait for a lost member before a spare is loaded to replace it.
     ///
     /// Each past outage is tried as the limit. The expected downtime is the outage itself for
-    /// machines that were reachable again within the limit, and the limit plus the time to load a spare for
-    /// the others. The limit with the lowest mean is returned; zero is always a candidate.
+    /// machines that were reachable again within the limit, and the limit plus the time to load a
+    /// spare for the others. The limit with the lowest mean is returned; zero is always a
+    /// candidate.
     ///
     /// ```
     /// use briarswitch_core::outage_history::OutageHistory;
--- a/crates/core/src/rebalance.rs
+++ b/crates/core/src/rebalance.rs
@@ -2,9 +2,9 @@
 //!
 //! This corrects a mismatch between demand and capacity: requests for one model need more groups
 //! than it has, while another model has unused groups, or a domain holds weights that do not form a
-//! complete group. Loading other weights only on targets that restart corrects this too slowly, since
-//! as many are lost. A host loads other weights while it keeps serving, so a move reduces no capacity
-//! until the new weights are loaded.
+//! complete group. Loading other weights only on targets that restart corrects this too slowly,
+//! since as many are lost. A host loads other weights while it keeps serving, so a move reduces no
+//! capacity until the new weights are loaded.
 
 use indexmap::IndexMap;
 
@@ -105,8 +105,8 @@
 }
 
 impl LayoutDraft<'_> {
-    /// Adds the groups formed by targets whose loads the domains do not report, less those already assigned to
-    /// empty targets of other domains.
+    /// Adds the groups formed by targets whose loads the domains do not report, less those already
+    /// assigned to empty targets of other domains.
     ///
     /// The report does not say which weights these targets replace, so they are subtracted from the
     /// model with the highest coverage.
--- a/crates/core/src/traffic.rs
+++ b/crates/core/src/traffic.rs
@@ -1,7 +1,7 @@
 //! A complete configuration under one version: rules by host and path, services, and keys.
 //!
-//! [`crate::config::VersionedConfig`] is edited one entity at a time. A [`TrafficConfig`] is accepted
-//! and replaced as a whole, so a node never mixes two versions.
+//! [`crate::config::VersionedConfig`] is edited one entity at a time. A [`TrafficConfig`] is
+//! accepted and replaced as a whole, so a node never mixes two versions.
 
 use std::time::Duration;
 
--- a/crates/core/src/waiting.rs
+++ b/crates/core/src/waiting.rs
@@ -70,8 +70,8 @@
 impl WaitingRequest {
     /// Creates a waiting request.
     ///
-    /// It is on time if the first event arrives within the objective, counted from the caller's first
-    /// attempt.
+    /// It is on time if the first event arrives within the objective, counted from the caller's
+    /// first attempt.
     pub fn new(params: WaitParams) -> Self {
         let slack = params
             .objective
--- a/crates/core/tests/broken_streams.rs
+++ b/crates/core/tests/broken_streams.rs
@@ -193,8 +193,8 @@
 /// Guards against long streams being starved when groups fail often and all slots are in use.
 ///
 /// The longer a stream, the more often its group fails. If an interrupted stream queues like a new
-/// request, it waits behind new requests and is lost. The symptom was that 0.10 of the longest tenth
-/// were served where 0.32 of all were; in this simulation 0.13 to 0.18 and 0.26 to 0.28. With
+/// request, it waits behind new requests and is lost. The symptom was that 0.10 of the longest
+/// tenth were served where 0.32 of all were; in this simulation 0.13 to 0.18 and 0.26 to 0.28. With
 /// resumptions first, 0.22 to 0.25 of the longest tenth are served.
 #[gtest]
 fn long_streams_are_served_at_least_half_as_often_as_all() {
--- a/crates/core/tests/crash.rs
+++ b/crates/core/tests/crash.rs
@@ -1,4 +1,4 @@
-//! Quarantine of requests under which targets have crashed, and its duration.
+//! Quarantine of requests that were running when targets crashed, and its duration.
 
 use std::time::Duration;
 
@@ -168,7 +168,7 @@
 }
 
 /// Guards against a quarantine that cannot be lifted. A request that was present at three crashes
-/// may be answered completely by another target, and must then run again.
+/// may get a complete response from another target, and must then run again.
 #[gtest]
 fn a_complete_response_clears_only_earlier_crashes() {
     let mut history = history_of(&crashes(3, LOW_CRASH_RATE));
@@ -204,12 +204,12 @@
 fn a_quarantine_expires_as_announced_and_one_more_crash_restores_it() {
     let mut history = history_of(&crashes(3, LOW_CRASH_RATE));
     let verdict = history.verdict(&fingerprint(), 4_000);
-    let CrashVerdict::Quarantined(left) = verdict else {
+    let CrashVerdict::Quarantined(remaining) = verdict else {
         panic!("unexpected verdict: {verdict:?}");
     };
     // The first crash, at one second, expires then.
-    expect_that!(left, eq(CRASH_RETENTION - Duration::from_secs(3)));
-    let expiry = 4_000 + left.as_millis() as StoreMillis;
+    expect_that!(remaining, eq(CRASH_RETENTION - Duration::from_secs(3)));
+    let expiry = 4_000 + remaining.as_millis() as StoreMillis;
     expect_true!(is_quarantined(history.verdict(&fingerprint(), expiry - 1)));
     expect_false!(is_quarantined(history.verdict(&fingerprint(), expiry)));
     history.record_crash(crash("later", "d", expiry + 100, LOW_CRASH_RATE));
--- a/crates/core/tests/crash_simulation.rs
+++ b/crates/core/tests/crash_simulation.rs
@@ -20,7 +20,7 @@
 const REQUESTS_PER_SECOND: f64 = 170.0;
 const STEP_S: f64 = 0.01;
 const LENGTH_S: f64 = 40.0;
-/// Seconds until a crashed target is back.
+/// Seconds until a crashed target has restarted.
 const RESTART_S: f64 = 2.0;
 /// Seconds until the directory drops a crashed target.
 const DIRECTORY_LAG_S: f64 = 4.0;
@@ -293,10 +293,10 @@
 }
 
 /// Guards against a request that crashes one target after the other, and against quarantining the
-/// requests that run beside it. The request is retried several times per second, alone or while
-/// targets crash for other reasons too.
+/// requests that run at the same time. The request is retried several times per second, alone or
+/// while targets crash for other reasons too.
 #[gtest]
-fn a_crashing_request_is_distinguished_from_those_beside_it() {
+fn a_crashing_request_is_distinguished_from_concurrent_ones() {
     for faults in [Faults::None, Faults::Restarts(4.0), Faults::Domains] {
         for interval in [0.15, 1.0] {
             let results = simulate_all(faults, Some(interval));
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -15,12 +15,12 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-fn model(id: &str, size: usize, share: f64, pace: f64) -> ModelSpec {
+fn model(id: &str, size: usize, share: f64, time_factor: f64) -> ModelSpec {
     ModelSpec {
         id: id.to_owned(),
         group_size: size,
         expected_share: share,
-        time_factor: pace,
+        time_factor,
         load_time: Duration::from_secs(16),
         warmup: Duration::from_millis(1_600),
     }
@@ -80,16 +80,16 @@
     expect_that!(of(9), gt(of(0)));
 }
 
-/// Returns the number of requests sent to a group with `writers` active requests by `nodes` nodes
-/// that cannot see each other's requests.
-fn fill_unseen(nodes: u32, writers: u32) -> u32 {
+/// Returns the number of requests sent to a group with `active_requests` active requests by `nodes`
+/// nodes that cannot see each other's requests.
+fn fill_unseen(nodes: u32, active_requests: u32) -> u32 {
     let engine = engine();
     let mut sent = 0;
     for rank in 0..nodes {
         let mut load = GroupLoad {
             nodes,
             slot_share: slot_share(engine.slots, equal_weight(nodes, rank)),
-            active_requests: writers,
+            active_requests,
             ..GroupLoad::default()
         };
         while has_free_slot(&engine, &load) {
@@ -103,7 +103,7 @@
 }
 
 /// With 71 nodes and 26 slots, a minimum share of one slot per node would allow 71 requests. They
-/// would wait inside the groups longer than in front of them, and all of them would be late.
+/// would wait longer in the group's queue than in those of the nodes, and all would be late.
 #[gtest]
 fn more_nodes_than_slots_do_not_overfill_a_group() {
     expect_that!(fill_unseen(71, 20), le(26));
@@ -130,25 +130,25 @@
 fn the_least_loaded_group_is_picked_and_a_full_one_never() {
     let engine = engine();
     let spec = &engine.models["large"];
-    let load = |writers| GroupLoad {
-        active_requests: writers,
+    let load = |active_requests| GroupLoad {
+        active_requests,
         nodes: 1,
         slot_share: 26,
         ..GroupLoad::default()
     };
     let loads = [load(26), load(20), load(2)];
     for draw in 0..10 {
-        let terms = place_terms(0.0, f64::from(draw) / 10.0);
-        expect_that!(pick_group(&engine, spec, &loads, &terms), some(eq(2)));
+        let params = placement_params(0.0, f64::from(draw) / 10.0);
+        expect_that!(pick_group(&engine, spec, &loads, &params), some(eq(2)));
     }
-    let terms = place_terms(0.0, 0.0);
-    expect_that!(pick_group(&engine, spec, &[load(26)], &terms), none());
+    let params = placement_params(0.0, 0.0);
+    expect_that!(pick_group(&engine, spec, &[load(26)], &params), none());
 }
 
-fn place_terms(unseen: f64, draw: f64) -> PlacementParams {
+fn placement_params(unseen_requests: f64, draw: f64) -> PlacementParams {
     PlacementParams {
         prompt_tokens: 1_460,
-        unseen_requests: unseen,
+        unseen_requests,
         draw,
         turn: 0.0,
     }
@@ -161,23 +161,23 @@
 fn requests_that_nodes_cannot_see_are_spread() {
     let engine = engine();
     let spec = &engine.models["large"];
-    let loads = [4, 9, 12, 14, 17, 19].map(|writers| GroupLoad {
-        active_requests: writers,
+    let loads = [4, 9, 12, 14, 17, 19].map(|active_requests| GroupLoad {
+        active_requests,
         nodes: 71,
         slot_share: 1,
         ..GroupLoad::default()
     });
     let mut sent = [0; 6];
     for request in 0..20 {
-        let terms = place_terms(20.0, (f64::from(request) + 0.5) / 20.0);
-        sent[pick_group(&engine, spec, &loads, &terms).expect("none is full")] += 1;
+        let params = placement_params(20.0, (f64::from(request) + 0.5) / 20.0);
+        sent[pick_group(&engine, spec, &loads, &params).expect("none is full")] += 1;
     }
     expect_that!(sent.iter().max(), some(le(&6)));
     expect_that!(sent.iter().min(), some(ge(&2)));
 }
 
 /// An event boundary may fall between two chunks. If it is missed, part of the stream is lost or
-/// repeated when the stream is resumed elsewhere.
+/// repeated when the stream is resumed at another target.
 #[gtest]
 fn events_are_complete_however_the_bytes_are_cut() {
     let stream: String = (1..=40)
@@ -234,8 +234,8 @@
     cache.apply(TargetChange::Put(Box::new(record("c"))), None);
     expect_false!(cache.expire(at(1_999)));
     expect_true!(cache.expire(at(2_000)));
-    let left: Vec<&TargetId> = cache.targets().keys().collect();
-    expect_that!(left, unordered_elements_are![eq(&"c"), eq(&"d")]);
+    let remaining: Vec<&TargetId> = cache.targets().keys().collect();
+    expect_that!(remaining, unordered_elements_are![eq(&"c"), eq(&"d")]);
 }
 
 /// A removal after the directory has recovered must not be treated as an expired entry. Otherwise a
@@ -275,7 +275,7 @@
 fn a_member_whose_entry_is_gone_is_known_as_long_as_its_group() {
     let mut cache = TargetCache::default();
     let removed = |id: &str| TargetChange::Removed(id.to_owned());
-    for (rank, id) in ["head", "cut", "foreign", "leaving"]
+    for (rank, id) in ["leader", "cut", "unreadable", "leaving"]
         .into_iter()
         .enumerate()
     {
@@ -286,7 +286,7 @@
         cache.apply(TargetChange::Put(Box::new(listed)), None);
     }
     cache.apply(TargetChange::Put(Box::new(record("single"))), None);
-    cache.apply(TargetChange::Unreadable("foreign".to_owned()), None);
+    cache.apply(TargetChange::Unreadable("unreadable".to_owned()), None);
     for id in ["cut", "leaving", "single"] {
         cache.apply(removed(id), None);
     }
@@ -294,7 +294,7 @@
     let unlisted: Vec<&TargetId> = cache.unlisted().keys().collect();
     expect_that!(unlisted, elements_are![eq(&"cut")]);
     expect_that!(cache.targets().len(), eq(1));
-    cache.apply(removed("head"), None);
+    cache.apply(removed("leader"), None);
     cache.prune_unlisted();
     expect_that!(cache.unlisted().len(), eq(0));
 }
--- a/crates/core/tests/layout.rs
+++ b/crates/core/tests/layout.rs
@@ -78,7 +78,7 @@
 /// A layout that follows every change of demand would have targets reload weights for minutes
 /// although nothing was lost.
 #[gtest]
-fn targets_that_hold_weights_keep_them_while_callers_come() {
+fn targets_that_hold_weights_keep_them_while_requests_arrive() {
     let mut inventory = domains(0);
     for (index, domain) in inventory.iter_mut().enumerate() {
         let holders = [(LARGE.to_owned(), index), (SMALL.to_owned(), 8 - index)];
@@ -134,8 +134,9 @@
 }
 
 /// Empty targets arrive one at a time. If each were judged only by the group that it completes
-/// itself, the fifteenth of sixteen targets would be worth less than a spare of the other model:
-/// domains would keep 14 or 15 targets that serve nobody while callers of the model are refused.
+/// itself, the fifteenth of sixteen targets would have less utility than a spare of the other
+/// model: domains would keep 14 or 15 targets that serve no requests while callers of the model are
+/// refused.
 #[gtest]
 fn a_group_that_lacks_two_targets_gets_them() {
     let mut inventory = domains(0);
--- a/crates/core/tests/placement_contention.rs
+++ b/crates/core/tests/placement_contention.rs
@@ -106,14 +106,14 @@
             .collect();
         let window = (tick / INFO_AGE_TICKS) as u64;
         let mut turn = StdRng::seed_from_u64(window * 1_000 + node as u64);
-        let terms = PlacementParams {
+        let params = PlacementParams {
             prompt_tokens: 1_600,
             unseen_requests: per_second * INFO_AGE_TICKS as f64 / TICKS_PER_SECOND as f64,
             draw: self.rng.random(),
             turn: if self.takes_turns { turn.random() } else { 0.0 },
         };
         let spec = &self.engine.models["large"];
-        pick_group(&self.engine, spec, &loads, &terms)
+        pick_group(&self.engine, spec, &loads, &params)
     }
 
     /// Simulates twenty seconds; a caller without a slot leaves.
--- a/crates/core/tests/properties.rs
+++ b/crates/core/tests/properties.rs
@@ -19,7 +19,7 @@
     Read(usize),
     Propose(usize),
     Apply(usize),
-    Answer(usize),
+    Respond(usize),
     Lose(usize),
     ApplyLate,
     Pass(u64),
@@ -30,7 +30,7 @@
         (0..2_usize).prop_map(LeaseEvent::Read),
         (0..2_usize).prop_map(LeaseEvent::Propose),
         (0..2_usize).prop_map(LeaseEvent::Apply),
-        (0..2_usize).prop_map(LeaseEvent::Answer),
+        (0..2_usize).prop_map(LeaseEvent::Respond),
         (0..2_usize).prop_map(LeaseEvent::Lose),
         Just(LeaseEvent::ApplyLate),
         (1..2500_u64).prop_map(LeaseEvent::Pass),
@@ -71,30 +71,30 @@
         ];
         let mut table = LeaseTable::default();
         let mut sent: [Option<LeaseWrite>; 2] = [None, None];
-        let mut answers: [Option<LeaseWriteResult>; 2] = [None, None];
+        let mut results: [Option<LeaseWriteResult>; 2] = [None, None];
         let mut late: Vec<LeaseWrite> = Vec::new();
         let mut now = Duration::from_secs(100);
         let mut writes = 0;
         for event in events {
             match event {
                 LeaseEvent::Read(node) => clients[node].observe(table.row.clone(), table.version, now),
-                LeaseEvent::Propose(node) if sent[node].is_none() && answers[node].is_none() => {
+                LeaseEvent::Propose(node) if sent[node].is_none() && results[node].is_none() => {
                     writes += 1;
                     sent[node] = clients[node].propose(format!("w{writes}"), now);
                 }
                 LeaseEvent::Apply(node) => {
                     if let Some(write) = sent[node].take() {
-                        answers[node] = Some(table.apply(&write));
+                        results[node] = Some(table.apply(&write));
                     }
                 }
-                LeaseEvent::Answer(node) => {
-                    if let Some(answer) = answers[node].take() {
-                        clients[node].record_result(answer, now);
+                LeaseEvent::Respond(node) => {
+                    if let Some(result) = results[node].take() {
+                        clients[node].record_result(result, now);
                     }
                 }
                 LeaseEvent::Lose(node) => {
                     let was_sent = sent[node].take();
-                    if was_sent.is_some() || answers[node].take().is_some() {
+                    if was_sent.is_some() || results[node].take().is_some() {
                         clients[node].record_result(LeaseWriteResult::Lost, now);
                     }
                     late.extend(was_sent);
@@ -128,7 +128,7 @@
 
     /// However a stream is cut into chunks, the same bytes and events are passed on.
     #[test]
-    fn scanner_passes_whole_events(cuts in prop::collection::vec(1..20_usize, 1..40), count in 0..12_usize) {
+    fn scanner_passes_complete_events(cuts in prop::collection::vec(1..20_usize, 1..40), count in 0..12_usize) {
         let mut text: String = (0..count).map(|index| format!("data: token {index}\n\n")).collect();
         text.push_str("data: [DONE]\n\n");
         let mut scanner = EventScanner::default();
@@ -137,10 +137,10 @@
         let mut cuts = cuts.into_iter().cycle();
         while !rest.is_empty() {
             let size = cuts.next().unwrap_or(1).min(rest.len());
-            let (piece, after) = rest.split_at(size);
-            let (held, scanned) = scanner.scan(piece);
-            passed.extend_from_slice(&held);
-            passed.extend_from_slice(&piece[..scanned.complete_bytes]);
+            let (chunk, after) = rest.split_at(size);
+            let (buffered, scanned) = scanner.scan(chunk);
+            passed.extend_from_slice(&buffered);
+            passed.extend_from_slice(&chunk[..scanned.complete_bytes]);
             prop_assert!(passed.is_empty() || passed.ends_with(b"\n\n"));
             rest = after;
         }
--- a/crates/core/tests/rebalance.rs
+++ b/crates/core/tests/rebalance.rs
@@ -139,21 +139,21 @@
 #[gtest]
 fn a_model_keeps_the_groups_that_its_demand_needs() {
     for (targets, sizes) in DOMAIN_SHAPES {
-        let most = targets / sizes[0];
-        for large in 0..=most {
+        let max_large = targets / sizes[0];
+        for large in 0..=max_large {
             let held = [large * sizes[0], targets - large * sizes[0]];
             let domains = inventory(&[held; DOMAINS]);
             let groups = [large * DOMAINS, held[1] / sizes[1] * DOMAINS];
             for part in [0.2, 0.5, 0.9] {
                 let rates = [groups[0] as f64 * part, groups[1] as f64 * 1.3];
                 let layouts = plan(sizes, &domains, rates);
-                let left: usize = layouts
+                let remaining: usize = layouts
                     .values()
                     .map(|layout| layout.holders.get(LARGE).copied().unwrap_or(0) / sizes[0])
                     .sum();
                 let needed = rates[0].min(groups[0] as f64);
                 expect_that!(
-                    left as f64,
+                    remaining as f64,
                     ge(needed),
                     "{targets} {sizes:?} {large} {part}"
                 );
@@ -162,17 +162,18 @@
     }
 }
 
-/// Guards against all domains reacting to the same shortage at once: loads elsewhere must count.
+/// Guards against all domains reacting to the same shortage at once: loads that the
+/// domains do not report must count.
 #[gtest]
-fn loads_elsewhere_are_not_requested_again() {
+fn unreported_loads_are_not_requested_again() {
     let domains = inventory(&[[27, 0], [15, 12], [27, 0], [15, 12], [15, 12], [15, 12]]);
     let alone = moved(&domains, &plan([12, 6], &domains, [2.2, 9.0]));
-    let coming = IndexMap::from([(SMALL.to_owned(), alone)]);
+    let loading = IndexMap::from([(SMALL.to_owned(), alone)]);
     let with_loads = plan_rebalance(RebalanceParams {
         engine: &engine([12, 6]),
         demand: &demand([2.2, 9.0]),
         domains: &domains,
-        loading: &coming,
+        loading: &loading,
     });
     expect_that!(moved(&domains, &with_loads), le(alone / 3));
 }
@@ -239,13 +240,13 @@
             .map(|(index, model)| {
                 let groups = self.domains.iter().enumerate().map(|(domain, inventory)| {
                     let of_domain = self.loads.iter().filter(|(_, at, _)| *at == domain);
-                    let (mut here, mut gone) = (0, 0);
+                    let (mut arriving, mut leaving) = (0, 0);
                     for (_, _, to) in of_domain {
-                        here += usize::from(*to == index);
-                        gone += usize::from(*to != index);
+                        arriving += usize::from(*to == index);
+                        leaving += usize::from(*to != index);
                     }
                     // Until enough targets for a group have loaded, their old group keeps serving.
-                    let serving = inventory.holders[model] - here + gone;
+                    let serving = inventory.holders[model] - arriving + leaving;
                     serving / self.sizes[index]
                 });
                 (groups.sum::<usize>() as f64).min(rates[index])
--- a/crates/core/tests/retry_wave.rs
+++ b/crates/core/tests/retry_wave.rs
@@ -99,16 +99,16 @@
         let is_late = request.is_retry || tick > request.arrived + SLACK_TICKS;
         let loads: Vec<GroupLoad> = (0..GROUPS)
             .map(|group| {
-                let fresh: u32 = self.sent.iter().map(|sent| sent[node][group]).sum();
+                let unreported: u32 = self.sent.iter().map(|sent| sent[node][group]).sum();
                 let weight = NodeWeight {
                     before: ((node + group * 37) % NODES) as f64,
                     own: 1.0,
                     total: NODES as f64,
                 };
                 GroupLoad {
-                    active_requests: self.known[0][group] + fresh,
+                    active_requests: self.known[0][group] + unreported,
                     local_requests: self.active[node][group],
-                    unreported_requests: fresh,
+                    unreported_requests: unreported,
                     nodes: NODES as u32,
                     slot_share: slot_share(SLOTS, weight),
                     is_request_late: is_late && (self.distinguishes_retries || !request.is_retry),
@@ -118,14 +118,14 @@
             .collect();
         let window = (tick / INFO_AGE_TICKS) as u64;
         let mut turn = StdRng::seed_from_u64(window * 1_000 + node as u64);
-        let terms = PlacementParams {
+        let params = PlacementParams {
             prompt_tokens: 714,
             unseen_requests: NEW_REQUESTS_PER_SECOND * INFO_AGE_TICKS as f64
                 / TICKS_PER_SECOND as f64,
             draw: self.rng.random(),
             turn: turn.random(),
         };
-        pick_group(&self.engine, &self.engine.models["small"], &loads, &terms)
+        pick_group(&self.engine, &self.engine.models["small"], &loads, &params)
     }
 
     fn arrive(&mut self, tick: usize, counts: &mut Counts) {
--- a/crates/core/tests/retry_window.rs
+++ b/crates/core/tests/retry_window.rs
@@ -107,8 +107,8 @@
         for start in WINDOW_STEPS..traffic.requests.len() - WINDOW_STEPS {
             let windows = [start, start - WINDOW_STEPS / 2, start - WINDOW_STEPS];
             let requests = windows.map(|from| sum(&traffic.requests, from));
-            let most = requests.into_iter().max().unwrap_or_default();
-            let allowed = RATIO * f64::from(most) + f64::from(TOTAL_BURST);
+            let max_requests = requests.into_iter().max().unwrap_or_default();
+            let allowed = RATIO * f64::from(max_requests) + f64::from(TOTAL_BURST);
             let retries = f64::from(sum(&traffic.retries, start));
             assert_that!(retries, le(allowed), "seed {seed}, step {start}");
         }
--- a/crates/core/tests/silence.rs
+++ b/crates/core/tests/silence.rs
@@ -70,7 +70,7 @@
 }
 
 /// Guards against a limit that grows with the last observed interval. After a group has stalled
-/// once, callers would wait for seconds until the engine's timeout when a member is lost.
+/// once, callers would wait for seconds until the engine's time-out when a member is lost.
 #[gtest]
 fn an_earlier_stall_does_not_extend_the_limit() {
     let (engine, model) = (engine(), model());
--- a/crates/core/tests/target_cache.rs
+++ b/crates/core/tests/target_cache.rs
@@ -72,7 +72,7 @@
 /// A live target must be used again if a terminated target's entry was seen after its own.
 #[gtest]
 fn an_entry_is_restored_some_time_after_its_replacement_is_gone() {
-    let mut cache = cache([entry("live"), entry("ended"), removal("ended")]);
+    let mut cache = cache([entry("live"), entry("terminated"), removal("terminated")]);
     let start = Duration::from_secs(1);
     expect_false!(cache.expire(start));
     expect_true!(cache.is_pending());
--- a/crates/core/tests/waiting.rs
+++ b/crates/core/tests/waiting.rs
@@ -101,17 +101,17 @@
     expect_that!(next_waiting(&[newer, urgent], at(180)), some(eq(0)));
 }
 
-/// Guards against counting a retried request's objective from its return. Retries would then take
-/// the slots of new requests, and both would be late.
+/// Guards against counting a retried request's objective from its latest attempt. Retries would
+/// then take the slots of new requests, and both would be late.
 #[gtest]
 fn a_retried_request_counts_from_its_first_attempt() {
-    let returned = WaitingRequest::new(WaitParams {
+    let retried = WaitingRequest::new(WaitParams {
         waited_before: Duration::from_millis(700),
         ..params(at(1_000))
     });
     let new = WaitingRequest::new(params(at(990)));
-    expect_true!(returned.is_late(at(1_001)));
-    expect_that!(next_waiting(&[returned, new], at(1_001)), some(eq(1)));
+    expect_true!(retried.is_late(at(1_001)));
+    expect_that!(next_waiting(&[retried, new], at(1_001)), some(eq(1)));
     // Its caller retries only once, so it is kept longer than a late new request.
-    expect_that!(returned.refuse_at, gt(new.refuse_at));
+    expect_that!(retried.refuse_at, gt(new.refuse_at));
 }
--- a/crates/fleet/src/peers.rs
+++ b/crates/fleet/src/peers.rs
@@ -96,7 +96,8 @@
     let now = BootClock::now();
     for target in suspects {
         let gauge = shared.gauges.get(target);
-        // If this node still receives bytes from the target, only the other node is cut off from it.
+        // If this node still receives bytes from the target, only the other node is cut off from
+        // it.
         if gauge.local_requests() == 0 || gauge.silence(now) > MIN_OWN_SILENCE {
             gauge.suspect_from_peer(now + PEER_SUSPICION_TTL);
         }
--- a/crates/fleet/src/store_sync.rs
+++ b/crates/fleet/src/store_sync.rs
@@ -184,8 +184,8 @@
         self.request = self.request.next(mark, is_newest, self.shared.config_age());
     }
 
-    /// Puts a configuration into effect if it is newer than the current one; responses may arrive out
-    /// of order.
+    /// Puts a configuration into effect if it is newer than the current one; responses may arrive
+    /// out of order.
     fn apply_if_newer(&self, config: TrafficConfig) {
         let current = self
             .shared
