--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -73,7 +73,7 @@
 ///
 /// It is designed for failures of whole groups: for seconds there is nothing to retry, and then all
 /// streams of a group fail at once. A token bucket with a small capacity would have discarded most
-/// of what the quiet seconds earned.
+/// of what was earned in the seconds without failures.
 #[derive(Clone, Debug)]
 pub struct RetryWindow {
     ratio: f64,
--- a/crates/core/tests/retry_window.rs
+++ b/crates/core/tests/retry_window.rs
@@ -23,8 +23,8 @@
     Duration::from_secs(100) + STEP * step as u32
 }
 
-/// Guards against streams that are not retried when a group fails after quiet seconds, although the
-/// window has budget left.
+/// Guards against streams that are not retried when a group fails after seconds without failures,
+/// although the window has budget left.
 #[gtest]
 fn retries_earned_in_quiet_seconds_are_available_when_a_group_fails() {
     let mut budget = RetryWindow::new(RATIO, WINDOW_LENGTH, step_time(0));
--- a/crates/fleet/src/feed.rs
+++ b/crates/fleet/src/feed.rs
@@ -3,7 +3,7 @@
 //! Every node needs the configuration and the list of targets within a second or two, and the store
 //! charges for each call: long polls from every node came to 167 calls a second with 71 nodes. One
 //! node of each zone therefore reads from the store, and the others send their requests to that
-//! reader, which answers all of them from one call. A node whose reader does not respond, or cannot
+//! reader, which serves all of them with one call. A node whose reader does not respond, or cannot
 //! reach the store, asks the next best reader of its zone, and the store itself only after that.
 
 use std::future::Future;
@@ -37,9 +37,9 @@
 const MIN_RELAYED_ZONE_NODES: u32 = 3;
 /// Time beyond the requested wait after which a reader counts as failed.
 ///
-/// The store itself answers within 250 ms even when it is slow.
+/// The store itself responds within 250 ms even when it is slow.
 const READER_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time beyond the requested wait after which a reader reports that the store has not answered.
+/// Time beyond the requested wait after which a reader reports that the store has not responded.
 ///
 /// It is shorter than [`READER_TIMEOUT`]; otherwise the followers would take the reader for failed
 /// and would each call a store that is down.
--- a/crates/fleet/src/routing_table.rs
+++ b/crates/fleet/src/routing_table.rs
@@ -190,7 +190,7 @@
 
 /// Returns the group that a target leads, if each member is or was listed under the group's id and epoch.
 ///
-/// An engine accepts requests even if members are missing, and such requests then stall. A dead member is
+/// An engine accepts requests even if members are missing, and such requests then stall. A crashed member is
 /// detected by its group's silence; the controller polls each member without a directory entry, and dissolves
 /// the group if it does not respond.
 fn complete_group(
--- a/crates/fleet/tests/assembly.rs
+++ b/crates/fleet/tests/assembly.rs
@@ -875,7 +875,7 @@
 }
 
 /// Guards against targets that stay idle forever after one controller began to rebalance them and the other one
-/// found them half-way.
+/// found them partly moved.
 #[gtest]
 fn every_complete_set_serves_after_the_demand_settles() {
     for run in ALTERNATING_RUNS.iter() {
--- a/crates/fleet/tests/crashes.rs
+++ b/crates/fleet/tests/crashes.rs
@@ -360,13 +360,13 @@
     }
 }
 
-/// Guards against callers who are told to retry although healthy targets are left: half of them
-/// were, each after four refused connections, 2,198 within 16 s.
+/// Guards against callers being refused although healthy targets are left: half of them were, each
+/// after four refused connections, 2,198 within 16 s.
 ///
 /// Six of eight targets crash. The directory drops them only seconds later; until then they look
 /// like the least loaded targets. When a refused connection was forgotten together with its
 /// request, and counted towards the request's maximum number of attempts, 30 of 30 callers were
-/// told to retry.
+/// refused.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_are_not_sent_to_crashed_targets() {
--- a/crates/fleet/tests/order_sender.rs
+++ b/crates/fleet/tests/order_sender.rs
@@ -85,7 +85,7 @@
     assert_that!(target.attempts(), eq(3));
 }
 
-/// Guards against giving up a group because an order conflicts with an earlier attempt of itself.
+/// Guards against abandoning a group because an order conflicts with an earlier attempt of itself.
 #[tokio::test]
 async fn a_conflict_after_a_lost_response_leaves_the_result_unknown() {
     let target = ScriptedTarget::new([OrderResult::Lost, OrderResult::Conflict]);
--- a/crates/fleet/tests/tracker.rs
+++ b/crates/fleet/tests/tracker.rs
@@ -130,7 +130,7 @@
     expect_that!(fixture.status(), eq(TargetStatus::Silent));
 }
 
-/// Guards against giving up a live target because a report lags behind the previous one.
+/// Guards against taking a live target for silent because a report lags behind the previous one.
 #[gtest]
 fn a_lagging_order_count_does_not_make_a_target_silent() {
     let mut fixture = TrackerFixture::new();
