--- a/crates/core/src/draft.rs
+++ b/crates/core/src/draft.rs
@@ -68,18 +68,18 @@
         let mut counts: IndexMap<&DeploymentId, u32> = IndexMap::new();
         for group in active_groups(fleet) {
             let Some((size, wanted, weights)) = replica_params(fleet, &group.deployment) else {
-                self.dissolve(&group.id, "its deployment was deleted");
+                self.dissolve(&group.id, "its deployment is gone");
                 continue;
             };
             if group.members.len() != size {
-                self.dissolve(&group.id, "the replica size of its deployment has changed");
+                self.dissolve(&group.id, "its deployment changed the size of a replica");
                 continue;
             }
             let count = counts.entry(&group.deployment).or_default();
             *count += 1;
             let keeps_extra = prefers_extra(weights) && wanted > 0;
             if *count > wanted && !keeps_extra {
-                self.dissolve(&group.id, "more replicas than configured");
+                self.dissolve(&group.id, "more replicas stand than are wanted");
             }
         }
     }
@@ -169,7 +169,7 @@
         self.steps.push(PlanStep::Repair {
             group: broken.group.id.clone(),
             members,
-            reason: format!("{lacking} members were lost and free machines are available"),
+            reason: format!("{lacking} of its members were lost and machines are free"),
         });
         true
     }
@@ -185,7 +185,7 @@
         }
         self.dissolve(
             &broken.group.id,
-            "another fabric domain has room for a complete group",
+            "another fabric domain can hold a whole group",
         );
         true
     }
@@ -211,7 +211,7 @@
                 steps.push(PlanStep::Preload {
                     vm: vm.id.clone(),
                     deployment: deployment.clone(),
-                    reason: "a spare with preloaded weights shortens an outage".to_owned(),
+                    reason: "a spare that holds the weights ends an outage sooner".to_owned(),
                 });
             }
         }
@@ -272,7 +272,7 @@
         let free = self.free.count(key);
         let mut gained = free;
         if let Some(expendable) = self.expendable_group(key, strongest) {
-            let reason = format!("its machines are needed to complete {}", strongest.group.id);
+            let reason = format!("its machines complete {}", strongest.group.id);
             self.dissolve(&expendable, &reason);
             return;
         }
@@ -281,10 +281,7 @@
                 break;
             }
             gained += weakest.kept.len();
-            let reason = format!(
-                "its remaining members are needed to complete {}",
-                strongest.group.id
-            );
+            let reason = format!("its survivors complete {}", strongest.group.id);
             self.dissolve(&weakest.group.id, &reason);
         }
     }
@@ -350,7 +347,7 @@
             };
             let mut active = self.count_active(&deployment.id);
             while active < wanted {
-                if !self.form(deployment, size, "fewer replicas than configured") {
+                if !self.form(deployment, size, "fewer replicas stand than are wanted") {
                     self.preempt_for(deployment, size);
                     break;
                 }
@@ -435,7 +432,7 @@
             .min_by_key(|(priority, _)| *priority);
         if let Some((_, group)) = candidate {
             let reason = format!(
-                "{} has a higher priority and is missing a replica",
+                "{} has a higher priority and lacks a replica",
                 deployment.id
             );
             self.dissolve(&group.id, &reason);
--- a/crates/fleet/src/ports.rs
+++ b/crates/fleet/src/ports.rs
@@ -19,13 +19,13 @@
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum SourceError {
     /// The store refused the call or did not respond.
-    #[error("store unavailable: {0}")]
+    #[error("unavailable: {0}")]
     Unavailable(String),
     /// The store no longer keeps the requested changes; the whole table has to be read again.
-    #[error("requested changes are no longer available")]
+    #[error("the change history is gone")]
     HistoryGone,
     /// Stored data could not be decoded.
-    #[error("cannot decode stored data: {0}")]
+    #[error("unreadable: {0}")]
     Unreadable(String),
 }
 
--- a/crates/node/src/editor.rs
+++ b/crates/node/src/editor.rs
@@ -232,10 +232,7 @@
 
 fn reject(request: &EditRequest, context: &EditContext) -> Option<EditReply> {
     if context.is_void {
-        let finding = Finding::new(
-            "write",
-            "this write was settled as void; repeat the edit under a new write name",
-        );
+        let finding = Finding::new("write", "this write was settled as void; send it anew");
         return Some(EditReply::Refused {
             findings: vec![finding.into()],
         });
--- a/crates/node/src/operator_api.rs
+++ b/crates/node/src/operator_api.rs
@@ -227,7 +227,7 @@
             prefixes: vec![usage_prefix()],
         };
         let Ok(reply) = self.shared.platform.table.read(request).await else {
-            return reply_text(StatusCode::SERVICE_UNAVAILABLE, "the table did not respond");
+            return reply_text(StatusCode::SERVICE_UNAVAILABLE, "the table gives no answer");
         };
         let mut totals: IndexMap<OrganisationId, UsageRow> = IndexMap::new();
         let batches = reply
--- a/crates/node/src/steps.rs
+++ b/crates/node/src/steps.rs
@@ -36,7 +36,7 @@
             group,
             members,
             reason,
-        } => format!("repair {group} with {}: {reason}", names(members)),
+        } => format!("mend {group} with {}: {reason}", names(members)),
         PlanStep::Preload {
             vm,
             deployment,
--- a/crates/platform/src/table.rs
+++ b/crates/platform/src/table.rs
@@ -14,10 +14,10 @@
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum StoreError {
     /// No usable response arrived; a write may or may not have taken effect.
-    #[error("the platform did not respond")]
+    #[error("the platform gave no answer")]
     NoResponse,
     /// The platform rejected the call, which had no effect.
-    #[error("the platform rejected the call: {0}")]
+    #[error("the platform refused the call: {0}")]
     Refused(String),
 }
 
