--- a/crates/model/examples/check.rs
+++ b/crates/model/examples/check.rs
@@ -6,9 +6,9 @@
 use std::process::ExitCode;
 
 use briarswitch_model::{
-    search, stuck_states, AssemblyDefect, AssemblySpec, ConfigDefect, ConfigSpec, CrashDefect,
-    CrashSpec, GateDefect, GateSpec, KeyDefect, KeySpec, LeaseDefect, LeaseSpec, OrderDefect,
-    OrderSpec, RelayDefect, RelaySpec, RestartDefect, RestartSpec, Specification,
+    search, stuck_states, ConfigDefect, ConfigSpec, CrashDefect, CrashSpec, GateDefect, GateSpec,
+    GroupFormationDefect, GroupFormationSpec, KeyDefect, KeySpec, LeaseDefect, LeaseSpec,
+    OrderDefect, OrderSpec, RelayDefect, RelaySpec, RestartDefect, RestartSpec, Specification,
 };
 
 /// Counts what was not as it should be.
@@ -75,7 +75,7 @@
         "orders, engines that ignore fencing",
         &OrderSpec::sound(false),
     );
-    tally.holds("groups by conditional orders", &AssemblySpec::sound());
+    tally.holds("groups by conditional orders", &GroupFormationSpec::sound());
     tally.holds("a member that restarts", &RestartSpec::sound());
     tally.holds("configuration through readers", &RelaySpec::sound());
     tally.holds("serving gate", &GateSpec::sound());
@@ -95,9 +95,9 @@
     tally.progresses("accepted configuration", &ConfigSpec::sound());
     tally.progresses("at most once by key", &KeySpec::sound());
     for (checks, defect) in [
-        (true, LeaseDefect::CountedFromAnswer),
-        (true, LeaseDefect::HastyChallenger),
-        (true, LeaseDefect::NoFencing),
+        (true, LeaseDefect::CountedFromResponse),
+        (true, LeaseDefect::EarlyChallenger),
+        (true, LeaseDefect::FencingIgnored),
         (false, LeaseDefect::NoOrderWait),
         (false, LeaseDefect::UncheckedOrder),
     ] {
@@ -105,8 +105,8 @@
         tally.catches(&name, &LeaseSpec::defective(checks, defect));
     }
     for defect in [
-        OrderDefect::NoFencing,
-        OrderDefect::NoReport,
+        OrderDefect::FencingIgnored,
+        OrderDefect::ClaimedWithoutReport,
         OrderDefect::UnacknowledgedLeave,
         OrderDefect::SameFence,
     ] {
@@ -114,39 +114,39 @@
         tally.catches(&name, &OrderSpec::defective(defect));
     }
     for defect in [
-        AssemblyDefect::NoSequence,
-        AssemblyDefect::NoInstance,
-        AssemblyDefect::ReusedBeforeStop,
-        AssemblyDefect::OpenedUnseen,
-        AssemblyDefect::UnsettledBelieved,
+        GroupFormationDefect::SequenceIgnored,
+        GroupFormationDefect::IncarnationIgnored,
+        GroupFormationDefect::ReusedBeforeStop,
+        GroupFormationDefect::OpenedBeforeReady,
+        GroupFormationDefect::UnknownTakenAsDone,
     ] {
         let name = format!("groups with {defect:?}");
-        tally.catches(&name, &AssemblySpec::defective(defect));
+        tally.catches(&name, &GroupFormationSpec::defective(defect));
     }
     for defect in [
-        RestartDefect::EpochOfSeen,
-        RestartDefect::NoEpoch,
-        RestartDefect::ChosenByOldReport,
-        RestartDefect::OpenedOtherLife,
-        RestartDefect::NoSequence,
+        RestartDefect::EpochFromReport,
+        RestartDefect::EpochIgnored,
+        RestartDefect::ChosenByStaleReport,
+        RestartDefect::OpenedOtherIncarnation,
+        RestartDefect::SequenceIgnored,
     ] {
         let name = format!("restart with {defect:?}");
         tally.catches(&name, &RestartSpec::defective(defect));
     }
     for defect in [
-        RelayDefect::AgeForgotten,
-        RelayDefect::CutShortDates,
+        RelayDefect::AgeIgnored,
+        RelayDefect::PartialConfirms,
         RelayDefect::OlderAdopted,
-        RelayDefect::DatedByArrival,
+        RelayDefect::DatedByResponse,
     ] {
         let name = format!("readers with {defect:?}");
         tally.catches(&name, &RelaySpec::defective(defect));
     }
     for defect in [
         GateDefect::NeverExpires,
-        GateDefect::CountedFromAnswer,
+        GateDefect::CountedFromResponse,
         GateDefect::OlderUndoesRevocation,
-        GateDefect::AnyGeneration,
+        GateDefect::GenerationIgnored,
     ] {
         let name = format!("gate with {defect:?}");
         tally.catches(&name, &GateSpec::defective(defect));
@@ -154,18 +154,18 @@
     for defect in [
         ConfigDefect::LowerAccepted,
         ConfigDefect::BlindRetry,
-        ConfigDefect::SettleBarsNothing,
+        ConfigDefect::SettleWithoutVoid,
         ConfigDefect::UnconditionalHead,
     ] {
         let name = format!("configuration with {defect:?}");
         tally.catches(&name, &ConfigSpec::defective(defect));
     }
     for defect in [
-        KeyDefect::SentUnsettled,
+        KeyDefect::SentBeforeClaimKnown,
         KeyDefect::RetriedUnknown,
         KeyDefect::ReleasedUnknown,
         KeyDefect::UnconditionalClaim,
-        KeyDefect::BrokenToldNotRun,
+        KeyDefect::BrokenReportedNotRun,
     ] {
         let name = format!("keys with {defect:?}");
         tally.catches(&name, &KeySpec::defective(defect));
@@ -173,9 +173,9 @@
     for defect in [
         CrashDefect::NeverWritten,
         CrashDefect::Summed,
-        CrashDefect::DroppedEarly,
-        CrashDefect::OneRow,
-        CrashDefect::UnreadAtStart,
+        CrashDefect::DeletedEarly,
+        CrashDefect::SingleRow,
+        CrashDefect::NoInitialRead,
         CrashDefect::EraIgnored,
     ] {
         let name = format!("requests that end targets with {defect:?}");
--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -22,7 +22,7 @@
     /// A write whose answer was lost is sent again without reading back.
     BlindRetry,
     /// Settling only looks, and bars nothing.
-    SettleBarsNothing,
+    SettleWithoutVoid,
     /// The head row's version is not a condition.
     UnconditionalHead,
 }
@@ -135,13 +135,13 @@
                     operator: who,
                     expected: state.log.len(),
                 });
-                steps.push(Step::of(format!("operator {who} sends an edit"), next));
+                steps.push(Step::new(format!("operator {who} sends an edit"), next));
             }
             Stage::Sent(write) => {
                 let mut next = state.clone();
                 let told = self.apply(&mut next, write);
                 next.stages[who] = Stage::Done(told);
-                steps.push(Step::of(
+                steps.push(Step::new(
                     format!("operator {who} is answered {told:?}"),
                     next,
                 ));
@@ -173,16 +173,16 @@
         if self.has(ConfigDefect::BlindRetry) {
             let mut next = state.clone();
             next.stages[who] = Stage::Idle;
-            steps.push(Step::of(format!("operator {who} sends it again"), next));
+            steps.push(Step::new(format!("operator {who} sends it again"), next));
             return;
         }
         let mut next = state.clone();
         let is_there = state.log.contains(&who);
         next.stages[who] = Stage::Done(if is_there { Told::Accepted } else { Told::Void });
-        if !is_there && !self.has(ConfigDefect::SettleBarsNothing) {
+        if !is_there && !self.has(ConfigDefect::SettleWithoutVoid) {
             next.void[who] = true;
         }
-        steps.push(Step::of(format!("operator {who} settles it"), next));
+        steps.push(Step::new(format!("operator {who} settles it"), next));
     }
 
     fn node_steps(&self, state: &ConfigState, steps: &mut Vec<Step<ConfigState>>) {
@@ -191,7 +191,7 @@
                 let mut next = state.clone();
                 next.heard.push(version);
                 next.heard.sort_unstable();
-                steps.push(Step::of(
+                steps.push(Step::new(
                     format!("version {version} is told to the node"),
                     next,
                 ));
@@ -208,7 +208,7 @@
             let held = next.node.book.version();
             next.is_lowered |= held < state.highest;
             next.highest = state.highest.max(held);
-            steps.push(Step::of(format!("the node takes version {version}"), next));
+            steps.push(Step::new(format!("the node takes version {version}"), next));
         }
     }
 }
@@ -253,13 +253,13 @@
             let mut next = state.clone();
             let write = next.late.remove(index);
             self.apply(&mut next, write);
-            steps.push(Step::of("the store takes a late write", next));
+            steps.push(Step::new("the store takes a late write", next));
         }
         self.node_steps(state, &mut steps);
         steps
     }
 
-    fn broken(&self, state: &ConfigState) -> Option<&'static str> {
+    fn violated_property(&self, state: &ConfigState) -> Option<&'static str> {
         if state.is_lowered {
             return Some("a node never goes back to a lower version");
         }
--- a/crates/model/src/crash.rs
+++ b/crates/model/src/crash.rs
@@ -32,11 +32,11 @@
     /// What is told is added to what is held, as a sum and not as a set.
     Summed,
     /// Rows are dropped that still count.
-    DroppedEarly,
+    DeletedEarly,
     /// All ends of a request are one row, which the last writer sets; what was written once counts as kept.
-    OneRow,
+    SingleRow,
     /// A node that starts follows the table's changes and does not read the table.
-    UnreadAtStart,
+    NoInitialRead,
     /// A node takes what it saw in the table before a restore for being there still.
     EraIgnored,
 }
@@ -162,7 +162,7 @@
     }
 
     fn store(&self, state: &mut CrashState, rows: EndSet) {
-        if self.has(CrashDefect::OneRow) {
+        if self.has(CrashDefect::SingleRow) {
             state.stored = rows;
         } else {
             state.stored |= rows;
@@ -171,7 +171,7 @@
 
     /// Returns whether nodes go by what they saw in the table, and not by what is there.
     fn trusts_written(&self) -> bool {
-        self.has(CrashDefect::OneRow) || self.has(CrashDefect::EraIgnored)
+        self.has(CrashDefect::SingleRow) || self.has(CrashDefect::EraIgnored)
     }
 
     fn note_written(&self, node: &mut NodeState, rows: EndSet) {
@@ -203,7 +203,7 @@
         self.take(&mut next.nodes[node], end);
         next.nodes[node].pending |= end;
         next.ends += 1;
-        Some(Step::of(format!("a target ends at node {node}"), next))
+        Some(Step::new(format!("a target ends at node {node}"), next))
     }
 
     fn tell_step(&self, state: &CrashState, node: usize) -> Step<CrashState> {
@@ -223,7 +223,7 @@
         if !is_told {
             next.nodes[node].untold |= ends;
         }
-        Step::of(format!("node {node} tells what it saw"), next)
+        Step::new(format!("node {node} tells what it saw"), next)
     }
 
     fn node_steps(&self, state: &CrashState, node: usize, steps: &mut Vec<Step<CrashState>>) {
@@ -235,21 +235,21 @@
             let mut next = state.clone();
             self.store(&mut next, due);
             self.note_written(&mut next.nodes[node], due);
-            steps.push(Step::of(format!("node {node} writes"), next));
+            steps.push(Step::new(format!("node {node} writes"), next));
         }
         let unread = self.unread(state, node);
         if unread != 0 {
             let mut next = state.clone();
             self.take(&mut next.nodes[node], unread);
             self.note_written(&mut next.nodes[node], unread);
-            steps.push(Step::of(format!("node {node} reads the table"), next));
+            steps.push(Step::new(format!("node {node} reads the table"), next));
         }
         let own = &state.nodes[node];
         if own.is_apart || own.is_off {
             let mut next = state.clone();
             next.nodes[node].is_apart = false;
             next.nodes[node].is_off = false;
-            steps.push(Step::of(format!("node {node} is reached again"), next));
+            steps.push(Step::new(format!("node {node} is reached again"), next));
         }
     }
 
@@ -267,7 +267,7 @@
             is_off: own.is_off,
             ..NodeState::default()
         };
-        if self.has(CrashDefect::UnreadAtStart) {
+        if self.has(CrashDefect::NoInitialRead) {
             next.nodes[node].missed = state.stored;
         }
         steps.push(Step::fault(format!("node {node} restarts"), next));
@@ -290,7 +290,7 @@
         if due != 0 {
             let mut next = faulty();
             next.late.push(due);
-            if self.has(CrashDefect::OneRow) {
+            if self.has(CrashDefect::SingleRow) {
                 next.nodes[node].written |= due;
             }
             steps.push(Step::fault(format!("node {node}'s write is held up"), next));
@@ -334,17 +334,17 @@
             let mut next = state.clone();
             let rows = next.late.remove(index);
             self.store(&mut next, rows);
-            steps.push(Step::of("a write lands late", next));
+            steps.push(Step::new("a write lands late", next));
         }
-        if self.has(CrashDefect::DroppedEarly) && state.stored != 0 {
+        if self.has(CrashDefect::DeletedEarly) && state.stored != 0 {
             let mut next = state.clone();
             next.stored &= next.stored - 1;
-            steps.push(Step::of("a row is dropped", next));
+            steps.push(Step::new("a row is dropped", next));
         }
         steps
     }
 
-    fn broken(&self, state: &CrashState) -> Option<&'static str> {
+    fn violated_property(&self, state: &CrashState) -> Option<&'static str> {
         if state.witnessed() == MOST_ENDS {
             return Some("a request ends at most two targets more, once all nodes can know");
         }
--- a/crates/model/src/gate.rs
+++ b/crates/model/src/gate.rs
@@ -25,11 +25,11 @@
     /// Evidence never runs out.
     NeverExpires,
     /// Evidence counts from when the answer came.
-    CountedFromAnswer,
+    CountedFromResponse,
     /// A revocation is undone by evidence that is older.
     OlderUndoesRevocation,
     /// The generation is not compared.
-    AnyGeneration,
+    GenerationIgnored,
 }
 
 /// The serving gate.
@@ -87,7 +87,7 @@
         for event in &state.events {
             match event {
                 Event::Report { asked, generation } => {
-                    let is_any = self.has(GateDefect::AnyGeneration);
+                    let is_any = self.has(GateDefect::GenerationIgnored);
                     let generation = if is_any { 1 } else { *generation };
                     ledger.record(report(generation), ticks(*asked));
                 }
@@ -110,7 +110,7 @@
         if state.flights.len() < 2 {
             let mut next = state.clone();
             next.flights.push((state.now, None));
-            steps.push(Step::of("the node asks", next));
+            steps.push(Step::new("the node asks", next));
         }
         for (index, (asked, answer)) in state.flights.iter().enumerate() {
             let Some(generation) = answer else {
@@ -118,7 +118,7 @@
             };
             let mut next = state.clone();
             next.flights.remove(index);
-            let counted = if self.has(GateDefect::CountedFromAnswer) {
+            let counted = if self.has(GateDefect::CountedFromResponse) {
                 state.now
             } else {
                 *asked
@@ -127,7 +127,7 @@
                 asked: counted,
                 generation: *generation,
             });
-            steps.push(Step::of(
+            steps.push(Step::new(
                 format!("the answer asked for at {asked} arrives"),
                 next,
             ));
@@ -135,13 +135,13 @@
         if state.died.is_some() && !state.events.contains(&Event::Revoked { at: state.now }) {
             let mut next = state.clone();
             next.events.push(Event::Revoked { at: state.now });
-            steps.push(Step::of("a connection is refused", next));
+            steps.push(Step::new("a connection is refused", next));
         }
         if self.is_open(state) {
             let mut next = state.clone();
             next.is_sent_late |= is_late(state);
             next.is_sent_revoked |= is_refused(state);
-            steps.push(Step::of("a request is sent", next));
+            steps.push(Step::new("a request is sent", next));
         }
     }
 
@@ -153,7 +153,7 @@
             if answer.is_none() {
                 let mut next = state.clone();
                 next.flights[index].1 = Some(state.generation);
-                steps.push(Step::of("the member answers", next));
+                steps.push(Step::new("the member answers", next));
             }
         }
         let mut next = state.clone();
@@ -163,7 +163,7 @@
             let mut next = state.clone();
             next.generation = 2;
             next.left = Some(state.now);
-            steps.push(Step::of("the member joins the next generation", next));
+            steps.push(Step::new("the member joins the next generation", next));
         }
     }
 }
@@ -206,12 +206,12 @@
         if state.now < END {
             let mut next = state.clone();
             next.now += 1;
-            steps.push(Step::of("time passes", next));
+            steps.push(Step::new("time passes", next));
         }
         steps
     }
 
-    fn broken(&self, state: &GateState) -> Option<&'static str> {
+    fn violated_property(&self, state: &GateState) -> Option<&'static str> {
         if state.is_sent_revoked {
             return Some("no request is sent after the member was seen to be gone");
         }
--- a/crates/model/src/assembly.rs
+++ b/crates/model/src/group_formation.rs
@@ -28,23 +28,23 @@
 
 /// A defect put in on purpose.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum AssemblyDefect {
+pub enum GroupFormationDefect {
     /// Targets carry orders out whatever their count is.
-    NoSequence,
+    SequenceIgnored,
     /// Targets carry out orders that were meant for an earlier life.
-    NoInstance,
+    IncarnationIgnored,
     /// Members are taken as soon as the first member was told to leave.
     ReusedBeforeStop,
     /// A group is opened when its first member is ready.
-    OpenedUnseen,
+    OpenedBeforeReady,
     /// An order without an answer is taken for carried out.
-    UnsettledBelieved,
+    UnknownTakenAsDone,
 }
 
 /// Forming, opening and leaving of groups.
 #[derive(Clone, Copy, Debug)]
-pub struct AssemblySpec {
-    defect: Option<AssemblyDefect>,
+pub struct GroupFormationSpec {
+    defect: Option<GroupFormationDefect>,
 }
 
 type Group = u8;
@@ -80,7 +80,7 @@
 
 /// State of targets, orders and what the controllers know.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct AssemblyState {
+pub struct GroupFormationState {
     targets: [Target; TARGETS],
     views: [[Option<Target>; TARGETS]; CONTROLLERS],
     /// Whether each group was formed.
@@ -96,24 +96,24 @@
     taken_while_served: bool,
 }
 
-impl AssemblySpec {
+impl GroupFormationSpec {
     /// Makes the sound protocol.
     pub fn sound() -> Self {
         Self { defect: None }
     }
 
     /// Makes the protocol with one defect.
-    pub fn defective(defect: AssemblyDefect) -> Self {
+    pub fn defective(defect: GroupFormationDefect) -> Self {
         Self {
             defect: Some(defect),
         }
     }
 
-    fn has(&self, defect: AssemblyDefect) -> bool {
+    fn has(&self, defect: GroupFormationDefect) -> bool {
         self.defect == Some(defect)
     }
 
-    fn is_free(&self, state: &AssemblyState, controller: usize, target: usize) -> bool {
+    fn is_free(&self, state: &GroupFormationState, controller: usize, target: usize) -> bool {
         let Some(seen) = state.views[controller][target] else {
             return false;
         };
@@ -123,7 +123,13 @@
         }
     }
 
-    fn send(&self, state: &mut AssemblyState, controller: usize, target: usize, action: Action) {
+    fn send(
+        &self,
+        state: &mut GroupFormationState,
+        controller: usize,
+        target: usize,
+        action: Action,
+    ) {
         let Some(seen) = state.views[controller][target] else {
             return;
         };
@@ -136,7 +142,7 @@
         state.orders.sort_unstable();
         // The target has to report before it is ordered again by this controller.
         state.views[controller][target] = None;
-        if self.has(AssemblyDefect::UnsettledBelieved) {
+        if self.has(GroupFormationDefect::UnknownTakenAsDone) {
             state.views[controller][target] = Some(Target {
                 count: seen.count + 1,
                 group: effect(action, seen.group),
@@ -147,9 +153,9 @@
 
     fn form_steps(
         &self,
-        state: &AssemblyState,
+        state: &GroupFormationState,
         controller: usize,
-        steps: &mut Vec<Step<AssemblyState>>,
+        steps: &mut Vec<Step<GroupFormationState>>,
     ) {
         if state.orders.len() + 2 > IN_FLIGHT {
             return;
@@ -174,14 +180,14 @@
             self.send(&mut next, controller, FIRST, Action::Join(group));
         }
         self.send(&mut next, controller, SECOND, Action::Join(group));
-        steps.push(Step::of(format!("{controller} forms {group}"), next));
+        steps.push(Step::new(format!("{controller} forms {group}"), next));
     }
 
     fn group_steps(
         &self,
-        state: &AssemblyState,
+        state: &GroupFormationState,
         controller: usize,
-        steps: &mut Vec<Step<AssemblyState>>,
+        steps: &mut Vec<Step<GroupFormationState>>,
     ) {
         if state.orders.len() >= IN_FLIGHT {
             return;
@@ -194,35 +200,39 @@
                     .filter(|(held, _)| *held == group)
                     .map(|(_, stage)| stage)
             };
-            let is_second_ready =
-                stage(SECOND) == Some(Stage::Ready) || self.has(AssemblyDefect::OpenedUnseen);
+            let is_second_ready = stage(SECOND) == Some(Stage::Ready)
+                || self.has(GroupFormationDefect::OpenedBeforeReady);
             if *owner == controller && stage(FIRST) == Some(Stage::Ready) && is_second_ready {
                 let mut next = state.clone();
                 self.send(&mut next, controller, FIRST, Action::Open(group));
-                steps.push(Step::of(format!("{controller} opens {group}"), next));
+                steps.push(Step::new(format!("{controller} opens {group}"), next));
             }
             let may_end = controller == ENDING && *owner != ENDING && state.leaves_left > 0;
             if may_end && stage(FIRST).is_some() {
                 let mut next = state.clone();
                 next.leaves_left -= 1;
                 self.send(&mut next, controller, FIRST, Action::Leave(group));
-                let is_early = self.has(AssemblyDefect::ReusedBeforeStop)
-                    || self.has(AssemblyDefect::UnsettledBelieved);
+                let is_early = self.has(GroupFormationDefect::ReusedBeforeStop)
+                    || self.has(GroupFormationDefect::UnknownTakenAsDone);
                 if is_early {
                     next.released[controller].push(group);
                 }
-                steps.push(Step::of(format!("{controller} ends {group}"), next));
+                steps.push(Step::new(format!("{controller} ends {group}"), next));
             }
         }
     }
 
-    fn target_steps(&self, state: &AssemblyState, steps: &mut Vec<Step<AssemblyState>>) {
+    fn target_steps(
+        &self,
+        state: &GroupFormationState,
+        steps: &mut Vec<Step<GroupFormationState>>,
+    ) {
         for target in 0..TARGETS {
             if let Some((group, Stage::Joining)) = state.targets[target].group {
                 let mut next = state.clone();
                 next.targets[target].group = Some((group, Stage::Ready));
                 next.note_ready(target, group);
-                steps.push(Step::of(format!("{target} is ready in {group}"), next));
+                steps.push(Step::new(format!("{target} is ready in {group}"), next));
             }
             for controller in 0..CONTROLLERS {
                 if state.views[controller][target] == Some(state.targets[target]) {
@@ -230,12 +240,12 @@
                 }
                 let mut next = state.clone();
                 next.report(controller, target);
-                steps.push(Step::of(format!("{target} reports to {controller}"), next));
+                steps.push(Step::new(format!("{target} reports to {controller}"), next));
             }
         }
     }
 
-    fn order_steps(&self, state: &AssemblyState, steps: &mut Vec<Step<AssemblyState>>) {
+    fn order_steps(&self, state: &GroupFormationState, steps: &mut Vec<Step<GroupFormationState>>) {
         for index in 0..state.orders.len() {
             let mut next = state.clone();
             let order = next.orders.remove(index);
@@ -251,21 +261,23 @@
                     answered.released[ENDING].push(group);
                     answered.released[ENDING].sort_unstable();
                 }
-                steps.push(Step::of(
+                steps.push(Step::new(
                     format!("{order:?} arrives and is answered"),
                     answered,
                 ));
             }
-            steps.push(Step::of(format!("{order:?} arrives"), next));
+            steps.push(Step::new(format!("{order:?} arrives"), next));
             lost.orders.sort_unstable();
             steps.push(Step::fault(format!("{order:?} is lost"), lost));
         }
     }
 
-    fn carry_out(&self, state: &mut AssemblyState, order: Order) {
+    fn carry_out(&self, state: &mut GroupFormationState, order: Order) {
         let target = state.targets[order.target];
-        let is_other_life = target.life != order.life && !self.has(AssemblyDefect::NoInstance);
-        let is_moved = target.count != order.expected && !self.has(AssemblyDefect::NoSequence);
+        let is_other_life =
+            target.life != order.life && !self.has(GroupFormationDefect::IncarnationIgnored);
+        let is_moved =
+            target.count != order.expected && !self.has(GroupFormationDefect::SequenceIgnored);
         if is_other_life || is_moved {
             return;
         }
@@ -286,7 +298,7 @@
     }
 }
 
-impl AssemblyState {
+impl GroupFormationState {
     fn note_ready(&mut self, target: usize, group: Group) {
         let rank = usize::from(target != FIRST);
         self.ever_ready[usize::from(group)][rank] = true;
@@ -310,11 +322,11 @@
     }
 }
 
-impl Specification for AssemblySpec {
-    type State = AssemblyState;
+impl Specification for GroupFormationSpec {
+    type State = GroupFormationState;
 
-    fn initial(&self) -> AssemblyState {
-        AssemblyState {
+    fn initial(&self) -> GroupFormationState {
+        GroupFormationState {
             targets: [Target {
                 life: 0,
                 count: 0,
@@ -332,7 +344,7 @@
         }
     }
 
-    fn steps(&self, state: &AssemblyState) -> Vec<Step<AssemblyState>> {
+    fn steps(&self, state: &GroupFormationState) -> Vec<Step<GroupFormationState>> {
         let mut steps = Vec::new();
         for controller in 0..CONTROLLERS {
             self.form_steps(state, controller, &mut steps);
@@ -353,7 +365,7 @@
         steps
     }
 
-    fn broken(&self, state: &AssemblyState) -> Option<&'static str> {
+    fn violated_property(&self, state: &GroupFormationState) -> Option<&'static str> {
         if state.opened_early {
             return Some("a group opens only after each member was ready in it");
         }
@@ -362,7 +374,7 @@
             .then_some("a target joins another group only when its old one does not serve")
     }
 
-    fn is_goal(&self, state: &AssemblyState) -> bool {
+    fn is_goal(&self, state: &GroupFormationState) -> bool {
         let is_served = (0..GROUPS.len()).any(|group| state.serves(group as Group));
         is_served || state.formed[0]
     }
--- a/crates/model/src/keys.rs
+++ b/crates/model/src/keys.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum KeyDefect {
     /// A request is sent though its claim is unsettled.
-    SentUnsettled,
+    SentBeforeClaimKnown,
     /// A request that may have run is sent again.
     RetriedUnknown,
     /// A key is given back after its request may have run.
@@ -24,7 +24,7 @@
     /// The claim does not demand that the key is unclaimed.
     UnconditionalClaim,
     /// A connection that broke after bytes left is told as not run.
-    BrokenToldNotRun,
+    BrokenReportedNotRun,
 }
 
 /// At most once by claims.
@@ -89,28 +89,28 @@
                 next.requests[node] += 1;
                 next.own_runs[node] = 0;
                 next.stages[node] = Stage::Claiming;
-                steps.push(Step::of(format!("node {node} gets a request"), next));
+                steps.push(Step::new(format!("node {node} gets a request"), next));
             }
             Stage::Claiming => self.claim_steps(state, node, steps),
             Stage::Unsettled => {
                 let mut next = state.clone();
                 next.stages[node] =
-                    if state.claim == Some(mark) || self.has(KeyDefect::SentUnsettled) {
+                    if state.claim == Some(mark) || self.has(KeyDefect::SentBeforeClaimKnown) {
                         Stage::Holding
                     } else if state.claim.is_some() {
                         Stage::Told(FailurePoint::KeyClaimed.outcome())
                     } else {
                         Stage::Told(FailurePoint::ClaimStore.outcome())
                     };
-                steps.push(Step::of(format!("node {node} reads its claim back"), next));
+                steps.push(Step::new(format!("node {node} reads its claim back"), next));
             }
             Stage::Holding => {
                 let mut next = state.clone();
                 next.stages[node] = Stage::Sent;
-                steps.push(Step::of(format!("node {node} sends the request"), next));
+                steps.push(Step::new(format!("node {node} sends the request"), next));
                 let mut next = state.clone();
                 next.stages[node] = Stage::Releasing;
-                steps.push(Step::of(format!("node {node} finds no target"), next));
+                steps.push(Step::new(format!("node {node} finds no target"), next));
             }
             Stage::Sent => self.sent_steps(state, node, steps),
             Stage::Releasing => {
@@ -119,7 +119,7 @@
                     next.claim = None;
                 }
                 self.tell(&mut next, node, Outcome::NotRun);
-                steps.push(Step::of(format!("node {node} gives the key back"), next));
+                steps.push(Step::new(format!("node {node} gives the key back"), next));
             }
             _ => {}
         }
@@ -134,7 +134,7 @@
         } else {
             next.stages[node] = Stage::Told(FailurePoint::KeyClaimed.outcome());
         }
-        steps.push(Step::of(format!("node {node} claims the key"), next));
+        steps.push(Step::new(format!("node {node} claims the key"), next));
         if state.faults_left == 0 {
             return;
         }
@@ -159,7 +159,7 @@
         let mut next = state.clone();
         run(&mut next, node);
         self.tell(&mut next, node, Outcome::Answered);
-        steps.push(Step::of(
+        steps.push(Step::new(
             format!("the target runs node {node}'s request"),
             next,
         ));
@@ -186,7 +186,7 @@
         } else if self.has(KeyDefect::ReleasedUnknown) {
             state.claim = None;
             state.stages[node] = Stage::Told(point.outcome());
-        } else if self.has(KeyDefect::BrokenToldNotRun) {
+        } else if self.has(KeyDefect::BrokenReportedNotRun) {
             self.tell(state, node, Outcome::NotRun);
         } else {
             self.tell(state, node, point.outcome());
@@ -237,12 +237,12 @@
             if self.is_takeable(state) {
                 next.claim = Some(mark);
             }
-            steps.push(Step::of("the store takes a late claim", next));
+            steps.push(Step::new("the store takes a late claim", next));
         }
         steps
     }
 
-    fn broken(&self, state: &KeyState) -> Option<&'static str> {
+    fn violated_property(&self, state: &KeyState) -> Option<&'static str> {
         if state.runs > 1 {
             return Some("work under one key runs at most once");
         }
--- a/crates/model/src/lease.rs
+++ b/crates/model/src/lease.rs
@@ -37,11 +37,11 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LeaseDefect {
     /// The holder counts its lease from the answer instead of from before the write.
-    CountedFromAnswer,
+    CountedFromResponse,
     /// A challenger waits less than the lease's duration.
-    HastyChallenger,
+    EarlyChallenger,
     /// Engines do not check fencing numbers though orders may be held up for ever.
-    NoFencing,
+    FencingIgnored,
     /// A new holder orders engines that ignore fencing at once.
     NoOrderWait,
     /// The holder does not check its lease before it sends an order.
@@ -137,7 +137,7 @@
             let epoch = state.last_epoch[node];
             return (epoch > 0).then_some(epoch);
         }
-        if self.has(LeaseDefect::CountedFromAnswer) {
+        if self.has(LeaseDefect::CountedFromResponse) {
             let belief = state.beliefs[node].filter(|(_, until)| state.now < *until);
             return belief.map(|(epoch, _)| epoch);
         }
@@ -149,12 +149,15 @@
             let mut next = state.clone();
             next.keepers[node].observe(state.row.clone(), state.version, ticks(state.now));
             self.note_hold(&mut next, node);
-            steps.push(Step::of(format!("node {node} reads the row"), next.clone()));
+            steps.push(Step::new(
+                format!("node {node} reads the row"),
+                next.clone(),
+            ));
             let write = format!("{node}.{}", state.writes[node]);
             if let Some(write) = next.keepers[node].propose(write, ticks(state.now)) {
                 next.writes[node] += 1;
                 next.flights[node] = Some(Flight::Sent(write));
-                steps.push(Step::of(
+                steps.push(Step::new(
                     format!("node {node} reads the row and sends a write"),
                     next,
                 ));
@@ -170,7 +173,7 @@
                 next.beliefs[node] = Some((record.epoch, state.now + DURATION - MARGIN));
             }
             self.note_hold(&mut next, node);
-            steps.push(Step::of(format!("node {node} gets its answer"), next));
+            steps.push(Step::new(format!("node {node} gets its answer"), next));
         }
         self.order_step(state, node, steps);
         if state.faults_left > 0 {
@@ -204,7 +207,7 @@
         next.orders_left -= 1;
         next.orders.push((epoch, state.now));
         next.orders.sort_unstable();
-        steps.push(Step::of(
+        steps.push(Step::new(
             format!("node {node} sends an order of epoch {epoch}"),
             next,
         ));
@@ -230,7 +233,7 @@
                 let mut next = state.clone();
                 let answer = apply(&mut next, write);
                 next.flights[node] = Some(Flight::Done(answer));
-                steps.push(Step::of(
+                steps.push(Step::new(
                     format!("the store takes node {node}'s write"),
                     next,
                 ));
@@ -240,7 +243,7 @@
             let mut next = state.clone();
             let write = next.late.remove(index);
             apply(&mut next, &write);
-            steps.push(Step::of("the store takes a late write", next));
+            steps.push(Step::new("the store takes a late write", next));
         }
     }
 
@@ -249,12 +252,13 @@
             let mut next = state.clone();
             let (epoch, _) = next.orders.remove(index);
             let is_old = epoch < state.engine_epoch;
-            let is_refused = is_old && self.checks_fencing && !self.has(LeaseDefect::NoFencing);
+            let is_refused =
+                is_old && self.checks_fencing && !self.has(LeaseDefect::FencingIgnored);
             if !is_refused {
                 next.is_order_old |= is_old;
                 next.engine_epoch = epoch;
             }
-            steps.push(Step::of(
+            steps.push(Step::new(
                 format!("the engine gets an order of epoch {epoch}"),
                 next,
             ));
@@ -271,7 +275,7 @@
             margin: ticks(MARGIN.min(duration - 1)),
             renew: ticks(self.renew),
         };
-        let is_hasty = self.has(LeaseDefect::HastyChallenger);
+        let is_hasty = self.has(LeaseDefect::EarlyChallenger);
         let (first, second) = if is_hasty {
             (4, 1)
         } else {
@@ -317,12 +321,12 @@
                 let now = next.now;
                 next.orders.retain(|(_, sent)| sent + ORDER_LIFE >= now);
             }
-            steps.push(Step::of("time passes", next));
+            steps.push(Step::new("time passes", next));
         }
         steps
     }
 
-    fn broken(&self, state: &LeaseState) -> Option<&'static str> {
+    fn violated_property(&self, state: &LeaseState) -> Option<&'static str> {
         let holds = |node: usize| self.epoch(state, node).is_some();
         let is_checked = !self.has(LeaseDefect::UncheckedOrder);
         if is_checked && holds(0) && holds(1) {
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -10,10 +10,10 @@
 //! assert!(report.violation.is_none() && report.is_exhausted);
 //! ```
 
-mod assembly;
 mod config;
 mod crash;
 mod gate;
+mod group_formation;
 mod keys;
 mod lease;
 mod orders;
@@ -21,10 +21,10 @@
 mod restart;
 mod search;
 
-pub use assembly::{AssemblyDefect, AssemblySpec};
 pub use config::{ConfigDefect, ConfigSpec};
 pub use crash::{CrashDefect, CrashSpec};
 pub use gate::{GateDefect, GateSpec};
+pub use group_formation::{GroupFormationDefect, GroupFormationSpec};
 pub use keys::{KeyDefect, KeySpec};
 pub use lease::{LeaseDefect, LeaseSpec};
 pub use orders::{OrderDefect, OrderSpec};
--- a/crates/model/src/orders.rs
+++ b/crates/model/src/orders.rs
@@ -15,9 +15,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderDefect {
     /// Engines take orders whatever their fencing number, and nothing waits for that.
-    NoFencing,
+    FencingIgnored,
     /// The machine is claimed again without its own report that it is idle.
-    NoReport,
+    ClaimedWithoutReport,
     /// A report that it is idle is believed though it may be older than an order to join.
     UnacknowledgedLeave,
     /// Every order of an epoch carries the same fencing number.
@@ -109,7 +109,7 @@
         if state.claim.is_some() {
             return false;
         }
-        if self.has(OrderDefect::NoReport) {
+        if self.has(OrderDefect::ClaimedWithoutReport) {
             return true;
         }
         state
@@ -147,7 +147,10 @@
             next.seen = None;
             next.is_claimed_busy |= state.vm_group.is_some();
             self.send(&mut next, Some(state.next_group));
-            steps.push(Step::of("the machine is claimed and ordered to join", next));
+            steps.push(Step::new(
+                "the machine is claimed and ordered to join",
+                next,
+            ));
         }
         if let Some(group) = state.claim {
             self.claimed_steps(state, group, steps);
@@ -162,17 +165,17 @@
             let mut next = state.clone();
             next.is_dissolving = true;
             self.send(&mut next, None);
-            steps.push(Step::of(format!("group {group} is dissolved"), next));
+            steps.push(Step::new(format!("group {group} is dissolved"), next));
             return;
         }
         let is_left = state.seen.is_some_and(|report| {
             let is_replaced = state.vm_life != state.claim_life;
             is_replaced || self.has_left(state, report)
         });
-        if is_left || self.has(OrderDefect::NoReport) {
+        if is_left || self.has(OrderDefect::ClaimedWithoutReport) {
             let mut next = state.clone();
             next.claim = None;
-            steps.push(Step::of(
+            steps.push(Step::new(
                 format!("the claim of group {group} is dropped"),
                 next,
             ));
@@ -180,7 +183,7 @@
         if state.orders.is_empty() && state.vm_fence < state.next_fence {
             let mut next = state.clone();
             self.send(&mut next, None);
-            steps.push(Step::of("the order to leave is sent again", next));
+            steps.push(Step::new("the order to leave is sent again", next));
         }
     }
 
@@ -188,12 +191,12 @@
         for index in 0..state.orders.len() {
             let mut next = state.clone();
             let order = next.orders.remove(index);
-            let ignores = !self.checks_fencing || self.has(OrderDefect::NoFencing);
+            let ignores = !self.checks_fencing || self.has(OrderDefect::FencingIgnored);
             let is_refused = order.fence < state.vm_fence && !ignores;
             if !is_refused {
                 self.obey(&mut next, order);
             }
-            steps.push(Step::of(format!("order {order:?} arrives"), next));
+            steps.push(Step::new(format!("order {order:?} arrives"), next));
         }
         let mut next = state.clone();
         next.sent = Some(Report {
@@ -201,11 +204,11 @@
             group: state.vm_group,
             fence: state.vm_fence,
         });
-        steps.push(Step::of("the machine reports", next));
+        steps.push(Step::new("the machine reports", next));
         if state.sent.is_some() {
             let mut next = state.clone();
             next.seen = next.sent.take();
-            steps.push(Step::of("the report arrives", next));
+            steps.push(Step::new("the report arrives", next));
         }
     }
 
@@ -270,7 +273,7 @@
         steps
     }
 
-    fn broken(&self, state: &OrderState) -> Option<&'static str> {
+    fn violated_property(&self, state: &OrderState) -> Option<&'static str> {
         if state.is_taken_back {
             return Some("no earlier order takes a machine out of the group the table gives it");
         }
--- a/crates/model/src/relay.rs
+++ b/crates/model/src/relay.rs
@@ -19,13 +19,13 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RelayDefect {
     /// A reader passes a kept answer on as if it had asked for it just then.
-    AgeForgotten,
+    AgeIgnored,
     /// An answer with changes is taken for all there are.
-    CutShortDates,
+    PartialConfirms,
     /// A configuration is taken over whatever the version of the one held.
     OlderAdopted,
     /// What is held is dated by the answer's arrival.
-    DatedByArrival,
+    DatedByResponse,
 }
 
 /// Knowledge of configurations through readers.
@@ -106,7 +106,7 @@
                     asked: state.now,
                     arrived: None,
                 });
-                steps.push(Step::of(
+                steps.push(Step::new(
                     format!("the node asks {reader} after {mark:?}"),
                     next,
                 ));
@@ -129,7 +129,7 @@
                 answer: None,
             });
         }
-        Some(Step::of("the question arrives", next))
+        Some(Step::new("the question arrives", next))
     }
 
     fn store_steps(&self, state: &RelayState, steps: &mut Vec<Step<RelayState>>) {
@@ -148,7 +148,7 @@
                     answer: Some(answer),
                     ..flight
                 });
-                steps.push(Step::of(
+                steps.push(Step::new(
                     format!("the store answers {reader}: {answer:?}"),
                     next,
                 ));
@@ -161,12 +161,12 @@
         let arrived = question.arrived?;
         let flight = state.flights[question.reader]?;
         let version = flight.answer.filter(|_| flight.mark == question.mark)?;
-        let age = if self.has(RelayDefect::AgeForgotten) {
+        let age = if self.has(RelayDefect::AgeIgnored) {
             0
         } else {
             arrived.saturating_sub(flight.begun)
         };
-        let asked = if self.has(RelayDefect::DatedByArrival) {
+        let asked = if self.has(RelayDefect::DatedByResponse) {
             state.now
         } else {
             question.asked
@@ -177,11 +177,11 @@
             self.adopt(&mut next, version);
         }
         let is_all = question.mark.is_none() || version.is_none();
-        if next.held.is_some() && (is_all || self.has(RelayDefect::CutShortDates)) {
+        if next.held.is_some() && (is_all || self.has(RelayDefect::PartialConfirms)) {
             let at = asked.saturating_sub(age);
             next.confirmed = next.confirmed.max(Some(at));
         }
-        Some(Step::of("the node gets its answer", next))
+        Some(Step::new("the node gets its answer", next))
     }
 
     fn adopt(&self, state: &mut RelayState, version: u8) {
@@ -214,12 +214,12 @@
         if state.now < MOMENTS {
             let mut next = state.clone();
             next.now += 1;
-            steps.push(Step::of("time passes", next));
+            steps.push(Step::new("time passes", next));
         }
         if state.newest() < VERSIONS {
             let mut next = state.clone();
             next.accepted.push(state.now);
-            steps.push(Step::of("a version is accepted", next));
+            steps.push(Step::new("a version is accepted", next));
         }
         self.ask_steps(state, &mut steps);
         steps.extend(self.arrive_step(state));
@@ -228,7 +228,7 @@
         steps
     }
 
-    fn broken(&self, state: &RelayState) -> Option<&'static str> {
+    fn violated_property(&self, state: &RelayState) -> Option<&'static str> {
         if state.went_back {
             return Some("the configuration held never goes back");
         }
--- a/crates/model/src/restart.rs
+++ b/crates/model/src/restart.rs
@@ -21,15 +21,15 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RestartDefect {
     /// A group's epoch is one more than what the controller last saw of the member.
-    EpochOfSeen,
+    EpochFromReport,
     /// The member joins whatever the epoch.
-    NoEpoch,
+    EpochIgnored,
     /// Controllers choose the member by a report of a life that has ended.
-    ChosenByOldReport,
+    ChosenByStaleReport,
     /// A group is opened though its member restarted since it was chosen.
-    OpenedOtherLife,
+    OpenedOtherIncarnation,
     /// The member joins whatever its count.
-    NoSequence,
+    SequenceIgnored,
 }
 
 /// Joining of one member across its lives.
@@ -96,7 +96,7 @@
     }
 
     fn epoch(&self, state: &RestartState, seen: Member) -> u8 {
-        if self.has(RestartDefect::EpochOfSeen) {
+        if self.has(RestartDefect::EpochFromReport) {
             return seen.epoch + 1;
         }
         let formed = state.formed.iter().flatten();
@@ -106,7 +106,8 @@
     fn form_step(&self, state: &RestartState, controller: usize) -> Option<Step<RestartState>> {
         let seen = state.views[controller]?;
         let group = state.formed.iter().position(Option::is_none)?;
-        let is_known = seen.life == state.member.life || self.has(RestartDefect::ChosenByOldReport);
+        let is_known =
+            seen.life == state.member.life || self.has(RestartDefect::ChosenByStaleReport);
         let is_free = seen.group.is_none_or(|held| state.ended[held]);
         if !is_known || !is_free || state.orders.len() >= IN_FLIGHT {
             return None;
@@ -124,14 +125,15 @@
         next.orders.sort_unstable();
         // The member has to report before it is ordered again by this controller.
         next.views[controller] = None;
-        Some(Step::of(format!("{controller} forms {group}"), next))
+        Some(Step::new(format!("{controller} forms {group}"), next))
     }
 
     fn open_step(&self, state: &RestartState, controller: usize) -> Option<Step<RestartState>> {
         let seen = state.views[controller].filter(|seen| seen.is_ready)?;
         let group = seen.group?;
         let formation = state.formed[group]?;
-        let is_as_chosen = formation.life == seen.life || self.has(RestartDefect::OpenedOtherLife);
+        let is_as_chosen =
+            formation.life == seen.life || self.has(RestartDefect::OpenedOtherIncarnation);
         let is_due = formation.controller == controller
             && is_as_chosen
             && !state.ended[group]
@@ -139,7 +141,7 @@
         is_due.then(|| {
             let mut next = state.clone();
             next.serves[group] = true;
-            Step::of(format!("{controller} opens {group}"), next)
+            Step::new(format!("{controller} opens {group}"), next)
         })
     }
 
@@ -152,7 +154,7 @@
             next.ends_left -= 1;
             next.serves[group] = false;
             next.ended[group] = true;
-            steps.push(Step::of(format!("the head of {group} leaves"), next));
+            steps.push(Step::new(format!("the head of {group} leaves"), next));
         }
     }
 
@@ -162,15 +164,15 @@
             let order = next.orders.remove(index);
             steps.push(Step::fault(format!("{order:?} is lost"), next.clone()));
             self.carry_out(&mut next, order);
-            steps.push(Step::of(format!("{order:?} arrives"), next));
+            steps.push(Step::new(format!("{order:?} arrives"), next));
         }
     }
 
     fn carry_out(&self, state: &mut RestartState, order: JoinOrder) {
         let member = &mut state.member;
         let epoch = state.formed[order.group].map_or(0, |formation| formation.epoch);
-        let is_moved = member.count != order.expected && !self.has(RestartDefect::NoSequence);
-        let is_old = epoch < member.epoch && !self.has(RestartDefect::NoEpoch);
+        let is_moved = member.count != order.expected && !self.has(RestartDefect::SequenceIgnored);
+        let is_old = epoch < member.epoch && !self.has(RestartDefect::EpochIgnored);
         if is_moved || is_old {
             return;
         }
@@ -186,13 +188,13 @@
         if state.member.group.is_some() && !state.member.is_ready {
             let mut next = state.clone();
             next.member.is_ready = true;
-            steps.push(Step::of("the member is ready", next));
+            steps.push(Step::new("the member is ready", next));
         }
         for controller in 0..CONTROLLERS {
             if state.views[controller] != Some(state.member) {
                 let mut next = state.clone();
                 next.views[controller] = Some(state.member);
-                steps.push(Step::of(
+                steps.push(Step::new(
                     format!("the member reports to {controller}"),
                     next,
                 ));
@@ -249,7 +251,7 @@
         steps
     }
 
-    fn broken(&self, state: &RestartState) -> Option<&'static str> {
+    fn violated_property(&self, state: &RestartState) -> Option<&'static str> {
         state
             .is_taken_while_served
             .then_some("a member joins another group only when its old one does not serve")
--- a/crates/model/src/search.rs
+++ b/crates/model/src/search.rs
@@ -23,7 +23,7 @@
 
 impl<S> Step<S> {
     /// Makes a step of the protocol itself.
-    pub fn of(name: impl Into<String>, state: S) -> Self {
+    pub fn new(name: impl Into<String>, state: S) -> Self {
         Self {
             name: name.into(),
             state,
@@ -53,7 +53,7 @@
     fn steps(&self, state: &Self::State) -> Vec<Step<Self::State>>;
 
     /// Returns the property that a state breaks, if any.
-    fn broken(&self, state: &Self::State) -> Option<&'static str>;
+    fn violated_property(&self, state: &Self::State) -> Option<&'static str>;
 
     /// Returns whether a state is what the protocol works towards.
     fn is_goal(&self, state: &Self::State) -> bool;
@@ -91,7 +91,7 @@
             }
             next_states(spec, state)
         },
-        |state| spec.broken(state).is_some(),
+        |state| spec.violated_property(state).is_some(),
     );
     let states = *seen.borrow();
     SearchReport {
@@ -139,7 +139,7 @@
         let step = steps.into_iter().find(|step| step.state == pair[1]);
         step.map_or_else(|| "?".to_owned(), |step| step.name)
     });
-    let last = path.last().and_then(|state| spec.broken(state));
+    let last = path.last().and_then(|state| spec.violated_property(state));
     Violation {
         property: last.unwrap_or("none"),
         trace: trace.collect(),
