--- a/crates/model/examples/check.rs
+++ b/crates/model/examples/check.rs
@@ -13,12 +13,12 @@
 
 /// Counts what was not as it should be.
 #[derive(Default)]
-struct CheckTally {
+struct CheckSummary {
     failures: usize,
 }
 
-impl CheckTally {
-    fn holds<S: Specification>(&mut self, name: &str, spec: &S) {
+impl CheckSummary {
+    fn check_properties<S: Specification>(&mut self, name: &str, spec: &S) {
         let report = search(spec);
         let is_sound = report.violation.is_none() && report.is_exhausted;
         println!(
@@ -33,14 +33,14 @@
         self.failures += usize::from(!is_sound);
     }
 
-    fn progresses<S: Specification>(&mut self, name: &str, spec: &S) {
+    fn check_liveness<S: Specification>(&mut self, name: &str, spec: &S) {
         let stuck = stuck_states(spec);
-        let word = if stuck == 0 { "lives " } else { "STUCK " };
-        println!("{word} {name}: {stuck} states from which nothing good is reached");
+        let label = if stuck == 0 { "lives " } else { "STUCK " };
+        println!("{label} {name}: {stuck} states from which nothing good is reached");
         self.failures += usize::from(stuck > 0);
     }
 
-    fn catches<S: Specification>(&mut self, name: &str, spec: &S) {
+    fn check_defect<S: Specification>(&mut self, name: &str, spec: &S) {
         let report = search(spec);
         match report.violation {
             Some(violation) => {
@@ -60,40 +60,40 @@
 }
 
 fn main() -> ExitCode {
-    let mut tally = CheckTally::default();
-    tally.holds("lease, contest alone", &LeaseSpec::contest());
-    tally.holds("lease, engines that check fencing", &LeaseSpec::sound(true));
-    tally.holds(
+    let mut summary = CheckSummary::default();
+    summary.check_properties("lease, contest alone", &LeaseSpec::contest());
+    summary.check_properties("lease, engines that check fencing", &LeaseSpec::sound(true));
+    summary.check_properties(
         "lease, engines that ignore fencing",
         &LeaseSpec::sound(false),
     );
-    tally.holds(
+    summary.check_properties(
         "orders, engines that check fencing",
         &OrderSpec::sound(true),
     );
-    tally.holds(
+    summary.check_properties(
         "orders, engines that ignore fencing",
         &OrderSpec::sound(false),
     );
-    tally.holds("groups by conditional orders", &GroupFormationSpec::sound());
-    tally.holds("a member that restarts", &RestartSpec::sound());
-    tally.holds("configuration through readers", &RelaySpec::sound());
-    tally.holds("serving gate", &GateSpec::sound());
-    tally.holds("accepted configuration", &ConfigSpec::sound());
-    tally.holds("at most once by key", &KeySpec::sound());
-    tally.holds("requests that end targets", &CrashSpec::sound());
-    tally.progresses("lease", &LeaseSpec::short());
-    tally.progresses(
+    summary.check_properties("groups by conditional orders", &GroupFormationSpec::sound());
+    summary.check_properties("a member that restarts", &RestartSpec::sound());
+    summary.check_properties("configuration through readers", &RelaySpec::sound());
+    summary.check_properties("serving gate", &GateSpec::sound());
+    summary.check_properties("accepted configuration", &ConfigSpec::sound());
+    summary.check_properties("at most once by key", &KeySpec::sound());
+    summary.check_properties("requests that end targets", &CrashSpec::sound());
+    summary.check_liveness("lease", &LeaseSpec::short());
+    summary.check_liveness(
         "orders, engines that check fencing",
         &OrderSpec::sound(true),
     );
-    tally.progresses(
+    summary.check_liveness(
         "orders, engines that ignore fencing",
         &OrderSpec::sound(false),
     );
-    tally.progresses("serving gate", &GateSpec::sound());
-    tally.progresses("accepted configuration", &ConfigSpec::sound());
-    tally.progresses("at most once by key", &KeySpec::sound());
+    summary.check_liveness("serving gate", &GateSpec::sound());
+    summary.check_liveness("accepted configuration", &ConfigSpec::sound());
+    summary.check_liveness("at most once by key", &KeySpec::sound());
     for (checks, defect) in [
         (true, LeaseDefect::CountedFromResponse),
         (true, LeaseDefect::EarlyChallenger),
@@ -102,7 +102,7 @@
         (false, LeaseDefect::UncheckedOrder),
     ] {
         let name = format!("lease with {defect:?}");
-        tally.catches(&name, &LeaseSpec::defective(checks, defect));
+        summary.check_defect(&name, &LeaseSpec::defective(checks, defect));
     }
     for defect in [
         OrderDefect::FencingIgnored,
@@ -111,7 +111,7 @@
         OrderDefect::SameFence,
     ] {
         let name = format!("orders with {defect:?}");
-        tally.catches(&name, &OrderSpec::defective(defect));
+        summary.check_defect(&name, &OrderSpec::defective(defect));
     }
     for defect in [
         GroupFormationDefect::SequenceIgnored,
@@ -121,7 +121,7 @@
         GroupFormationDefect::UnknownTakenAsDone,
     ] {
         let name = format!("groups with {defect:?}");
-        tally.catches(&name, &GroupFormationSpec::defective(defect));
+        summary.check_defect(&name, &GroupFormationSpec::defective(defect));
     }
     for defect in [
         RestartDefect::EpochFromReport,
@@ -131,7 +131,7 @@
         RestartDefect::SequenceIgnored,
     ] {
         let name = format!("restart with {defect:?}");
-        tally.catches(&name, &RestartSpec::defective(defect));
+        summary.check_defect(&name, &RestartSpec::defective(defect));
     }
     for defect in [
         RelayDefect::AgeIgnored,
@@ -140,7 +140,7 @@
         RelayDefect::DatedByResponse,
     ] {
         let name = format!("readers with {defect:?}");
-        tally.catches(&name, &RelaySpec::defective(defect));
+        summary.check_defect(&name, &RelaySpec::defective(defect));
     }
     for defect in [
         GateDefect::NeverExpires,
@@ -149,7 +149,7 @@
         GateDefect::GenerationIgnored,
     ] {
         let name = format!("gate with {defect:?}");
-        tally.catches(&name, &GateSpec::defective(defect));
+        summary.check_defect(&name, &GateSpec::defective(defect));
     }
     for defect in [
         ConfigDefect::LowerAccepted,
@@ -158,7 +158,7 @@
         ConfigDefect::UnconditionalHead,
     ] {
         let name = format!("configuration with {defect:?}");
-        tally.catches(&name, &ConfigSpec::defective(defect));
+        summary.check_defect(&name, &ConfigSpec::defective(defect));
     }
     for defect in [
         KeyDefect::SentBeforeClaimKnown,
@@ -168,7 +168,7 @@
         KeyDefect::BrokenReportedNotRun,
     ] {
         let name = format!("keys with {defect:?}");
-        tally.catches(&name, &KeySpec::defective(defect));
+        summary.check_defect(&name, &KeySpec::defective(defect));
     }
     for defect in [
         CrashDefect::NeverWritten,
@@ -179,8 +179,8 @@
         CrashDefect::EraIgnored,
     ] {
         let name = format!("requests that end targets with {defect:?}");
-        tally.catches(&name, &CrashSpec::defective(defect));
+        summary.check_defect(&name, &CrashSpec::defective(defect));
     }
-    println!("{} not as it should be", tally.failures);
-    ExitCode::from(u8::from(tally.failures > 0))
+    println!("{} not as it should be", summary.failures);
+    ExitCode::from(u8::from(summary.failures > 0))
 }
--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -10,9 +10,9 @@
 use crate::search::{Specification, Step};
 
 /// Lost answers and held-up writes in one run.
-const FAULTS: u8 = 2;
+const MAX_FAULTS: u8 = 2;
 /// Writes one operator sends at most.
-const SENDS: u8 = 3;
+const MAX_SENDS: u8 = 3;
 
 /// A defect put in on purpose.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -42,7 +42,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-enum Told {
+enum EditResult {
     Accepted,
     Conflict,
     Void,
@@ -53,7 +53,7 @@
     Idle,
     Sent(Write),
     Lost,
-    Done(Told),
+    Done(EditResult),
 }
 
 /// State of the table, the operators and the node.
@@ -64,31 +64,31 @@
     void: [bool; 2],
     stages: [Stage; 2],
     sends: [u8; 2],
-    late: Vec<Write>,
-    node: NodeBook,
-    heard: Vec<u64>,
+    delayed_writes: Vec<Write>,
+    node: NodeConfig,
+    received: Vec<u64>,
     highest: u64,
-    is_lowered: bool,
+    has_regressed: bool,
     faults_left: u8,
 }
 
 /// The node's book, compared and hashed by its version.
 #[derive(Clone, Debug)]
-struct NodeBook {
-    book: VersionedConfig,
+struct NodeConfig {
+    config: VersionedConfig,
 }
 
-impl PartialEq for NodeBook {
+impl PartialEq for NodeConfig {
     fn eq(&self, other: &Self) -> bool {
-        self.book.version() == other.book.version()
+        self.config.version() == other.config.version()
     }
 }
 
-impl Eq for NodeBook {}
+impl Eq for NodeConfig {}
 
-impl Hash for NodeBook {
+impl Hash for NodeConfig {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        self.book.version().hash(hasher);
+        self.config.version().hash(hasher);
     }
 }
 
@@ -105,109 +105,124 @@
         }
     }
 
-    fn has(&self, defect: ConfigDefect) -> bool {
+    fn has_defect(&self, defect: ConfigDefect) -> bool {
         self.defect == Some(defect)
     }
 
     /// Applies a write and returns what the writer is answered.
-    fn apply(&self, state: &mut ConfigState, write: Write) -> Told {
-        let is_conditional = !self.has(ConfigDefect::UnconditionalHead);
+    fn apply(&self, state: &mut ConfigState, write: Write) -> EditResult {
+        let is_conditional = !self.has_defect(ConfigDefect::UnconditionalHead);
         let is_stale = is_conditional && state.log.len() != write.expected;
         if is_stale || state.void[write.operator] {
-            return Told::Conflict;
+            return EditResult::Conflict;
         }
         state.log.truncate(write.expected);
         state.log.push(write.operator);
-        Told::Accepted
+        EditResult::Accepted
     }
 
     fn operator_steps(
         &self,
         state: &ConfigState,
-        who: Operator,
+        operator: Operator,
         steps: &mut Vec<Step<ConfigState>>,
     ) {
-        match state.stages[who] {
-            Stage::Idle if state.sends[who] < SENDS => {
+        match state.stages[operator] {
+            Stage::Idle if state.sends[operator] < MAX_SENDS => {
                 let mut next = state.clone();
-                next.sends[who] += 1;
-                next.stages[who] = Stage::Sent(Write {
-                    operator: who,
+                next.sends[operator] += 1;
+                next.stages[operator] = Stage::Sent(Write {
+                    operator,
                     expected: state.log.len(),
                 });
-                steps.push(Step::new(format!("operator {who} sends an edit"), next));
+                steps.push(Step::new(
+                    format!("operator {operator} sends an edit"),
+                    next,
+                ));
             }
             Stage::Sent(write) => {
                 let mut next = state.clone();
-                let told = self.apply(&mut next, write);
-                next.stages[who] = Stage::Done(told);
+                let result = self.apply(&mut next, write);
+                next.stages[operator] = Stage::Done(result);
                 steps.push(Step::new(
-                    format!("operator {who} is answered {told:?}"),
+                    format!("operator {operator} is answered {result:?}"),
                     next,
                 ));
                 if state.faults_left > 0 {
                     let mut next = state.clone();
                     next.faults_left -= 1;
-                    next.late.push(write);
-                    next.stages[who] = Stage::Lost;
+                    next.delayed_writes.push(write);
+                    next.stages[operator] = Stage::Lost;
                     steps.push(Step::fault(
-                        format!("operator {who}'s write is held up"),
+                        format!("operator {operator}'s write is held up"),
                         next,
                     ));
                     let mut next = state.clone();
                     next.faults_left -= 1;
                     self.apply(&mut next, write);
-                    next.stages[who] = Stage::Lost;
+                    next.stages[operator] = Stage::Lost;
                     steps.push(Step::fault(
-                        format!("operator {who}'s answer is lost"),
+                        format!("operator {operator}'s answer is lost"),
                         next,
                     ));
                 }
             }
-            Stage::Lost => self.settle_steps(state, who, steps),
+            Stage::Lost => self.settle_steps(state, operator, steps),
             _ => {}
         }
     }
 
-    fn settle_steps(&self, state: &ConfigState, who: Operator, steps: &mut Vec<Step<ConfigState>>) {
-        if self.has(ConfigDefect::BlindRetry) {
+    fn settle_steps(
+        &self,
+        state: &ConfigState,
+        operator: Operator,
+        steps: &mut Vec<Step<ConfigState>>,
+    ) {
+        if self.has_defect(ConfigDefect::BlindRetry) {
             let mut next = state.clone();
-            next.stages[who] = Stage::Idle;
-            steps.push(Step::new(format!("operator {who} sends it again"), next));
+            next.stages[operator] = Stage::Idle;
+            steps.push(Step::new(
+                format!("operator {operator} sends it again"),
+                next,
+            ));
             return;
         }
         let mut next = state.clone();
-        let is_there = state.log.contains(&who);
-        next.stages[who] = Stage::Done(if is_there { Told::Accepted } else { Told::Void });
-        if !is_there && !self.has(ConfigDefect::SettleWithoutVoid) {
-            next.void[who] = true;
+        let is_in_log = state.log.contains(&operator);
+        next.stages[operator] = Stage::Done(if is_in_log {
+            EditResult::Accepted
+        } else {
+            EditResult::Void
+        });
+        if !is_in_log && !self.has_defect(ConfigDefect::SettleWithoutVoid) {
+            next.void[operator] = true;
         }
-        steps.push(Step::new(format!("operator {who} settles it"), next));
+        steps.push(Step::new(format!("operator {operator} settles it"), next));
     }
 
     fn node_steps(&self, state: &ConfigState, steps: &mut Vec<Step<ConfigState>>) {
         for version in 1..=state.log.len() as u64 {
-            if !state.heard.contains(&version) {
+            if !state.received.contains(&version) {
                 let mut next = state.clone();
-                next.heard.push(version);
-                next.heard.sort_unstable();
+                next.received.push(version);
+                next.received.sort_unstable();
                 steps.push(Step::new(
                     format!("version {version} is told to the node"),
                     next,
                 ));
             }
         }
-        for version in &state.heard {
+        for version in &state.received {
             let mut next = state.clone();
             let entry = entry(*version);
-            if self.has(ConfigDefect::LowerAccepted) {
-                next.node.book = VersionedConfig::restore(*version, vec![entry]);
+            if self.has_defect(ConfigDefect::LowerAccepted) {
+                next.node.config = VersionedConfig::restore(*version, vec![entry]);
             } else {
-                next.node.book.apply(entry);
+                next.node.config.apply(entry);
             }
-            let held = next.node.book.version();
-            next.is_lowered |= held < state.highest;
-            next.highest = state.highest.max(held);
+            let current = next.node.config.version();
+            next.has_regressed |= current < state.highest;
+            next.highest = state.highest.max(current);
             steps.push(Step::new(format!("the node takes version {version}"), next));
         }
     }
@@ -233,25 +248,25 @@
             void: [false; 2],
             stages: [Stage::Idle; 2],
             sends: [0; 2],
-            late: Vec::new(),
-            node: NodeBook {
-                book: VersionedConfig::default(),
+            delayed_writes: Vec::new(),
+            node: NodeConfig {
+                config: VersionedConfig::default(),
             },
-            heard: Vec::new(),
+            received: Vec::new(),
             highest: 0,
-            is_lowered: false,
-            faults_left: FAULTS,
+            has_regressed: false,
+            faults_left: MAX_FAULTS,
         }
     }
 
     fn steps(&self, state: &ConfigState) -> Vec<Step<ConfigState>> {
         let mut steps = Vec::new();
-        for who in 0..2 {
-            self.operator_steps(state, who, &mut steps);
+        for operator in 0..2 {
+            self.operator_steps(state, operator, &mut steps);
         }
-        for index in 0..state.late.len() {
+        for index in 0..state.delayed_writes.len() {
             let mut next = state.clone();
-            let write = next.late.remove(index);
+            let write = next.delayed_writes.remove(index);
             self.apply(&mut next, write);
             steps.push(Step::new("the store takes a late write", next));
         }
@@ -260,19 +275,19 @@
     }
 
     fn violated_property(&self, state: &ConfigState) -> Option<&'static str> {
-        if state.is_lowered {
+        if state.has_regressed {
             return Some("a node never goes back to a lower version");
         }
-        for who in 0..2 {
-            let count = state.log.iter().filter(|other| **other == who).count();
+        for operator in 0..2 {
+            let count = state.log.iter().filter(|other| **other == operator).count();
             if count > 1 {
                 return Some("an edit is in the log at most once");
             }
-            match state.stages[who] {
-                Stage::Done(Told::Accepted) if count == 0 => {
+            match state.stages[operator] {
+                Stage::Done(EditResult::Accepted) if count == 0 => {
                     return Some("an edit told accepted is in the log");
                 }
-                Stage::Done(Told::Void) if count > 0 => {
+                Stage::Done(EditResult::Void) if count > 0 => {
                     return Some("an edit told void is never in the log");
                 }
                 _ => {}
@@ -282,8 +297,8 @@
     }
 
     fn is_goal(&self, state: &ConfigState) -> bool {
-        let is_told = |stage: &Stage| matches!(stage, Stage::Done(_));
-        let is_current = state.node.book.version() == state.log.len() as u64;
-        state.stages.iter().all(is_told) && is_current
+        let is_finished = |stage: &Stage| matches!(stage, Stage::Done(_));
+        let is_current = state.node.config.version() == state.log.len() as u64;
+        state.stages.iter().all(is_finished) && is_current
     }
 }
--- a/crates/model/src/gate.rs
+++ b/crates/model/src/gate.rs
@@ -12,11 +12,11 @@
 use crate::search::{Specification, Step};
 
 /// Last moment of the bounded run, in ticks.
-const END: u64 = 4;
+const MAX_TIME: u64 = 4;
 /// Ticks for which evidence is good.
 const TTL: u64 = 1;
 /// Reports and refusals in one run.
-const EVENTS: usize = 4;
+const MAX_EVENTS: usize = 4;
 const VM: &str = "vm";
 
 /// A defect put in on purpose.
@@ -40,7 +40,7 @@
 
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 enum Event {
-    Report { asked: u64, generation: u64 },
+    Report { requested_at: u64, generation: u64 },
     Revoked { at: u64 },
 }
 
@@ -48,12 +48,12 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct GateState {
     now: u64,
-    died: Option<u64>,
+    died_at: Option<u64>,
     generation: u64,
     /// When the member was last in the generation that the node's view names.
-    left: Option<u64>,
+    left_at: Option<u64>,
     /// Questions under way: when each was asked, and the generation answered, if it was yet.
-    flights: Vec<(u64, Option<u64>)>,
+    polls: Vec<(u64, Option<u64>)>,
     events: Vec<Event>,
     is_sent_late: bool,
     is_sent_revoked: bool,
@@ -72,97 +72,100 @@
         }
     }
 
-    fn has(&self, defect: GateDefect) -> bool {
+    fn has_defect(&self, defect: GateDefect) -> bool {
         self.defect == Some(defect)
     }
 
     /// Builds the ledger that the node's events lead to.
-    fn ledger(&self, state: &GateState) -> EvidenceCache {
-        let ttl = if self.has(GateDefect::NeverExpires) {
+    fn cache(&self, state: &GateState) -> EvidenceCache {
+        let ttl = if self.has_defect(GateDefect::NeverExpires) {
             100
         } else {
             TTL
         };
-        let mut ledger = EvidenceCache::new(ticks(ttl));
+        let mut cache = EvidenceCache::new(ticks(ttl));
         for event in &state.events {
             match event {
-                Event::Report { asked, generation } => {
-                    let is_any = self.has(GateDefect::GenerationIgnored);
-                    let generation = if is_any { 1 } else { *generation };
-                    ledger.record(report(generation), ticks(*asked));
+                Event::Report {
+                    requested_at,
+                    generation,
+                } => {
+                    let ignores_generation = self.has_defect(GateDefect::GenerationIgnored);
+                    let generation = if ignores_generation { 1 } else { *generation };
+                    cache.record(report(generation), ticks(*requested_at));
                 }
-                Event::Revoked { .. } if self.has(GateDefect::OlderUndoesRevocation) => {
-                    ledger = EvidenceCache::new(ticks(ttl));
+                Event::Revoked { .. } if self.has_defect(GateDefect::OlderUndoesRevocation) => {
+                    cache = EvidenceCache::new(ticks(ttl));
                 }
-                Event::Revoked { at } => ledger.revoke(VM, ticks(*at)),
+                Event::Revoked { at } => cache.revoke(VM, ticks(*at)),
             }
         }
-        ledger
+        cache
     }
 
-    fn is_open(&self, state: &GateState) -> bool {
+    fn may_send(&self, state: &GateState) -> bool {
         let now = ticks(state.now);
-        let until = self.ledger(state).complete_until(&group(), now);
-        until.is_some_and(|until| now < until)
+        let expires_at = self.cache(state).complete_until(&group(), now);
+        expires_at.is_some_and(|expires_at| now < expires_at)
     }
 
     fn node_steps(&self, state: &GateState, steps: &mut Vec<Step<GateState>>) {
-        if state.flights.len() < 2 {
+        if state.polls.len() < 2 {
             let mut next = state.clone();
-            next.flights.push((state.now, None));
+            next.polls.push((state.now, None));
             steps.push(Step::new("the node asks", next));
         }
-        for (index, (asked, answer)) in state.flights.iter().enumerate() {
-            let Some(generation) = answer else {
+        for (index, (requested_at, response)) in state.polls.iter().enumerate() {
+            let Some(generation) = response else {
                 continue;
             };
             let mut next = state.clone();
-            next.flights.remove(index);
-            let counted = if self.has(GateDefect::CountedFromResponse) {
+            next.polls.remove(index);
+            let recorded_at = if self.has_defect(GateDefect::CountedFromResponse) {
                 state.now
             } else {
-                *asked
+                *requested_at
             };
             next.events.push(Event::Report {
-                asked: counted,
+                requested_at: recorded_at,
                 generation: *generation,
             });
             steps.push(Step::new(
-                format!("the answer asked for at {asked} arrives"),
+                format!("the answer asked for at {requested_at} arrives"),
                 next,
             ));
         }
-        if state.died.is_some() && !state.events.contains(&Event::Revoked { at: state.now }) {
+        if state.died_at.is_some() && !state.events.contains(&Event::Revoked { at: state.now }) {
             let mut next = state.clone();
             next.events.push(Event::Revoked { at: state.now });
             steps.push(Step::new("a connection is refused", next));
         }
-        if self.is_open(state) {
+        if self.may_send(state) {
             let mut next = state.clone();
             next.is_sent_late |= is_late(state);
-            next.is_sent_revoked |= is_refused(state);
+            next.is_sent_revoked |= is_revoked(state);
             steps.push(Step::new("a request is sent", next));
         }
     }
 
     fn member_steps(state: &GateState, steps: &mut Vec<Step<GateState>>) {
-        if state.died.is_some() {
+        if state.died_at.is_some() {
             return;
         }
-        for (index, (_, answer)) in state.flights.iter().enumerate() {
-            if answer.is_none() {
+        for (index, (_, response)) in state.polls.iter().enumerate() {
+            if response.is_none() {
                 let mut next = state.clone();
-                next.flights[index].1 = Some(state.generation);
+                next.polls[index].1 = Some(state.generation);
                 steps.push(Step::new("the member answers", next));
             }
         }
         let mut next = state.clone();
-        next.died = Some(state.now);
+        next.died_at = Some(state.now);
         steps.push(Step::fault("the member dies", next));
         if state.generation == 1 {
             let mut next = state.clone();
             next.generation = 2;
-            next.left = Some(state.now);
+            next.left_at = Some(state.now);
             steps.push(Step::new("the member joins the next generation", next));
         }
     }
@@ -171,12 +174,12 @@
 /// Returns whether the member was last there, in the generation the view names, longer ago than
 /// evidence is good for.
 fn is_late(state: &GateState) -> bool {
-    let ended = [state.died, state.left].into_iter().flatten().min();
-    ended.is_some_and(|ended| state.now > ended + TTL)
+    let lost_at = [state.died_at, state.left_at].into_iter().flatten().min();
+    lost_at.is_some_and(|lost_at| state.now > lost_at + TTL)
 }
 
 /// Returns whether the node has seen the member refuse a connection, which it does only when dead.
-fn is_refused(state: &GateState) -> bool {
+fn is_revoked(state: &GateState) -> bool {
     let mut events = state.events.iter();
     events.any(|event| matches!(event, Event::Revoked { .. }))
 }
@@ -187,10 +190,10 @@
     fn initial(&self) -> GateState {
         GateState {
             now: 0,
-            died: None,
+            died_at: None,
             generation: 1,
-            left: None,
-            flights: Vec::new(),
+            left_at: None,
+            polls: Vec::new(),
             events: Vec::new(),
             is_sent_late: false,
             is_sent_revoked: false,
@@ -200,10 +203,10 @@
     fn steps(&self, state: &GateState) -> Vec<Step<GateState>> {
         let mut steps = Vec::new();
         Self::member_steps(state, &mut steps);
-        if state.events.len() < EVENTS {
+        if state.events.len() < MAX_EVENTS {
             self.node_steps(state, &mut steps);
         }
-        if state.now < END {
+        if state.now < MAX_TIME {
             let mut next = state.clone();
             next.now += 1;
             steps.push(Step::new("time passes", next));
@@ -221,8 +224,11 @@
     }
 
     fn is_goal(&self, state: &GateState) -> bool {
-        let is_over = state.died.is_some() || state.generation != 1;
-        is_over || state.now >= END - TTL || state.events.len() + 1 >= EVENTS || self.is_open(state)
+        let is_over = state.died_at.is_some() || state.generation != 1;
+        is_over
+            || state.now >= MAX_TIME - TTL
+            || state.events.len() + 1 >= MAX_EVENTS
+            || self.may_send(state)
     }
 }
 
--- a/crates/model/src/group_formation.rs
+++ b/crates/model/src/group_formation.rs
@@ -8,23 +8,23 @@
 use crate::search::{Specification, Step};
 
 /// Targets.
-const TARGETS: usize = 2;
+const TARGET_COUNT: usize = 2;
 /// Controllers.
-const CONTROLLERS: usize = 2;
+const CONTROLLER_COUNT: usize = 2;
 /// Controller that ends the other's groups.
-const ENDING: usize = 1;
+const DISSOLVER: usize = 1;
 /// First member of the groups that the first controller forms.
-const FIRST: usize = 0;
+const LEADER: usize = 0;
 /// Member of all groups.
-const SECOND: usize = 1;
+const FOLLOWER: usize = 1;
 /// Controller of each group.
-const GROUPS: [usize; 3] = [0, ENDING, 0];
+const GROUP_OWNERS: [usize; 3] = [0, DISSOLVER, 0];
 /// Restarts in one run.
-const RESTARTS: u8 = 1;
+const MAX_RESTARTS: u8 = 1;
 /// Orders under way at once.
-const IN_FLIGHT: usize = 2;
+const MAX_IN_FLIGHT: usize = 2;
 /// Orders to leave in one run.
-const LEAVES: u8 = 1;
+const MAX_LEAVES: u8 = 1;
 
 /// A defect put in on purpose.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 struct Order {
     target: usize,
-    life: u8,
+    incarnation: u8,
     expected: u8,
     action: Action,
 }
@@ -73,27 +73,27 @@
 
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 struct Target {
-    life: u8,
-    count: u8,
+    incarnation: u8,
+    sequence: u8,
     group: Option<(Group, Stage)>,
 }
 
 /// State of targets, orders and what the controllers know.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct GroupFormationState {
-    targets: [Target; TARGETS],
-    views: [[Option<Target>; TARGETS]; CONTROLLERS],
+    targets: [Target; TARGET_COUNT],
+    views: [[Option<Target>; TARGET_COUNT]; CONTROLLER_COUNT],
     /// Whether each group was formed.
-    formed: [bool; GROUPS.len()],
+    formed: [bool; GROUP_OWNERS.len()],
     /// Groups whose first member each controller knows to have left.
-    released: [Vec<Group>; CONTROLLERS],
+    released: [Vec<Group>; CONTROLLER_COUNT],
     /// Whether each member of a group was ever ready in it.
-    ever_ready: [[bool; 2]; GROUPS.len()],
+    ever_ready: [[bool; 2]; GROUP_OWNERS.len()],
     orders: Vec<Order>,
     restarts_left: u8,
     leaves_left: u8,
     opened_early: bool,
-    taken_while_served: bool,
+    moved_while_serving: bool,
 }
 
 impl GroupFormationSpec {
@@ -109,17 +109,17 @@
         }
     }
 
-    fn has(&self, defect: GroupFormationDefect) -> bool {
+    fn has_defect(&self, defect: GroupFormationDefect) -> bool {
         self.defect == Some(defect)
     }
 
     fn is_free(&self, state: &GroupFormationState, controller: usize, target: usize) -> bool {
-        let Some(seen) = state.views[controller][target] else {
+        let Some(reported) = state.views[controller][target] else {
             return false;
         };
-        match seen.group {
+        match reported.group {
             None => true,
-            Some((group, _)) => target != FIRST && state.released[controller].contains(&group),
+            Some((group, _)) => target != LEADER && state.released[controller].contains(&group),
         }
     }
 
@@ -130,23 +130,23 @@
         target: usize,
         action: Action,
     ) {
-        let Some(seen) = state.views[controller][target] else {
+        let Some(reported) = state.views[controller][target] else {
             return;
         };
         state.orders.push(Order {
             target,
-            life: seen.life,
-            expected: seen.count,
+            incarnation: reported.incarnation,
+            expected: reported.sequence,
             action,
         });
         state.orders.sort_unstable();
         // The target has to report before it is ordered again by this controller.
         state.views[controller][target] = None;
-        if self.has(GroupFormationDefect::UnknownTakenAsDone) {
+        if self.has_defect(GroupFormationDefect::UnknownTakenAsDone) {
             state.views[controller][target] = Some(Target {
-                count: seen.count + 1,
-                group: effect(action, seen.group),
-                ..seen
+                sequence: reported.sequence + 1,
+                group: group_after(action, reported.group),
+                ..reported
             });
         }
     }
@@ -157,29 +157,29 @@
         controller: usize,
         steps: &mut Vec<Step<GroupFormationState>>,
     ) {
-        if state.orders.len() + 2 > IN_FLIGHT {
+        if state.orders.len() + 2 > MAX_IN_FLIGHT {
             return;
         }
         // A group is formed anew only after the one before it.
-        let owned = GROUPS.iter().enumerate();
-        let mut open =
+        let owned = GROUP_OWNERS.iter().enumerate();
+        let mut pending =
             owned.filter(|(index, owner)| **owner == controller && !state.formed[*index]);
-        let Some((index, _)) = open.next() else {
+        let Some((index, _)) = pending.next() else {
             return;
         };
-        let has_first = controller != ENDING;
-        let are_free = self.is_free(state, controller, SECOND)
-            && (!has_first || self.is_free(state, controller, FIRST));
+        let has_leader = controller != DISSOLVER;
+        let are_free = self.is_free(state, controller, FOLLOWER)
+            && (!has_leader || self.is_free(state, controller, LEADER));
         if !are_free {
             return;
         }
         let mut next = state.clone();
         let group = index as Group;
         next.formed[index] = true;
-        if has_first {
-            self.send(&mut next, controller, FIRST, Action::Join(group));
+        if has_leader {
+            self.send(&mut next, controller, LEADER, Action::Join(group));
         }
-        self.send(&mut next, controller, SECOND, Action::Join(group));
+        self.send(&mut next, controller, FOLLOWER, Action::Join(group));
         steps.push(Step::new(format!("{controller} forms {group}"), next));
     }
 
@@ -189,31 +189,33 @@
         controller: usize,
         steps: &mut Vec<Step<GroupFormationState>>,
     ) {
-        if state.orders.len() >= IN_FLIGHT {
+        if state.orders.len() >= MAX_IN_FLIGHT {
             return;
         }
-        for (index, owner) in GROUPS.iter().enumerate() {
+        for (index, owner) in GROUP_OWNERS.iter().enumerate() {
             let group = index as Group;
             let stage = |target: usize| {
-                let seen = state.views[controller][target]?;
-                seen.group
-                    .filter(|(held, _)| *held == group)
+                let reported = state.views[controller][target]?;
+                reported
+                    .group
+                    .filter(|(current, _)| *current == group)
                     .map(|(_, stage)| stage)
             };
-            let is_second_ready = stage(SECOND) == Some(Stage::Ready)
-                || self.has(GroupFormationDefect::OpenedBeforeReady);
-            if *owner == controller && stage(FIRST) == Some(Stage::Ready) && is_second_ready {
+            let is_follower_ready = stage(FOLLOWER) == Some(Stage::Ready)
+                || self.has_defect(GroupFormationDefect::OpenedBeforeReady);
+            if *owner == controller && stage(LEADER) == Some(Stage::Ready) && is_follower_ready {
                 let mut next = state.clone();
-                self.send(&mut next, controller, FIRST, Action::Open(group));
+                self.send(&mut next, controller, LEADER, Action::Open(group));
                 steps.push(Step::new(format!("{controller} opens {group}"), next));
             }
-            let may_end = controller == ENDING && *owner != ENDING && state.leaves_left > 0;
-            if may_end && stage(FIRST).is_some() {
+            let may_dissolve =
+                controller == DISSOLVER && *owner != DISSOLVER && state.leaves_left > 0;
+            if may_dissolve && stage(LEADER).is_some() {
                 let mut next = state.clone();
                 next.leaves_left -= 1;
-                self.send(&mut next, controller, FIRST, Action::Leave(group));
-                let is_early = self.has(GroupFormationDefect::ReusedBeforeStop)
-                    || self.has(GroupFormationDefect::UnknownTakenAsDone);
+                self.send(&mut next, controller, LEADER, Action::Leave(group));
+                let is_early = self.has_defect(GroupFormationDefect::ReusedBeforeStop)
+                    || self.has_defect(GroupFormationDefect::UnknownTakenAsDone);
                 if is_early {
                     next.released[controller].push(group);
                 }
@@ -227,14 +229,14 @@
         state: &GroupFormationState,
         steps: &mut Vec<Step<GroupFormationState>>,
     ) {
-        for target in 0..TARGETS {
+        for target in 0..TARGET_COUNT {
             if let Some((group, Stage::Joining)) = state.targets[target].group {
                 let mut next = state.clone();
                 next.targets[target].group = Some((group, Stage::Ready));
-                next.note_ready(target, group);
+                next.record_ready(target, group);
                 steps.push(Step::new(format!("{target} is ready in {group}"), next));
             }
-            for controller in 0..CONTROLLERS {
+            for controller in 0..CONTROLLER_COUNT {
                 if state.views[controller][target] == Some(state.targets[target]) {
                     continue;
                 }
@@ -250,16 +252,16 @@
             let mut next = state.clone();
             let order = next.orders.remove(index);
             let mut lost = next.clone();
-            self.carry_out(&mut next, order);
+            self.execute(&mut next, order);
             if let Action::Leave(group) = order.action {
                 // Only the answer tells that the first member has left; it may be lost as well.
                 let mut answered = next.clone();
-                let is_done = answered.targets[FIRST]
+                let is_done = answered.targets[LEADER]
                     .group
-                    .is_none_or(|(held, _)| held != group);
-                if is_done && !answered.released[ENDING].contains(&group) {
-                    answered.released[ENDING].push(group);
-                    answered.released[ENDING].sort_unstable();
+                    .is_none_or(|(current, _)| current != group);
+                if is_done && !answered.released[DISSOLVER].contains(&group) {
+                    answered.released[DISSOLVER].push(group);
+                    answered.released[DISSOLVER].sort_unstable();
                 }
                 steps.push(Step::new(
                     format!("{order:?} arrives and is answered"),
@@ -272,41 +274,42 @@
         }
     }
 
-    fn carry_out(&self, state: &mut GroupFormationState, order: Order) {
+    fn execute(&self, state: &mut GroupFormationState, order: Order) {
         let target = state.targets[order.target];
-        let is_other_life =
-            target.life != order.life && !self.has(GroupFormationDefect::IncarnationIgnored);
-        let is_moved =
-            target.count != order.expected && !self.has(GroupFormationDefect::SequenceIgnored);
-        if is_other_life || is_moved {
+        let is_other_incarnation = target.incarnation != order.incarnation
+            && !self.has_defect(GroupFormationDefect::IncarnationIgnored);
+        let is_stale = target.sequence != order.expected
+            && !self.has_defect(GroupFormationDefect::SequenceIgnored);
+        if is_other_incarnation || is_stale {
             return;
         }
         match (order.action, target.group) {
-            (Action::Join(group), held) => {
-                let other = held.filter(|(held, _)| *held != group);
-                state.taken_while_served |= other.is_some_and(|(held, _)| state.serves(held));
+            (Action::Join(group), current) => {
+                let other = current.filter(|(current, _)| *current != group);
+                state.moved_while_serving |=
+                    other.is_some_and(|(current, _)| state.serves(current));
             }
-            (Action::Open(group), Some((held, Stage::Ready))) if held == group => {
+            (Action::Open(group), Some((current, Stage::Ready))) if current == group => {
                 state.opened_early |= state.ever_ready[usize::from(group)] != [true; 2];
             }
-            (Action::Leave(group), Some((held, _))) if held == group => {}
+            (Action::Leave(group), Some((current, _))) if current == group => {}
             _ => return,
         }
-        let moved = &mut state.targets[order.target];
-        moved.group = effect(order.action, target.group);
-        moved.count += 1;
+        let updated = &mut state.targets[order.target];
+        updated.group = group_after(order.action, target.group);
+        updated.sequence += 1;
     }
 }
 
 impl GroupFormationState {
-    fn note_ready(&mut self, target: usize, group: Group) {
-        let rank = usize::from(target != FIRST);
-        self.ever_ready[usize::from(group)][rank] = true;
+    fn record_ready(&mut self, target: usize, group: Group) {
+        let member = usize::from(target != LEADER);
+        self.ever_ready[usize::from(group)][member] = true;
     }
 
     /// Returns whether a group's first member is open.
     fn serves(&self, group: Group) -> bool {
-        self.targets[FIRST].group == Some((group, Stage::Open))
+        self.targets[LEADER].group == Some((group, Stage::Open))
     }
 
     fn report(&mut self, controller: usize, target: usize) {
@@ -314,11 +317,11 @@
     }
 }
 
-fn effect(action: Action, held: Option<(Group, Stage)>) -> Option<(Group, Stage)> {
+fn group_after(action: Action, current: Option<(Group, Stage)>) -> Option<(Group, Stage)> {
     match action {
         Action::Join(group) => Some((group, Stage::Joining)),
         Action::Open(group) => Some((group, Stage::Open)),
-        Action::Leave(group) => held.filter(|(held, _)| *held != group),
+        Action::Leave(group) => current.filter(|(current, _)| *current != group),
     }
 }
 
@@ -328,25 +331,25 @@
     fn initial(&self) -> GroupFormationState {
         GroupFormationState {
             targets: [Target {
-                life: 0,
-                count: 0,
+                incarnation: 0,
+                sequence: 0,
                 group: None,
-            }; TARGETS],
-            views: [[None; TARGETS]; CONTROLLERS],
-            formed: [false; GROUPS.len()],
+            }; TARGET_COUNT],
+            views: [[None; TARGET_COUNT]; CONTROLLER_COUNT],
+            formed: [false; GROUP_OWNERS.len()],
             released: Default::default(),
-            ever_ready: [[false; 2]; GROUPS.len()],
+            ever_ready: [[false; 2]; GROUP_OWNERS.len()],
             orders: Vec::new(),
-            restarts_left: RESTARTS,
-            leaves_left: LEAVES,
+            restarts_left: MAX_RESTARTS,
+            leaves_left: MAX_LEAVES,
             opened_early: false,
-            taken_while_served: false,
+            moved_while_serving: false,
         }
     }
 
     fn steps(&self, state: &GroupFormationState) -> Vec<Step<GroupFormationState>> {
         let mut steps = Vec::new();
-        for controller in 0..CONTROLLERS {
+        for controller in 0..CONTROLLER_COUNT {
             self.form_steps(state, controller, &mut steps);
             self.group_steps(state, controller, &mut steps);
         }
@@ -355,9 +358,9 @@
         if state.restarts_left > 0 {
             let mut next = state.clone();
             next.restarts_left -= 1;
-            next.targets[SECOND] = Target {
-                life: state.targets[SECOND].life + 1,
-                count: 0,
+            next.targets[FOLLOWER] = Target {
+                incarnation: state.targets[FOLLOWER].incarnation + 1,
+                sequence: 0,
                 group: None,
             };
             steps.push(Step::fault("the second member restarts", next));
@@ -370,12 +373,12 @@
             return Some("a group opens only after each member was ready in it");
         }
         state
-            .taken_while_served
+            .moved_while_serving
             .then_some("a target joins another group only when its old one does not serve")
     }
 
     fn is_goal(&self, state: &GroupFormationState) -> bool {
-        let is_served = (0..GROUPS.len()).any(|group| state.serves(group as Group));
+        let is_served = (0..GROUP_OWNERS.len()).any(|group| state.serves(group as Group));
         is_served || state.formed[0]
     }
 }
--- a/crates/model/src/keys.rs
+++ b/crates/model/src/keys.rs
@@ -8,9 +8,9 @@
 use crate::search::{Specification, Step};
 
 /// Losses, breaks and deaths in one run.
-const FAULTS: u8 = 3;
+const MAX_FAULTS: u8 = 3;
 /// Requests each node gets.
-const REQUESTS: u8 = 2;
+const MAX_REQUESTS: u8 = 2;
 
 /// A defect put in on purpose.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -37,11 +37,11 @@
 enum Stage {
     Idle,
     Claiming,
-    Unsettled,
+    ClaimUnknown,
     Holding,
     Sent,
     Releasing,
-    Told(Outcome),
+    Finished(Outcome),
     Dead,
 }
 
@@ -50,13 +50,13 @@
 pub struct KeyState {
     /// Node and request that hold the key.
     claim: Option<(usize, u8)>,
-    late: Vec<(usize, u8)>,
+    delayed_claims: Vec<(usize, u8)>,
     stages: [Stage; 2],
     requests: [u8; 2],
     runs: u8,
     /// Runs of the present request of each node.
-    own_runs: [u8; 2],
-    is_lied: bool,
+    current_runs: [u8; 2],
+    is_misreported: bool,
     faults_left: u8,
 }
 
@@ -73,35 +73,36 @@
         }
     }
 
-    fn has(&self, defect: KeyDefect) -> bool {
+    fn has_defect(&self, defect: KeyDefect) -> bool {
         self.defect == Some(defect)
     }
 
-    fn is_takeable(&self, state: &KeyState) -> bool {
-        state.claim.is_none() || self.has(KeyDefect::UnconditionalClaim)
+    fn can_claim(&self, state: &KeyState) -> bool {
+        state.claim.is_none() || self.has_defect(KeyDefect::UnconditionalClaim)
     }
 
     fn node_steps(&self, state: &KeyState, node: usize, steps: &mut Vec<Step<KeyState>>) {
-        let mark = (node, state.requests[node]);
+        let claim_id = (node, state.requests[node]);
         match state.stages[node] {
-            Stage::Idle | Stage::Told(_) if state.requests[node] < REQUESTS => {
+            Stage::Idle | Stage::Finished(_) if state.requests[node] < MAX_REQUESTS => {
                 let mut next = state.clone();
                 next.requests[node] += 1;
-                next.own_runs[node] = 0;
+                next.current_runs[node] = 0;
                 next.stages[node] = Stage::Claiming;
                 steps.push(Step::new(format!("node {node} gets a request"), next));
             }
             Stage::Claiming => self.claim_steps(state, node, steps),
-            Stage::Unsettled => {
+            Stage::ClaimUnknown => {
                 let mut next = state.clone();
-                next.stages[node] =
-                    if state.claim == Some(mark) || self.has(KeyDefect::SentBeforeClaimKnown) {
-                        Stage::Holding
-                    } else if state.claim.is_some() {
-                        Stage::Told(FailurePoint::KeyClaimed.outcome())
-                    } else {
-                        Stage::Told(FailurePoint::ClaimStore.outcome())
-                    };
+                next.stages[node] = if state.claim == Some(claim_id)
+                    || self.has_defect(KeyDefect::SentBeforeClaimKnown)
+                {
+                    Stage::Holding
+                } else if state.claim.is_some() {
+                    Stage::Finished(FailurePoint::KeyClaimed.outcome())
+                } else {
+                    Stage::Finished(FailurePoint::ClaimStore.outcome())
+                };
                 steps.push(Step::new(format!("node {node} reads its claim back"), next));
             }
             Stage::Holding => {
@@ -115,10 +116,10 @@
             Stage::Sent => self.sent_steps(state, node, steps),
             Stage::Releasing => {
                 let mut next = state.clone();
-                if state.claim == Some(mark) {
+                if state.claim == Some(claim_id) {
                     next.claim = None;
                 }
-                self.tell(&mut next, node, Outcome::NotRun);
+                self.finish(&mut next, node, Outcome::NotRun);
                 steps.push(Step::new(format!("node {node} gives the key back"), next));
             }
             _ => {}
@@ -126,13 +127,13 @@
     }
 
     fn claim_steps(&self, state: &KeyState, node: usize, steps: &mut Vec<Step<KeyState>>) {
-        let mark = (node, state.requests[node]);
+        let claim_id = (node, state.requests[node]);
         let mut next = state.clone();
-        if self.is_takeable(state) {
-            next.claim = Some(mark);
+        if self.can_claim(state) {
+            next.claim = Some(claim_id);
             next.stages[node] = Stage::Holding;
         } else {
-            next.stages[node] = Stage::Told(FailurePoint::KeyClaimed.outcome());
+            next.stages[node] = Stage::Finished(FailurePoint::KeyClaimed.outcome());
         }
         steps.push(Step::new(format!("node {node} claims the key"), next));
         if state.faults_left == 0 {
@@ -140,25 +141,25 @@
         }
         let mut next = state.clone();
         next.faults_left -= 1;
-        if self.is_takeable(state) {
-            next.claim = Some(mark);
+        if self.can_claim(state) {
+            next.claim = Some(claim_id);
         }
-        next.stages[node] = Stage::Unsettled;
+        next.stages[node] = Stage::ClaimUnknown;
         steps.push(Step::fault(
             format!("the answer to node {node}'s claim is lost"),
             next,
         ));
         let mut next = state.clone();
         next.faults_left -= 1;
-        next.late.push(mark);
-        next.stages[node] = Stage::Unsettled;
+        next.delayed_claims.push(claim_id);
+        next.stages[node] = Stage::ClaimUnknown;
         steps.push(Step::fault(format!("node {node}'s claim is held up"), next));
     }
 
     fn sent_steps(&self, state: &KeyState, node: usize, steps: &mut Vec<Step<KeyState>>) {
         let mut next = state.clone();
         run(&mut next, node);
-        self.tell(&mut next, node, Outcome::Answered);
+        self.finish(&mut next, node, Outcome::Answered);
         steps.push(Step::new(
             format!("the target runs node {node}'s request"),
             next,
@@ -166,42 +167,42 @@
         if state.faults_left == 0 {
             return;
         }
-        for does_run in [false, true] {
+        for has_run in [false, true] {
             let mut next = state.clone();
             next.faults_left -= 1;
-            if does_run {
+            if has_run {
                 run(&mut next, node);
             }
-            self.end_broken(&mut next, node);
-            let name = if does_run { "after" } else { "before" };
+            self.handle_broken_connection(&mut next, node);
+            let name = if has_run { "after" } else { "before" };
             let name = format!("the connection breaks {name} the target runs it");
             steps.push(Step::fault(name, next));
         }
     }
 
-    fn end_broken(&self, state: &mut KeyState, node: usize) {
+    fn handle_broken_connection(&self, state: &mut KeyState, node: usize) {
         let point = FailurePoint::BrokenBeforeHead;
-        if point.allows_retry(false) || self.has(KeyDefect::RetriedUnknown) {
+        if point.allows_retry(false) || self.has_defect(KeyDefect::RetriedUnknown) {
             state.stages[node] = Stage::Holding;
-        } else if self.has(KeyDefect::ReleasedUnknown) {
+        } else if self.has_defect(KeyDefect::ReleasedUnknown) {
             state.claim = None;
-            state.stages[node] = Stage::Told(point.outcome());
-        } else if self.has(KeyDefect::BrokenReportedNotRun) {
-            self.tell(state, node, Outcome::NotRun);
+            state.stages[node] = Stage::Finished(point.outcome());
+        } else if self.has_defect(KeyDefect::BrokenReportedNotRun) {
+            self.finish(state, node, Outcome::NotRun);
         } else {
-            self.tell(state, node, point.outcome());
+            self.finish(state, node, point.outcome());
         }
     }
 
-    fn tell(&self, state: &mut KeyState, node: usize, outcome: Outcome) {
-        state.is_lied |= outcome == Outcome::NotRun && state.own_runs[node] > 0;
-        state.stages[node] = Stage::Told(outcome);
+    fn finish(&self, state: &mut KeyState, node: usize, outcome: Outcome) {
+        state.is_misreported |= outcome == Outcome::NotRun && state.current_runs[node] > 0;
+        state.stages[node] = Stage::Finished(outcome);
     }
 }
 
 fn run(state: &mut KeyState, node: usize) {
     state.runs += 1;
-    state.own_runs[node] += 1;
+    state.current_runs[node] += 1;
 }
 
 impl Specification for KeySpec {
@@ -210,13 +211,13 @@
     fn initial(&self) -> KeyState {
         KeyState {
             claim: None,
-            late: Vec::new(),
+            delayed_claims: Vec::new(),
             stages: [Stage::Idle; 2],
             requests: [0; 2],
             runs: 0,
-            own_runs: [0; 2],
-            is_lied: false,
-            faults_left: FAULTS,
+            current_runs: [0; 2],
+            is_misreported: false,
+            faults_left: MAX_FAULTS,
         }
     }
 
@@ -231,11 +232,11 @@
                 steps.push(Step::fault(format!("node {node} dies"), next));
             }
         }
-        for index in 0..state.late.len() {
+        for index in 0..state.delayed_claims.len() {
             let mut next = state.clone();
-            let mark = next.late.remove(index);
-            if self.is_takeable(state) {
-                next.claim = Some(mark);
+            let claim_id = next.delayed_claims.remove(index);
+            if self.can_claim(state) {
+                next.claim = Some(claim_id);
             }
             steps.push(Step::new("the store takes a late claim", next));
         }
@@ -247,12 +248,13 @@
             return Some("work under one key runs at most once");
         }
         state
-            .is_lied
+            .is_misreported
             .then_some("a request told not run did not run")
     }
 
     fn is_goal(&self, state: &KeyState) -> bool {
-        let is_over = |stage: &Stage| matches!(stage, Stage::Told(_) | Stage::Dead | Stage::Idle);
+        let is_over =
+            |stage: &Stage| matches!(stage, Stage::Finished(_) | Stage::Dead | Stage::Idle);
         state.stages.iter().all(is_over)
     }
 }
--- a/crates/model/src/lease.rs
+++ b/crates/model/src/lease.rs
@@ -13,25 +13,25 @@
 use crate::search::{Specification, Step};
 
 /// Last moment of a bounded run, in ticks.
-const END: u64 = 5;
+const MAX_TIME: u64 = 5;
 /// The same where every state is kept to look for stuck ones.
-const SHORT_END: u64 = 4;
+const SHORT_MAX_TIME: u64 = 4;
 /// Lost answers and late writes in a run without orders.
-const CONTEST_FAULTS: u8 = 2;
+const MAX_CONTEST_FAULTS: u8 = 2;
 /// The same in a run with orders, which multiply the states.
-const ORDER_FAULTS: u8 = 1;
+const MAX_ORDER_FAULTS: u8 = 1;
 /// Orders in one run.
-const ORDERS: u8 = 2;
+const MAX_ORDERS: u8 = 2;
 /// Ticks after which an order to an engine that ignores fencing has arrived or died.
-const ORDER_LIFE: u64 = 3;
+const ORDER_TTL: u64 = 3;
 /// Writes one node sends at most.
-const WRITES: u8 = 2;
+const MAX_WRITES: u8 = 2;
 const DURATION: u64 = 2;
 const MARGIN: u64 = 1;
 /// Ticks a new holder waits before it orders engines that ignore fencing: the last holder's last
 /// order is at least two margins old when the lease changes hands. The node waits the whole life of
 /// an order, which is longer.
-const ORDER_WAIT: u64 = ORDER_LIFE - 2 * MARGIN;
+const ORDER_WAIT: u64 = ORDER_TTL - 2 * MARGIN;
 
 /// A defect put in on purpose.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -54,12 +54,12 @@
     checks_fencing: bool,
     sends_orders: bool,
     renew: u64,
-    end: u64,
+    max_time: u64,
     defect: Option<LeaseDefect>,
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-enum Flight {
+enum PendingWrite {
     Sent(LeaseWrite),
     Done(LeaseWriteResult),
 }
@@ -68,11 +68,11 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct LeaseState {
     now: u64,
-    keepers: [LeaseClient; 2],
-    flights: [Option<Flight>; 2],
-    late: Vec<LeaseWrite>,
+    clients: [LeaseClient; 2],
+    pending_writes: [Option<PendingWrite>; 2],
+    delayed_writes: Vec<LeaseWrite>,
     /// Epoch and end of the lease as a defective holder counts it.
-    beliefs: [Option<(u64, u64)>; 2],
+    assumed_leases: [Option<(u64, u64)>; 2],
     /// Writes each node has sent, which name the next one.
     writes: [u8; 2],
     orders_from: [u64; 2],
@@ -83,7 +83,7 @@
     orders_left: u8,
     faults_left: u8,
     engine_epoch: u64,
-    is_order_old: bool,
+    is_stale_order_applied: bool,
 }
 
 impl LeaseSpec {
@@ -93,7 +93,7 @@
             checks_fencing: true,
             sends_orders: false,
             renew: 1,
-            end: END,
+            max_time: MAX_TIME,
             defect: None,
         }
     }
@@ -104,7 +104,7 @@
             checks_fencing,
             sends_orders: true,
             renew: 2,
-            end: END,
+            max_time: MAX_TIME,
             defect: None,
         }
     }
@@ -112,7 +112,7 @@
     /// Makes a shorter contest, small enough to keep every state.
     pub fn short() -> Self {
         Self {
-            end: SHORT_END,
+            max_time: SHORT_MAX_TIME,
             ..Self::contest()
         }
     }
@@ -123,56 +123,57 @@
             checks_fencing,
             sends_orders: true,
             renew: 2,
-            end: END,
+            max_time: MAX_TIME,
             defect: Some(defect),
         }
     }
 
-    fn has(&self, defect: LeaseDefect) -> bool {
+    fn has_defect(&self, defect: LeaseDefect) -> bool {
         self.defect == Some(defect)
     }
 
     fn epoch(&self, state: &LeaseState, node: usize) -> Option<u64> {
-        if self.has(LeaseDefect::UncheckedOrder) {
+        if self.has_defect(LeaseDefect::UncheckedOrder) {
             let epoch = state.last_epoch[node];
             return (epoch > 0).then_some(epoch);
         }
-        if self.has(LeaseDefect::CountedFromResponse) {
-            let belief = state.beliefs[node].filter(|(_, until)| state.now < *until);
-            return belief.map(|(epoch, _)| epoch);
+        if self.has_defect(LeaseDefect::CountedFromResponse) {
+            let lease =
+                state.assumed_leases[node].filter(|(_, expires_at)| state.now < *expires_at);
+            return lease.map(|(epoch, _)| epoch);
         }
-        state.keepers[node].epoch(ticks(state.now))
+        state.clients[node].epoch(ticks(state.now))
     }
 
     fn node_steps(&self, state: &LeaseState, node: usize, steps: &mut Vec<Step<LeaseState>>) {
-        if state.flights[node].is_none() && state.writes[node] < WRITES {
+        if state.pending_writes[node].is_none() && state.writes[node] < MAX_WRITES {
             let mut next = state.clone();
-            next.keepers[node].observe(state.row.clone(), state.version, ticks(state.now));
-            self.note_hold(&mut next, node);
+            next.clients[node].observe(state.row.clone(), state.version, ticks(state.now));
+            self.record_hold(&mut next, node);
             steps.push(Step::new(
                 format!("node {node} reads the row"),
                 next.clone(),
             ));
             let write = format!("{node}.{}", state.writes[node]);
-            if let Some(write) = next.keepers[node].propose(write, ticks(state.now)) {
+            if let Some(write) = next.clients[node].propose(write, ticks(state.now)) {
                 next.writes[node] += 1;
-                next.flights[node] = Some(Flight::Sent(write));
+                next.pending_writes[node] = Some(PendingWrite::Sent(write));
                 steps.push(Step::new(
                     format!("node {node} reads the row and sends a write"),
                     next,
                 ));
             }
         }
-        if let Some(Flight::Done(answer)) = &state.flights[node] {
+        if let Some(PendingWrite::Done(result)) = &state.pending_writes[node] {
             let mut next = state.clone();
-            next.flights[node] = None;
-            next.keepers[node].record_result(answer.clone(), ticks(state.now));
+            next.pending_writes[node] = None;
+            next.clients[node].record_result(result.clone(), ticks(state.now));
             if let (LeaseWriteResult::Written(_), Some(record)) =
-                (answer, next.keepers[node].record())
+                (result, next.clients[node].record())
             {
-                next.beliefs[node] = Some((record.epoch, state.now + DURATION - MARGIN));
+                next.assumed_leases[node] = Some((record.epoch, state.now + DURATION - MARGIN));
             }
-            self.note_hold(&mut next, node);
+            self.record_hold(&mut next, node);
             steps.push(Step::new(format!("node {node} gets its answer"), next));
         }
         self.order_step(state, node, steps);
@@ -182,15 +183,15 @@
     }
 
     fn loss_steps(&self, state: &LeaseState, node: usize, steps: &mut Vec<Step<LeaseState>>) {
-        let Some(flight) = &state.flights[node] else {
+        let Some(pending) = &state.pending_writes[node] else {
             return;
         };
         let mut next = state.clone();
         next.faults_left -= 1;
-        next.flights[node] = None;
-        next.keepers[node].record_result(LeaseWriteResult::Lost, ticks(state.now));
-        if let Flight::Sent(write) = flight {
-            next.late.push(write.clone());
+        next.pending_writes[node] = None;
+        next.clients[node].record_result(LeaseWriteResult::Lost, ticks(state.now));
+        if let PendingWrite::Sent(write) = pending {
+            next.delayed_writes.push(write.clone());
         }
         steps.push(Step::fault(format!("node {node} loses its answer"), next));
     }
@@ -214,34 +215,34 @@
     }
 
     /// Notes that a node holds a new epoch, and from when it sends orders.
-    fn note_hold(&self, state: &mut LeaseState, node: usize) {
-        let Some(epoch) = state.keepers[node].epoch(ticks(state.now)) else {
+    fn record_hold(&self, state: &mut LeaseState, node: usize) {
+        let Some(epoch) = state.clients[node].epoch(ticks(state.now)) else {
             return;
         };
         if epoch == state.last_epoch[node] {
             return;
         }
         state.last_epoch[node] = epoch;
-        let waits = !self.checks_fencing && !self.has(LeaseDefect::NoOrderWait);
+        let waits = !self.checks_fencing && !self.has_defect(LeaseDefect::NoOrderWait);
         let wait = if waits { ORDER_WAIT } else { 0 };
         state.orders_from[node] = state.now + wait;
     }
 
     fn store_steps(&self, state: &LeaseState, steps: &mut Vec<Step<LeaseState>>) {
         for node in 0..2 {
-            if let Some(Flight::Sent(write)) = &state.flights[node] {
+            if let Some(PendingWrite::Sent(write)) = &state.pending_writes[node] {
                 let mut next = state.clone();
-                let answer = apply(&mut next, write);
-                next.flights[node] = Some(Flight::Done(answer));
+                let result = apply(&mut next, write);
+                next.pending_writes[node] = Some(PendingWrite::Done(result));
                 steps.push(Step::new(
                     format!("the store takes node {node}'s write"),
                     next,
                 ));
             }
         }
-        for index in 0..state.late.len() {
+        for index in 0..state.delayed_writes.len() {
             let mut next = state.clone();
-            let write = next.late.remove(index);
+            let write = next.delayed_writes.remove(index);
             apply(&mut next, &write);
             steps.push(Step::new("the store takes a late write", next));
         }
@@ -251,11 +252,11 @@
         for index in 0..state.orders.len() {
             let mut next = state.clone();
             let (epoch, _) = next.orders.remove(index);
-            let is_old = epoch < state.engine_epoch;
+            let is_stale = epoch < state.engine_epoch;
             let is_refused =
-                is_old && self.checks_fencing && !self.has(LeaseDefect::FencingIgnored);
+                is_stale && self.checks_fencing && !self.has_defect(LeaseDefect::FencingIgnored);
             if !is_refused {
-                next.is_order_old |= is_old;
+                next.is_stale_order_applied |= is_stale;
                 next.engine_epoch = epoch;
             }
             steps.push(Step::new(
@@ -275,35 +276,35 @@
             margin: ticks(MARGIN.min(duration - 1)),
             renew: ticks(self.renew),
         };
-        let is_hasty = self.has(LeaseDefect::EarlyChallenger);
-        let (first, second) = if is_hasty {
+        let is_early_challenger = self.has_defect(LeaseDefect::EarlyChallenger);
+        let (first, second) = if is_early_challenger {
             (4, 1)
         } else {
             (DURATION, DURATION)
         };
         LeaseState {
             now: 0,
-            keepers: [
+            clients: [
                 LeaseClient::new("a".to_owned(), 1, timing(first)),
                 LeaseClient::new("b".to_owned(), 1, timing(second)),
             ],
-            flights: [None, None],
-            late: Vec::new(),
-            beliefs: [None; 2],
+            pending_writes: [None, None],
+            delayed_writes: Vec::new(),
+            assumed_leases: [None; 2],
             writes: [0; 2],
             orders_from: [0; 2],
             last_epoch: [0; 2],
             row: None,
             version: 0,
             orders: Vec::new(),
-            orders_left: if self.sends_orders { ORDERS } else { 0 },
+            orders_left: if self.sends_orders { MAX_ORDERS } else { 0 },
             faults_left: if self.sends_orders {
-                ORDER_FAULTS
+                MAX_ORDER_FAULTS
             } else {
-                CONTEST_FAULTS
+                MAX_CONTEST_FAULTS
             },
             engine_epoch: 0,
-            is_order_old: false,
+            is_stale_order_applied: false,
         }
     }
 
@@ -314,12 +315,12 @@
         }
         self.store_steps(state, &mut steps);
         self.engine_steps(state, &mut steps);
-        if state.now < self.end {
+        if state.now < self.max_time {
             let mut next = state.clone();
             next.now += 1;
             if !self.checks_fencing {
                 let now = next.now;
-                next.orders.retain(|(_, sent)| sent + ORDER_LIFE >= now);
+                next.orders.retain(|(_, sent)| sent + ORDER_TTL >= now);
             }
             steps.push(Step::new("time passes", next));
         }
@@ -328,21 +329,21 @@
 
     fn violated_property(&self, state: &LeaseState) -> Option<&'static str> {
         let holds = |node: usize| self.epoch(state, node).is_some();
-        let is_checked = !self.has(LeaseDefect::UncheckedOrder);
+        let is_checked = !self.has_defect(LeaseDefect::UncheckedOrder);
         if is_checked && holds(0) && holds(1) {
             return Some("at most one node holds the lease");
         }
         state
-            .is_order_old
+            .is_stale_order_applied
             .then_some("no order of an earlier epoch takes effect after a later one's")
     }
 
     fn is_goal(&self, state: &LeaseState) -> bool {
         // Near the end of the bounded run there is no time left to wait a lease out, and a node
         // that has used up its writes can not win it.
-        let is_late = state.now + DURATION + MARGIN >= self.end;
-        let is_used_up = state.writes.contains(&WRITES);
-        let is_held = (0..2).any(|node| state.keepers[node].epoch(ticks(state.now)).is_some());
+        let is_late = state.now + DURATION + MARGIN >= self.max_time;
+        let is_used_up = state.writes.contains(&MAX_WRITES);
+        let is_held = (0..2).any(|node| state.clients[node].epoch(ticks(state.now)).is_some());
         is_held || is_late || is_used_up
     }
 }
--- a/crates/model/src/orders.rs
+++ b/crates/model/src/orders.rs
@@ -7,9 +7,9 @@
 use crate::search::{Specification, Step};
 
 /// Losses and replacements in one run.
-const FAULTS: u8 = 3;
+const MAX_FAULTS: u8 = 3;
 /// Times the machine is claimed in one run.
-const CLAIMS: u8 = 3;
+const MAX_CLAIMS: u8 = 3;
 
 /// A defect put in on purpose.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -41,7 +41,7 @@
 
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 struct Report {
-    life: u8,
+    incarnation: u8,
     group: Option<Group>,
     /// Fencing number of the last order obeyed.
     fence: u8,
@@ -52,23 +52,23 @@
 pub struct OrderState {
     /// Group that the table says the machine belongs to.
     claim: Option<Group>,
-    claim_life: u8,
+    claim_incarnation: u8,
     is_dissolving: bool,
     next_group: Group,
     next_fence: u8,
     orders: Vec<Order>,
-    vm_life: u8,
+    vm_incarnation: u8,
     vm_group: Option<Group>,
     vm_fence: u8,
     /// Newest report on its way, and the one the controller has.
-    sent: Option<Report>,
-    seen: Option<Report>,
+    report_in_flight: Option<Report>,
+    last_report: Option<Report>,
     faults_left: u8,
     claims_left: u8,
     /// Whether the machine had joined the claimed group since it was claimed.
     has_joined: bool,
-    is_taken_back: bool,
-    is_claimed_busy: bool,
+    is_moved_by_old_order: bool,
+    is_claimed_in_group: bool,
 }
 
 impl OrderSpec {
@@ -90,12 +90,12 @@
         }
     }
 
-    fn has(&self, defect: OrderDefect) -> bool {
+    fn has_defect(&self, defect: OrderDefect) -> bool {
         self.defect == Some(defect)
     }
 
     fn send(&self, state: &mut OrderState, join: Option<Group>) {
-        if !self.has(OrderDefect::SameFence) {
+        if !self.has_defect(OrderDefect::SameFence) {
             state.next_fence += 1;
         }
         state.orders.push(Order {
@@ -109,25 +109,25 @@
         if state.claim.is_some() {
             return false;
         }
-        if self.has(OrderDefect::ClaimedWithoutReport) {
+        if self.has_defect(OrderDefect::ClaimedWithoutReport) {
             return true;
         }
         state
-            .seen
-            .is_some_and(|report| self.is_idle_now(state, report))
+            .last_report
+            .is_some_and(|report| self.is_idle(state, report))
     }
 
-    fn is_idle_now(&self, state: &OrderState, report: Report) -> bool {
+    fn is_idle(&self, state: &OrderState, report: Report) -> bool {
         // The platform's list tells the controller which life the machine is in.
-        let is_present = report.life == state.vm_life;
+        let is_present = report.incarnation == state.vm_incarnation;
         is_present && report.group.is_none()
     }
 
     /// Returns whether a report shows that the last order, the one to leave, was obeyed.
     fn has_left(&self, state: &OrderState, report: Report) -> bool {
-        let is_obeyed =
-            report.fence >= state.next_fence || self.has(OrderDefect::UnacknowledgedLeave);
-        is_obeyed && self.is_idle_now(state, report)
+        let is_executed =
+            report.fence >= state.next_fence || self.has_defect(OrderDefect::UnacknowledgedLeave);
+        is_executed && self.is_idle(state, report)
     }
 
     /// Returns whether an order may be sent.
@@ -140,12 +140,12 @@
             let mut next = state.clone();
             next.claims_left -= 1;
             next.claim = Some(state.next_group);
-            next.claim_life = state.vm_life;
+            next.claim_incarnation = state.vm_incarnation;
             next.next_group += 1;
             next.has_joined = false;
             next.is_dissolving = false;
-            next.seen = None;
-            next.is_claimed_busy |= state.vm_group.is_some();
+            next.last_report = None;
+            next.is_claimed_in_group |= state.vm_group.is_some();
             self.send(&mut next, Some(state.next_group));
             steps.push(Step::new(
                 "the machine is claimed and ordered to join",
@@ -168,11 +168,11 @@
             steps.push(Step::new(format!("group {group} is dissolved"), next));
             return;
         }
-        let is_left = state.seen.is_some_and(|report| {
-            let is_replaced = state.vm_life != state.claim_life;
+        let is_left = state.last_report.is_some_and(|report| {
+            let is_replaced = state.vm_incarnation != state.claim_incarnation;
             is_replaced || self.has_left(state, report)
         });
-        if is_left || self.has(OrderDefect::ClaimedWithoutReport) {
+        if is_left || self.has_defect(OrderDefect::ClaimedWithoutReport) {
             let mut next = state.clone();
             next.claim = None;
             steps.push(Step::new(
@@ -187,36 +187,37 @@
         }
     }
 
-    fn machine_steps(&self, state: &OrderState, steps: &mut Vec<Step<OrderState>>) {
+    fn vm_steps(&self, state: &OrderState, steps: &mut Vec<Step<OrderState>>) {
         for index in 0..state.orders.len() {
             let mut next = state.clone();
             let order = next.orders.remove(index);
-            let ignores = !self.checks_fencing || self.has(OrderDefect::FencingIgnored);
-            let is_refused = order.fence < state.vm_fence && !ignores;
+            let ignores_fences =
+                !self.checks_fencing || self.has_defect(OrderDefect::FencingIgnored);
+            let is_refused = order.fence < state.vm_fence && !ignores_fences;
             if !is_refused {
-                self.obey(&mut next, order);
+                self.execute(&mut next, order);
             }
             steps.push(Step::new(format!("order {order:?} arrives"), next));
         }
         let mut next = state.clone();
-        next.sent = Some(Report {
-            life: state.vm_life,
+        next.report_in_flight = Some(Report {
+            incarnation: state.vm_incarnation,
             group: state.vm_group,
             fence: state.vm_fence,
         });
         steps.push(Step::new("the machine reports", next));
-        if state.sent.is_some() {
+        if state.report_in_flight.is_some() {
             let mut next = state.clone();
-            next.seen = next.sent.take();
+            next.last_report = next.report_in_flight.take();
             steps.push(Step::new("the report arrives", next));
         }
     }
 
-    fn obey(&self, state: &mut OrderState, order: Order) {
+    fn execute(&self, state: &mut OrderState, order: Order) {
         state.vm_fence = state.vm_fence.max(order.fence);
-        let is_own = state.claim_life == state.vm_life && !state.is_dissolving;
-        if is_own && state.has_joined && order.join != state.claim {
-            state.is_taken_back = true;
+        let is_claimed = state.claim_incarnation == state.vm_incarnation && !state.is_dissolving;
+        if is_claimed && state.has_joined && order.join != state.claim {
+            state.is_moved_by_old_order = true;
         }
         state.vm_group = order.join;
         if order.join.is_some() && order.join == state.claim {
@@ -231,28 +232,28 @@
     fn initial(&self) -> OrderState {
         OrderState {
             claim: None,
-            claim_life: 0,
+            claim_incarnation: 0,
             is_dissolving: false,
             next_group: 0,
             next_fence: 1,
             orders: Vec::new(),
-            vm_life: 0,
+            vm_incarnation: 0,
             vm_group: None,
             vm_fence: 0,
-            sent: None,
-            seen: None,
-            faults_left: FAULTS,
-            claims_left: CLAIMS,
+            report_in_flight: None,
+            last_report: None,
+            faults_left: MAX_FAULTS,
+            claims_left: MAX_CLAIMS,
             has_joined: false,
-            is_taken_back: false,
-            is_claimed_busy: false,
+            is_moved_by_old_order: false,
+            is_claimed_in_group: false,
         }
     }
 
     fn steps(&self, state: &OrderState) -> Vec<Step<OrderState>> {
         let mut steps = Vec::new();
         self.controller_steps(state, &mut steps);
-        self.machine_steps(state, &mut steps);
+        self.vm_steps(state, &mut steps);
         if state.faults_left == 0 {
             return steps;
         }
@@ -264,7 +265,7 @@
         }
         let mut next = state.clone();
         next.faults_left -= 1;
-        next.vm_life += 1;
+        next.vm_incarnation += 1;
         next.vm_group = None;
         next.vm_fence = 0;
         // What was under way to the old life dies with its connections.
@@ -274,11 +275,11 @@
     }
 
     fn violated_property(&self, state: &OrderState) -> Option<&'static str> {
-        if state.is_taken_back {
+        if state.is_moved_by_old_order {
             return Some("no earlier order takes a machine out of the group the table gives it");
         }
         state
-            .is_claimed_busy
+            .is_claimed_in_group
             .then_some("a machine is claimed only when it is in no group")
     }
 
--- a/crates/model/src/relay.rs
+++ b/crates/model/src/relay.rs
@@ -7,13 +7,13 @@
 use crate::search::{Specification, Step};
 
 /// Readers that the node may ask.
-const READERS: usize = 2;
+const READER_COUNT: usize = 2;
 /// Versions after the first.
-const VERSIONS: u8 = 2;
+const MAX_UPDATES: u8 = 2;
 /// Moments in one run.
-const MOMENTS: u8 = 4;
+const MAX_TIME: u8 = 4;
 /// Questions that the node asks in one run.
-const QUESTIONS: u8 = 3;
+const MAX_REQUESTS: u8 = 3;
 
 /// A defect put in on purpose.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -35,22 +35,22 @@
 }
 
 /// What is asked: the whole, or changes after a version.
-type Mark = Option<u8>;
+type KnownVersion = Option<u8>;
 
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-struct Flight {
-    mark: Mark,
-    begun: u8,
+struct StoreRequest {
+    known_version: KnownVersion,
+    started_at: u8,
     /// Newest version in the answer once it is there, none if nothing had changed.
-    answer: Option<Option<u8>>,
+    response: Option<Option<u8>>,
 }
 
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-struct Question {
+struct NodeRequest {
     reader: usize,
-    mark: Mark,
-    asked: u8,
-    arrived: Option<u8>,
+    known_version: KnownVersion,
+    sent_at: u8,
+    received_at: Option<u8>,
 }
 
 /// State of the store, the readers and the node.
@@ -58,19 +58,19 @@
 pub struct RelayState {
     now: u8,
     /// When each version was accepted.
-    accepted: Vec<u8>,
-    flights: [Option<Flight>; READERS],
-    question: Option<Question>,
-    questions_left: u8,
+    accepted_at: Vec<u8>,
+    store_requests: [Option<StoreRequest>; READER_COUNT],
+    request: Option<NodeRequest>,
+    requests_left: u8,
     held: Option<u8>,
     /// Moment at which what is held was the newest, as the node believes.
-    confirmed: Option<u8>,
-    went_back: bool,
+    confirmed_at: Option<u8>,
+    has_regressed: bool,
 }
 
 impl RelayState {
     fn newest(&self) -> u8 {
-        self.accepted.len() as u8 - 1
+        self.accepted_at.len() as u8 - 1
     }
 }
 
@@ -87,107 +87,115 @@
         }
     }
 
-    fn has(&self, defect: RelayDefect) -> bool {
+    fn has_defect(&self, defect: RelayDefect) -> bool {
         self.defect == Some(defect)
     }
 
-    fn ask_steps(&self, state: &RelayState, steps: &mut Vec<Step<RelayState>>) {
-        if state.questions_left == 0 {
+    fn request_steps(&self, state: &RelayState, steps: &mut Vec<Step<RelayState>>) {
+        if state.requests_left == 0 {
             return;
         }
-        for reader in 0..READERS {
+        for reader in 0..READER_COUNT {
             // One that is asked while another is waited for has been given up.
-            for mark in [None, state.held] {
+            for known_version in [None, state.held] {
                 let mut next = state.clone();
-                next.questions_left -= 1;
-                next.question = Some(Question {
+                next.requests_left -= 1;
+                next.request = Some(NodeRequest {
                     reader,
-                    mark,
-                    asked: state.now,
-                    arrived: None,
+                    known_version,
+                    sent_at: state.now,
+                    received_at: None,
                 });
                 steps.push(Step::new(
-                    format!("the node asks {reader} after {mark:?}"),
+                    format!("the node asks {reader} after {known_version:?}"),
                     next,
                 ));
             }
         }
     }
 
-    fn arrive_step(&self, state: &RelayState) -> Option<Step<RelayState>> {
-        let question = state.question.filter(|held| held.arrived.is_none())?;
+    fn receive_step(&self, state: &RelayState) -> Option<Step<RelayState>> {
+        let request = state.request.filter(|held| held.received_at.is_none())?;
         let mut next = state.clone();
-        next.question = Some(Question {
-            arrived: Some(state.now),
-            ..question
+        next.request = Some(NodeRequest {
+            received_at: Some(state.now),
+            ..request
         });
-        let flight = &mut next.flights[question.reader];
-        if flight.is_none_or(|held| held.mark != question.mark) {
-            *flight = Some(Flight {
-                mark: question.mark,
-                begun: state.now,
-                answer: None,
+        let store_request = &mut next.store_requests[request.reader];
+        if store_request.is_none_or(|held| held.known_version != request.known_version) {
+            *store_request = Some(StoreRequest {
+                known_version: request.known_version,
+                started_at: state.now,
+                response: None,
             });
         }
         Some(Step::new("the question arrives", next))
     }
 
     fn store_steps(&self, state: &RelayState, steps: &mut Vec<Step<RelayState>>) {
-        for reader in 0..READERS {
-            let Some(flight) = state.flights[reader].filter(|held| held.answer.is_none()) else {
+        for reader in 0..READER_COUNT {
+            let Some(store_request) =
+                state.store_requests[reader].filter(|held| held.response.is_none())
+            else {
                 continue;
             };
             let newest = state.newest();
-            let mut answers = vec![(flight.mark != Some(newest)).then_some(newest)];
-            if let Some(mark) = flight.mark.filter(|mark| mark + 1 < newest) {
-                answers.push(Some(mark + 1));
+            let mut responses =
+                vec![(store_request.known_version != Some(newest)).then_some(newest)];
+            if let Some(known_version) = store_request
+                .known_version
+                .filter(|known_version| known_version + 1 < newest)
+            {
+                responses.push(Some(known_version + 1));
             }
-            for answer in answers {
+            for response in responses {
                 let mut next = state.clone();
-                next.flights[reader] = Some(Flight {
-                    answer: Some(answer),
-                    ..flight
+                next.store_requests[reader] = Some(StoreRequest {
+                    response: Some(response),
+                    ..store_request
                 });
                 steps.push(Step::new(
-                    format!("the store answers {reader}: {answer:?}"),
+                    format!("the store answers {reader}: {response:?}"),
                     next,
                 ));
             }
         }
     }
 
-    fn answer_step(&self, state: &RelayState) -> Option<Step<RelayState>> {
-        let question = state.question?;
-        let arrived = question.arrived?;
-        let flight = state.flights[question.reader]?;
-        let version = flight.answer.filter(|_| flight.mark == question.mark)?;
-        let age = if self.has(RelayDefect::AgeIgnored) {
+    fn response_step(&self, state: &RelayState) -> Option<Step<RelayState>> {
+        let request = state.request?;
+        let received_at = request.received_at?;
+        let store_request = state.store_requests[request.reader]?;
+        let version = store_request
+            .response
+            .filter(|_| store_request.known_version == request.known_version)?;
+        let age = if self.has_defect(RelayDefect::AgeIgnored) {
             0
         } else {
-            arrived.saturating_sub(flight.begun)
+            received_at.saturating_sub(store_request.started_at)
         };
-        let asked = if self.has(RelayDefect::DatedByResponse) {
+        let sent_at = if self.has_defect(RelayDefect::DatedByResponse) {
             state.now
         } else {
-            question.asked
+            request.sent_at
         };
         let mut next = state.clone();
-        next.question = None;
+        next.request = None;
         if let Some(version) = version {
-            self.adopt(&mut next, version);
+            self.apply_version(&mut next, version);
         }
-        let is_all = question.mark.is_none() || version.is_none();
-        if next.held.is_some() && (is_all || self.has(RelayDefect::PartialConfirms)) {
-            let at = asked.saturating_sub(age);
-            next.confirmed = next.confirmed.max(Some(at));
+        let is_complete = request.known_version.is_none() || version.is_none();
+        if next.held.is_some() && (is_complete || self.has_defect(RelayDefect::PartialConfirms)) {
+            let at = sent_at.saturating_sub(age);
+            next.confirmed_at = next.confirmed_at.max(Some(at));
         }
         Some(Step::new("the node gets its answer", next))
     }
 
-    fn adopt(&self, state: &mut RelayState, version: u8) {
+    fn apply_version(&self, state: &mut RelayState, version: u8) {
         let is_newer = state.held.is_none_or(|held| version > held);
-        if is_newer || self.has(RelayDefect::OlderAdopted) {
-            state.went_back |= !is_newer && state.held != Some(version);
+        if is_newer || self.has_defect(RelayDefect::OlderAdopted) {
+            state.has_regressed |= !is_newer && state.held != Some(version);
             state.held = Some(version);
         }
     }
@@ -199,46 +207,46 @@
     fn initial(&self) -> RelayState {
         RelayState {
             now: 0,
-            accepted: vec![0],
-            flights: [None; READERS],
-            question: None,
-            questions_left: QUESTIONS,
+            accepted_at: vec![0],
+            store_requests: [None; READER_COUNT],
+            request: None,
+            requests_left: MAX_REQUESTS,
             held: None,
-            confirmed: None,
-            went_back: false,
+            confirmed_at: None,
+            has_regressed: false,
         }
     }
 
     fn steps(&self, state: &RelayState) -> Vec<Step<RelayState>> {
         let mut steps = Vec::new();
-        if state.now < MOMENTS {
+        if state.now < MAX_TIME {
             let mut next = state.clone();
             next.now += 1;
             steps.push(Step::new("time passes", next));
         }
-        if state.newest() < VERSIONS {
+        if state.newest() < MAX_UPDATES {
             let mut next = state.clone();
-            next.accepted.push(state.now);
+            next.accepted_at.push(state.now);
             steps.push(Step::new("a version is accepted", next));
         }
-        self.ask_steps(state, &mut steps);
-        steps.extend(self.arrive_step(state));
+        self.request_steps(state, &mut steps);
+        steps.extend(self.receive_step(state));
         self.store_steps(state, &mut steps);
-        steps.extend(self.answer_step(state));
+        steps.extend(self.response_step(state));
         steps
     }
 
     fn violated_property(&self, state: &RelayState) -> Option<&'static str> {
-        if state.went_back {
+        if state.has_regressed {
             return Some("the configuration held never goes back");
         }
         let held = state.held?;
-        let confirmed = state.confirmed?;
-        let next = state.accepted.get(usize::from(held) + 1)?;
-        (*next < confirmed).then_some("what is held was the newest at the moment it is dated")
+        let confirmed_at = state.confirmed_at?;
+        let next = state.accepted_at.get(usize::from(held) + 1)?;
+        (*next < confirmed_at).then_some("what is held was the newest at the moment it is dated")
     }
 
     fn is_goal(&self, state: &RelayState) -> bool {
-        state.held.is_some() || state.questions_left == 0
+        state.held.is_some() || state.requests_left == 0
     }
 }
--- a/crates/model/src/restart.rs
+++ b/crates/model/src/restart.rs
@@ -7,15 +7,15 @@
 use crate::search::{Specification, Step};
 
 /// Controllers.
-const CONTROLLERS: usize = 2;
+const CONTROLLER_COUNT: usize = 2;
 /// Groups in one run; the next one is formed by whoever finds the member free.
-const GROUPS: usize = 3;
+const GROUP_COUNT: usize = 3;
 /// Orders under way at once.
-const IN_FLIGHT: usize = 3;
+const MAX_IN_FLIGHT: usize = 3;
 /// Restarts in one run.
-const RESTARTS: u8 = 1;
+const MAX_RESTARTS: u8 = 1;
 /// Groups ended in one run.
-const ENDS: u8 = 1;
+const MAX_DISSOLVED: u8 = 1;
 
 /// A defect put in on purpose.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -48,8 +48,8 @@
 
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 struct Member {
-    life: u8,
-    count: u8,
+    incarnation: u8,
+    sequence: u8,
     /// Highest epoch that this life has seen.
     epoch: u8,
     group: Option<Group>,
@@ -61,21 +61,21 @@
     controller: usize,
     epoch: u8,
     /// Life of the member that was chosen.
-    life: u8,
+    incarnation: u8,
 }
 
 /// State of the member, its groups and what the controllers know.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct RestartState {
     member: Member,
-    views: [Option<Member>; CONTROLLERS],
-    formed: [Option<Formation>; GROUPS],
-    serves: [bool; GROUPS],
-    ended: [bool; GROUPS],
+    views: [Option<Member>; CONTROLLER_COUNT],
+    formed: [Option<Formation>; GROUP_COUNT],
+    serves: [bool; GROUP_COUNT],
+    dissolved: [bool; GROUP_COUNT],
     orders: Vec<JoinOrder>,
     restarts_left: u8,
-    ends_left: u8,
-    is_taken_while_served: bool,
+    dissolves_left: u8,
+    is_moved_while_serving: bool,
 }
 
 impl RestartSpec {
@@ -91,36 +91,38 @@
         }
     }
 
-    fn has(&self, defect: RestartDefect) -> bool {
+    fn has_defect(&self, defect: RestartDefect) -> bool {
         self.defect == Some(defect)
     }
 
-    fn epoch(&self, state: &RestartState, seen: Member) -> u8 {
-        if self.has(RestartDefect::EpochFromReport) {
-            return seen.epoch + 1;
+    fn epoch(&self, state: &RestartState, reported: Member) -> u8 {
+        if self.has_defect(RestartDefect::EpochFromReport) {
+            return reported.epoch + 1;
         }
         let formed = state.formed.iter().flatten();
         1 + formed.map(|formation| formation.epoch).max().unwrap_or(0)
     }
 
     fn form_step(&self, state: &RestartState, controller: usize) -> Option<Step<RestartState>> {
-        let seen = state.views[controller]?;
+        let reported = state.views[controller]?;
         let group = state.formed.iter().position(Option::is_none)?;
-        let is_known =
-            seen.life == state.member.life || self.has(RestartDefect::ChosenByStaleReport);
-        let is_free = seen.group.is_none_or(|held| state.ended[held]);
-        if !is_known || !is_free || state.orders.len() >= IN_FLIGHT {
+        let is_current_incarnation = reported.incarnation == state.member.incarnation
+            || self.has_defect(RestartDefect::ChosenByStaleReport);
+        let is_free = reported
+            .group
+            .is_none_or(|current| state.dissolved[current]);
+        if !is_current_incarnation || !is_free || state.orders.len() >= MAX_IN_FLIGHT {
             return None;
         }
         let mut next = state.clone();
         next.formed[group] = Some(Formation {
             controller,
-            epoch: self.epoch(state, seen),
-            life: seen.life,
+            epoch: self.epoch(state, reported),
+            incarnation: reported.incarnation,
         });
         next.orders.push(JoinOrder {
             group,
-            expected: seen.count,
+            expected: reported.sequence,
         });
         next.orders.sort_unstable();
         // The member has to report before it is ordered again by this controller.
@@ -129,14 +131,14 @@
     }
 
     fn open_step(&self, state: &RestartState, controller: usize) -> Option<Step<RestartState>> {
-        let seen = state.views[controller].filter(|seen| seen.is_ready)?;
-        let group = seen.group?;
+        let reported = state.views[controller].filter(|reported| reported.is_ready)?;
+        let group = reported.group?;
         let formation = state.formed[group]?;
-        let is_as_chosen =
-            formation.life == seen.life || self.has(RestartDefect::OpenedOtherIncarnation);
+        let is_same_incarnation = formation.incarnation == reported.incarnation
+            || self.has_defect(RestartDefect::OpenedOtherIncarnation);
         let is_due = formation.controller == controller
-            && is_as_chosen
-            && !state.ended[group]
+            && is_same_incarnation
+            && !state.dissolved[group]
             && !state.serves[group];
         is_due.then(|| {
             let mut next = state.clone();
@@ -145,15 +147,16 @@
         })
     }
 
-    fn end_steps(&self, state: &RestartState, steps: &mut Vec<Step<RestartState>>) {
-        for group in 0..GROUPS {
-            if state.formed[group].is_none() || state.ended[group] || state.ends_left == 0 {
+    fn dissolve_steps(&self, state: &RestartState, steps: &mut Vec<Step<RestartState>>) {
+        for group in 0..GROUP_COUNT {
+            if state.formed[group].is_none() || state.dissolved[group] || state.dissolves_left == 0
+            {
                 continue;
             }
             let mut next = state.clone();
-            next.ends_left -= 1;
+            next.dissolves_left -= 1;
             next.serves[group] = false;
-            next.ended[group] = true;
+            next.dissolved[group] = true;
             steps.push(Step::new(format!("the head of {group} leaves"), next));
         }
     }
@@ -163,25 +166,26 @@
             let mut next = state.clone();
             let order = next.orders.remove(index);
             steps.push(Step::fault(format!("{order:?} is lost"), next.clone()));
-            self.carry_out(&mut next, order);
+            self.execute(&mut next, order);
             steps.push(Step::new(format!("{order:?} arrives"), next));
         }
     }
 
-    fn carry_out(&self, state: &mut RestartState, order: JoinOrder) {
+    fn execute(&self, state: &mut RestartState, order: JoinOrder) {
         let member = &mut state.member;
         let epoch = state.formed[order.group].map_or(0, |formation| formation.epoch);
-        let is_moved = member.count != order.expected && !self.has(RestartDefect::SequenceIgnored);
-        let is_old = epoch < member.epoch && !self.has(RestartDefect::EpochIgnored);
-        if is_moved || is_old {
+        let is_sequence_stale =
+            member.sequence != order.expected && !self.has_defect(RestartDefect::SequenceIgnored);
+        let is_epoch_stale = epoch < member.epoch && !self.has_defect(RestartDefect::EpochIgnored);
+        if is_sequence_stale || is_epoch_stale {
             return;
         }
-        let other = member.group.filter(|held| *held != order.group);
-        state.is_taken_while_served |= other.is_some_and(|held| state.serves[held]);
+        let other = member.group.filter(|current| *current != order.group);
+        state.is_moved_while_serving |= other.is_some_and(|current| state.serves[current]);
         member.group = Some(order.group);
         member.is_ready = false;
         member.epoch = member.epoch.max(epoch);
-        member.count += 1;
+        member.sequence += 1;
     }
 
     fn member_steps(&self, state: &RestartState, steps: &mut Vec<Step<RestartState>>) {
@@ -190,7 +194,7 @@
             next.member.is_ready = true;
             steps.push(Step::new("the member is ready", next));
         }
-        for controller in 0..CONTROLLERS {
+        for controller in 0..CONTROLLER_COUNT {
             if state.views[controller] != Some(state.member) {
                 let mut next = state.clone();
                 next.views[controller] = Some(state.member);
@@ -204,18 +208,18 @@
             let mut next = state.clone();
             next.restarts_left -= 1;
             next.member = Member {
-                life: state.member.life + 1,
-                ..first_life()
+                incarnation: state.member.incarnation + 1,
+                ..new_member()
             };
             steps.push(Step::fault("the member restarts", next));
         }
     }
 }
 
-fn first_life() -> Member {
+fn new_member() -> Member {
     Member {
-        life: 0,
-        count: 0,
+        incarnation: 0,
+        sequence: 0,
         epoch: 0,
         group: None,
         is_ready: false,
@@ -227,25 +231,25 @@
 
     fn initial(&self) -> RestartState {
         RestartState {
-            member: first_life(),
-            views: [None; CONTROLLERS],
-            formed: [None; GROUPS],
-            serves: [false; GROUPS],
-            ended: [false; GROUPS],
+            member: new_member(),
+            views: [None; CONTROLLER_COUNT],
+            formed: [None; GROUP_COUNT],
+            serves: [false; GROUP_COUNT],
+            dissolved: [false; GROUP_COUNT],
             orders: Vec::new(),
-            restarts_left: RESTARTS,
-            ends_left: ENDS,
-            is_taken_while_served: false,
+            restarts_left: MAX_RESTARTS,
+            dissolves_left: MAX_DISSOLVED,
+            is_moved_while_serving: false,
         }
     }
 
     fn steps(&self, state: &RestartState) -> Vec<Step<RestartState>> {
         let mut steps = Vec::new();
-        for controller in 0..CONTROLLERS {
+        for controller in 0..CONTROLLER_COUNT {
             steps.extend(self.form_step(state, controller));
             steps.extend(self.open_step(state, controller));
         }
-        self.end_steps(state, &mut steps);
+        self.dissolve_steps(state, &mut steps);
         self.order_steps(state, &mut steps);
         self.member_steps(state, &mut steps);
         steps
@@ -253,7 +257,7 @@
 
     fn violated_property(&self, state: &RestartState) -> Option<&'static str> {
         state
-            .is_taken_while_served
+            .is_moved_while_serving
             .then_some("a member joins another group only when its old one does not serve")
     }
 
--- a/crates/model/src/search.rs
+++ b/crates/model/src/search.rs
@@ -81,23 +81,23 @@
 
 /// Searches every state breadth-first, so the first violation found is the shortest.
 pub fn search<S: Specification>(spec: &S) -> SearchReport {
-    let seen = RefCell::new(0_usize);
+    let visited = RefCell::new(0_usize);
     let path = bfs(
         &spec.initial(),
         |state| {
-            *seen.borrow_mut() += 1;
-            if *seen.borrow() > STATE_LIMIT {
+            *visited.borrow_mut() += 1;
+            if *visited.borrow() > STATE_LIMIT {
                 return Vec::new();
             }
             next_states(spec, state)
         },
         |state| spec.violated_property(state).is_some(),
     );
-    let states = *seen.borrow();
+    let states = *visited.borrow();
     SearchReport {
         states,
         is_exhausted: path.is_none() && states <= STATE_LIMIT,
-        violation: path.map(|path| describe(spec, &path)),
+        violation: path.map(|path| build_violation(spec, &path)),
     }
 }
 
@@ -105,27 +105,27 @@
 pub fn stuck_states<S: Specification>(spec: &S) -> usize {
     let states: IndexSet<S::State> =
         bfs_reach(spec.initial(), |state| next_states(spec, state)).collect();
-    let mut before: IndexMap<usize, Vec<usize>> = IndexMap::new();
-    let mut open: Vec<usize> = Vec::new();
+    let mut predecessors: IndexMap<usize, Vec<usize>> = IndexMap::new();
+    let mut pending: Vec<usize> = Vec::new();
     for (index, state) in states.iter().enumerate() {
         if spec.is_goal(state) {
-            open.push(index);
+            pending.push(index);
         }
         for step in spec.steps(state).into_iter().filter(|step| !step.is_fault) {
             if let Some(next) = states.get_index_of(&step.state) {
-                before.entry(next).or_default().push(index);
+                predecessors.entry(next).or_default().push(index);
             }
         }
     }
-    let mut live: IndexSet<usize> = open.iter().copied().collect();
-    while let Some(index) = open.pop() {
-        for earlier in before.get(&index).into_iter().flatten() {
-            if live.insert(*earlier) {
-                open.push(*earlier);
+    let mut can_reach_goal: IndexSet<usize> = pending.iter().copied().collect();
+    while let Some(index) = pending.pop() {
+        for predecessor in predecessors.get(&index).into_iter().flatten() {
+            if can_reach_goal.insert(*predecessor) {
+                pending.push(*predecessor);
             }
         }
     }
-    states.len() - live.len()
+    states.len() - can_reach_goal.len()
 }
 
 fn next_states<S: Specification>(spec: &S, state: &S::State) -> Vec<S::State> {
@@ -133,7 +133,7 @@
     steps.into_iter().map(|step| step.state).collect()
 }
 
-fn describe<S: Specification>(spec: &S, path: &[S::State]) -> Violation {
+fn build_violation<S: Specification>(spec: &S, path: &[S::State]) -> Violation {
     let trace = path.windows(2).map(|pair| {
         let steps = spec.steps(&pair[0]);
         let step = steps.into_iter().find(|step| step.state == pair[1]);
