--- a/crates/model/examples/check.rs
+++ b/crates/model/examples/check.rs
@@ -1,7 +1,7 @@
-//! Searches every specification, and shows that every seeded defect is caught.
+//! Checks every specification, and that every seeded defect is detected.
 //!
-//! Exits 0 only if every property holds in every state, no state is stuck, and every defect yields
-//! a counterexample.
+//! Exits with 0 only if every property holds in every reachable state, no state is stuck, and every
+//! defect yields a counterexample.
 
 use std::process::ExitCode;
 
@@ -11,7 +11,7 @@
     OrderDefect, OrderSpec, RelayDefect, RelaySpec, RestartDefect, RestartSpec, Specification,
 };
 
-/// Counts what was not as it should be.
+/// Prints the results of the checks and counts failures.
 #[derive(Default)]
 struct CheckSummary {
     failures: usize,
@@ -23,7 +23,7 @@
         let is_sound = report.violation.is_none() && report.is_exhausted;
         println!(
             "{} {name}: {} states, exhausted {}",
-            if is_sound { "holds " } else { "BROKEN" },
+            if is_sound { "holds  " } else { "BROKEN " },
             report.states,
             report.is_exhausted,
         );
@@ -35,8 +35,8 @@
 
     fn check_liveness<S: Specification>(&mut self, name: &str, spec: &S) {
         let stuck = stuck_states(spec);
-        let label = if stuck == 0 { "lives " } else { "STUCK " };
-        println!("{label} {name}: {stuck} states from which nothing good is reached");
+        let label = if stuck == 0 { "live   " } else { "STUCK  " };
+        println!("{label} {name}: {stuck} states from which no goal is reachable");
         self.failures += usize::from(stuck > 0);
     }
 
@@ -45,14 +45,14 @@
         match report.violation {
             Some(violation) => {
                 println!(
-                    "caught {name}: {} steps break \"{}\"",
+                    "caught  {name}: {} steps violate \"{}\"",
                     violation.trace.len(),
                     violation.property
                 );
                 println!("    {}", violation.trace.join("; "));
             }
             None => {
-                println!("MISSED {name}: {} states", report.states);
+                println!("MISSED  {name}: {} states", report.states);
                 self.failures += 1;
             }
         }
@@ -61,7 +61,7 @@
 
 fn main() -> ExitCode {
     let mut summary = CheckSummary::default();
-    summary.check_properties("lease, contest alone", &LeaseSpec::contest());
+    summary.check_properties("lease without orders", &LeaseSpec::contest());
     summary.check_properties("lease, engines that check fencing", &LeaseSpec::sound(true));
     summary.check_properties(
         "lease, engines that ignore fencing",
@@ -75,13 +75,16 @@
         "orders, engines that ignore fencing",
         &OrderSpec::sound(false),
     );
-    summary.check_properties("groups by conditional orders", &GroupFormationSpec::sound());
-    summary.check_properties("a member that restarts", &RestartSpec::sound());
+    summary.check_properties(
+        "group formation by conditional orders",
+        &GroupFormationSpec::sound(),
+    );
+    summary.check_properties("join orders across a restart", &RestartSpec::sound());
     summary.check_properties("configuration through readers", &RelaySpec::sound());
     summary.check_properties("serving gate", &GateSpec::sound());
-    summary.check_properties("accepted configuration", &ConfigSpec::sound());
-    summary.check_properties("at most once by key", &KeySpec::sound());
-    summary.check_properties("requests that end targets", &CrashSpec::sound());
+    summary.check_properties("configuration edits", &ConfigSpec::sound());
+    summary.check_properties("at-most-once execution by key", &KeySpec::sound());
+    summary.check_properties("requests that crash targets", &CrashSpec::sound());
     summary.check_liveness("lease", &LeaseSpec::short());
     summary.check_liveness(
         "orders, engines that check fencing",
@@ -92,8 +95,8 @@
         &OrderSpec::sound(false),
     );
     summary.check_liveness("serving gate", &GateSpec::sound());
-    summary.check_liveness("accepted configuration", &ConfigSpec::sound());
-    summary.check_liveness("at most once by key", &KeySpec::sound());
+    summary.check_liveness("configuration edits", &ConfigSpec::sound());
+    summary.check_liveness("at-most-once execution by key", &KeySpec::sound());
     for (checks, defect) in [
         (true, LeaseDefect::CountedFromResponse),
         (true, LeaseDefect::EarlyChallenger),
@@ -178,9 +181,9 @@
         CrashDefect::NoInitialRead,
         CrashDefect::EraIgnored,
     ] {
-        let name = format!("requests that end targets with {defect:?}");
+        let name = format!("requests that crash targets with {defect:?}");
         summary.check_defect(&name, &CrashSpec::defective(defect));
     }
-    println!("{} not as it should be", summary.failures);
+    println!("{} checks failed", summary.failures);
     ExitCode::from(u8::from(summary.failures > 0))
 }
--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -1,7 +1,7 @@
-//! Two operators edit one entity; a node applies what it hears in any order.
+//! Two operators edit one entity while a node applies the accepted versions in any order.
 //!
-//! The node runs the real [`VersionedConfig`]. The store applies writes late and loses answers; operators
-//! settle what they lost.
+//! The node runs the real [`VersionedConfig`]. The store delays writes and loses responses. An operator that
+//! lost a response settles its edit: it reads the log and voids the edit if it is absent.
 
 use std::hash::{Hash, Hasher};
 
@@ -9,25 +9,25 @@
 
 use crate::search::{Specification, Step};
 
-/// Lost answers and held-up writes in one run.
+/// Maximum number of lost responses and delayed writes in one run.
 const MAX_FAULTS: u8 = 2;
-/// Writes one operator sends at most.
+/// Maximum number of writes sent by one operator.
 const MAX_SENDS: u8 = 3;
 
-/// A defect put in on purpose.
+/// A seeded defect that the search must detect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ConfigDefect {
-    /// The node takes over whatever version it hears last.
+    /// The node applies the last version it received, even if it is lower than the current one.
     LowerAccepted,
-    /// A write whose answer was lost is sent again without reading back.
+    /// A write whose response was lost is retried without reading the log first.
     BlindRetry,
-    /// Settling only looks, and bars nothing.
+    /// Settling reads the log but does not void the edit, so a delayed write may still be applied.
     SettleWithoutVoid,
-    /// The head row's version is not a condition.
+    /// Writes are not conditional on the version of the head row.
     UnconditionalHead,
 }
 
-/// The configuration protocol.
+/// Edits of the configuration log and their application by a node.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigSpec {
     defect: Option<ConfigDefect>,
@@ -56,10 +56,10 @@
     Done(EditResult),
 }
 
-/// State of the table, the operators and the node.
+/// State of the configuration log, the operators and the node.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct ConfigState {
-    /// Operator of each entry of the log.
+    /// Operator that wrote each log entry.
     log: Vec<Operator>,
     void: [bool; 2],
     stages: [Stage; 2],
@@ -72,7 +72,7 @@
     faults_left: u8,
 }
 
-/// The node's book, compared and hashed by its version.
+/// The node's configuration, compared and hashed by version only.
 #[derive(Clone, Debug)]
 struct NodeConfig {
     config: VersionedConfig,
@@ -93,12 +93,12 @@
 }
 
 impl ConfigSpec {
-    /// Makes the sound protocol.
+    /// Returns the protocol without defects.
     pub fn sound() -> Self {
         Self { defect: None }
     }
 
-    /// Makes the protocol with one defect.
+    /// Returns the protocol with one seeded defect.
     pub fn defective(defect: ConfigDefect) -> Self {
         Self {
             defect: Some(defect),
@@ -109,7 +109,7 @@
         self.defect == Some(defect)
     }
 
-    /// Applies a write and returns what the writer is answered.
+    /// Applies a write and returns the result sent to the writer.
     fn apply(&self, state: &mut ConfigState, write: Write) -> EditResult {
         let is_conditional = !self.has_defect(ConfigDefect::UnconditionalHead);
         let is_stale = is_conditional && state.log.len() != write.expected;
@@ -145,7 +145,7 @@
                 let result = self.apply(&mut next, write);
                 next.stages[operator] = Stage::Done(result);
                 steps.push(Step::new(
-                    format!("operator {operator} is answered {result:?}"),
+                    format!("operator {operator} receives {result:?}"),
                     next,
                 ));
                 if state.faults_left > 0 {
@@ -154,7 +154,7 @@
                     next.delayed_writes.push(write);
                     next.stages[operator] = Stage::Lost;
                     steps.push(Step::fault(
-                        format!("operator {operator}'s write is held up"),
+                        format!("operator {operator}'s write is delayed"),
                         next,
                     ));
                     let mut next = state.clone();
@@ -162,7 +162,7 @@
                     self.apply(&mut next, write);
                     next.stages[operator] = Stage::Lost;
                     steps.push(Step::fault(
-                        format!("operator {operator}'s answer is lost"),
+                        format!("operator {operator}'s response is lost"),
                         next,
                     ));
                 }
@@ -182,7 +182,7 @@
             let mut next = state.clone();
             next.stages[operator] = Stage::Idle;
             steps.push(Step::new(
-                format!("operator {operator} sends it again"),
+                format!("operator {operator} retries its edit"),
                 next,
             ));
             return;
@@ -197,7 +197,10 @@
         if !is_in_log && !self.has_defect(ConfigDefect::SettleWithoutVoid) {
             next.void[operator] = true;
         }
-        steps.push(Step::new(format!("operator {operator} settles it"), next));
+        steps.push(Step::new(
+            format!("operator {operator} settles its edit"),
+            next,
+        ));
     }
 
     fn node_steps(&self, state: &ConfigState, steps: &mut Vec<Step<ConfigState>>) {
@@ -207,7 +210,7 @@
                 next.received.push(version);
                 next.received.sort_unstable();
                 steps.push(Step::new(
-                    format!("version {version} is told to the node"),
+                    format!("the node receives version {version}"),
                     next,
                 ));
             }
@@ -223,7 +226,10 @@
             let current = next.node.config.version();
             next.has_regressed |= current < state.highest;
             next.highest = state.highest.max(current);
-            steps.push(Step::new(format!("the node takes version {version}"), next));
+            steps.push(Step::new(
+                format!("the node applies version {version}"),
+                next,
+            ));
         }
     }
 }
@@ -268,7 +274,7 @@
             let mut next = state.clone();
             let write = next.delayed_writes.remove(index);
             self.apply(&mut next, write);
-            steps.push(Step::new("the store takes a late write", next));
+            steps.push(Step::new("the store applies a delayed write", next));
         }
         self.node_steps(state, &mut steps);
         steps
@@ -276,7 +282,7 @@
 
     fn violated_property(&self, state: &ConfigState) -> Option<&'static str> {
         if state.has_regressed {
-            return Some("a node never goes back to a lower version");
+            return Some("a node never returns to a lower version");
         }
         for operator in 0..2 {
             let count = state.log.iter().filter(|other| **other == operator).count();
@@ -285,10 +291,10 @@
             }
             match state.stages[operator] {
                 Stage::Done(EditResult::Accepted) if count == 0 => {
-                    return Some("an edit told accepted is in the log");
+                    return Some("an edit reported as accepted is in the log");
                 }
                 Stage::Done(EditResult::Void) if count > 0 => {
-                    return Some("an edit told void is never in the log");
+                    return Some("an edit reported as void is never in the log");
                 }
                 _ => {}
             }
--- a/crates/model/src/crash.rs
+++ b/crates/model/src/crash.rs
@@ -1,9 +1,9 @@
-//! Nodes add up the ends of targets by one request, which comes again at any node.
+//! Nodes count the crashes of targets caused by one request, which any node may receive again.
 //!
-//! Each node tells two others what it sees and follows the store's table. Nodes restart, are cut off from each other
-//! or from the store; writes land late; word is told twice; the store comes back
-//! without its rows. The verdict comes from the real [`CrashHistory`]. A request
-//! comes only when everything that can be told has been: that is what nodes have had time for.
+//! Each node reports the crashes it sees to two holders and follows a table in the store. Nodes restart and
+//! lose contact with each other or with the store, writes are delayed, reports are repeated, and the store is
+//! restored without its rows. The verdict comes from the real [`CrashHistory`]. A request arrives only after
+//! all possible propagation has completed: the model assumes that nodes have enough time for it between requests.
 
 use briarswitch_core::crash::{
     CrashHistory, CrashReport, CrashVerdict, IncarnationKey, MIN_CRASHES,
@@ -13,38 +13,38 @@
 use crate::search::{Specification, Step};
 
 const NODE_COUNT: usize = 3;
-/// Nodes that are told; they rank first for the request.
+/// Nodes that receive reports: the two ranked first for the request.
 const HOLDERS: [usize; 2] = [0, 1];
-/// Restarts, cuts, late writes and repeated words in one run.
+/// Maximum number of faults (restarts, partitions, delayed writes, repeated reports, restores) in one run.
 const MAX_FAULTS: u8 = 2;
-/// Ends that may come after those that are enough; one less than the rule allows.
+/// Crashes allowed beyond the quarantine threshold; one fewer than the rule allows.
 const EXTRA_CRASHES: u8 = 2;
-/// Ends that somebody could tell of, as many as are looked at; one more than are allowed.
+/// Number of witnessed crashes that violates the property: one more than are allowed.
 const CRASH_LIMIT: u8 = MIN_CRASHES as u8 + EXTRA_CRASHES + 1;
-/// Time between two ends, in milliseconds.
+/// Time between two crashes.
 const CRASH_INTERVAL_MS: u64 = 1_000;
 
-/// A defect put in on purpose.
+/// A seeded defect that the search must detect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CrashDefect {
-    /// Nothing is written; nodes only tell each other.
+    /// Nodes report to each other but write nothing to the table.
     NeverWritten,
-    /// What is told is added to what is held, as a sum and not as a set.
+    /// Received crashes are added to a counter rather than merged into a set, so repeats count twice.
     Summed,
-    /// Rows are dropped that still count.
+    /// Rows are deleted while they still count.
     DeletedEarly,
-    /// All ends of a request are one row, which the last writer sets; what was written once counts as kept.
+    /// All crashes of a request share one row, which each write replaces; nodes assume that their writes persist.
     SingleRow,
-    /// A node that starts follows the table's changes and does not read the table.
+    /// A starting node follows changes to the table without reading its existing rows.
     NoInitialRead,
-    /// A node takes what it saw in the table before a restore for being there still.
+    /// A node assumes that rows seen before a restore of the store still exist.
     EraIgnored,
 }
 
-/// Ends as bits, the first one lowest.
+/// Set of crashes, one bit each; the first crash is the lowest bit.
 type CrashSet = u16;
 
-/// Ends told and written.
+/// Reporting and storing of crashes.
 #[derive(Clone, Copy, Debug)]
 pub struct CrashSpec {
     defect: Option<CrashDefect>,
@@ -53,28 +53,28 @@
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
 struct NodeState {
     known: CrashSet,
-    /// Seen here, and not told yet.
+    /// Crashes seen by this node and not reported yet.
     pending: CrashSet,
-    /// Seen here, and nobody could be told.
+    /// Crashes seen by this node of which no other node could be notified.
     unreported: CrashSet,
-    /// Ends counted by a node that adds up what it is told.
+    /// Counter used with [`CrashDefect::Summed`].
     sum: u8,
-    /// Rows of the table that it can not have read.
+    /// Rows that the node never reads, with [`CrashDefect::NoInitialRead`].
     unreadable: CrashSet,
-    /// Rows that it has written, where it trusts that they stay.
+    /// Rows that the node assumes to be stored, with the defects that trust earlier writes.
     written: CrashSet,
     is_isolated: bool,
     is_cut_from_store: bool,
 }
 
-/// State of the nodes and the table.
+/// State of the nodes and the table of crashes.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct CrashState {
     nodes: [NodeState; NODE_COUNT],
     stored: CrashSet,
     delayed_writes: Vec<CrashSet>,
     crashes: u8,
-    /// Ends whose only witness restarted before it could tell of them.
+    /// Crashes whose only witness restarted before reporting them.
     unwitnessed: u8,
     faults_left: u8,
 }
@@ -85,7 +85,7 @@
     }
 }
 
-/// Returns whether the request is not to run, for a node that knows of these ends.
+/// Returns whether a node that knows these crashes quarantines the request.
 fn is_quarantined(known: CrashSet) -> bool {
     let fingerprint = RequestFingerprint::from([0; 16]);
     let mut history = CrashHistory::default();
@@ -106,12 +106,12 @@
 }
 
 impl CrashSpec {
-    /// Makes the sound protocol.
+    /// Returns the protocol without defects.
     pub fn sound() -> Self {
         Self { defect: None }
     }
 
-    /// Makes the protocol with one defect.
+    /// Returns the protocol with one seeded defect.
     pub fn defective(defect: CrashDefect) -> Self {
         Self {
             defect: Some(defect),
@@ -129,7 +129,7 @@
         is_quarantined(node.known)
     }
 
-    /// Returns what a node is to write.
+    /// Returns the rows that a node has to write.
     fn due(&self, state: &CrashState, node: usize) -> CrashSet {
         let local = &state.nodes[node];
         if local.is_cut_from_store || self.has_defect(CrashDefect::NeverWritten) {
@@ -146,7 +146,7 @@
         due & !state.stored
     }
 
-    /// Returns what a node has to read of the table.
+    /// Returns the rows of the table that a node has yet to read.
     fn unread(&self, state: &CrashState, node: usize) -> CrashSet {
         let local = &state.nodes[node];
         if local.is_cut_from_store {
@@ -155,7 +155,7 @@
         state.stored & !local.known & !local.unreadable
     }
 
-    /// Returns whether everybody knows what he can know.
+    /// Returns whether no report, write or read is outstanding.
     fn is_converged(&self, state: &CrashState) -> bool {
         (0..NODE_COUNT).all(|node| {
             state.nodes[node].pending == 0
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Returns whether nodes go by what they saw in the table, and not by what is there.
+    /// Returns whether nodes rely on rows they wrote or read earlier instead of the table's present rows.
     fn trusts_written(&self) -> bool {
         self.has_defect(CrashDefect::SingleRow) || self.has_defect(CrashDefect::EraIgnored)
     }
@@ -188,7 +188,7 @@
         node.known |= crashes;
     }
 
-    /// Returns the ends that another node or the table holds, or will.
+    /// Returns the crashes known to other nodes, stored in the table or contained in delayed writes.
     fn known_elsewhere(&self, state: &CrashState, node: usize) -> CrashSet {
         let others = state.nodes.iter().enumerate();
         let others = others.filter(|(other, _)| *other != node);
@@ -209,7 +209,7 @@
         self.add_crashes(&mut next.nodes[node], crash);
         next.nodes[node].pending |= crash;
         next.crashes += 1;
-        Some(Step::new(format!("a target ends at node {node}"), next))
+        Some(Step::new(format!("a target crashes at node {node}"), next))
     }
 
     fn report_step(&self, state: &CrashState, node: usize) -> Step<CrashState> {
@@ -229,7 +229,7 @@
         if !is_reported {
             next.nodes[node].unreported |= crashes;
         }
-        Step::new(format!("node {node} tells what it saw"), next)
+        Step::new(format!("node {node} reports its crashes"), next)
     }
 
     fn node_steps(&self, state: &CrashState, node: usize, steps: &mut Vec<Step<CrashState>>) {
@@ -241,7 +241,7 @@
             let mut next = state.clone();
             self.store(&mut next, due);
             self.record_written(&mut next.nodes[node], due);
-            steps.push(Step::new(format!("node {node} writes"), next));
+            steps.push(Step::new(format!("node {node} writes to the table"), next));
         }
         let unread = self.unread(state, node);
         if unread != 0 {
@@ -255,7 +255,7 @@
             let mut next = state.clone();
             next.nodes[node].is_isolated = false;
             next.nodes[node].is_cut_from_store = false;
-            steps.push(Step::new(format!("node {node} is reached again"), next));
+            steps.push(Step::new(format!("node {node} reconnects"), next));
         }
     }
 
@@ -280,17 +280,23 @@
         if !local.is_isolated {
             let mut next = after_fault();
             next.nodes[node].is_isolated = true;
-            steps.push(Step::fault(format!("node {node} reaches no other"), next));
+            steps.push(Step::fault(
+                format!("node {node} is isolated from the other nodes"),
+                next,
+            ));
         }
         if !local.is_cut_from_store {
             let mut next = after_fault();
             next.nodes[node].is_cut_from_store = true;
-            steps.push(Step::fault(format!("node {node} is off the store"), next));
+            steps.push(Step::fault(format!("node {node} loses the store"), next));
         }
         if local.known != 0 && local.pending == 0 {
             let mut next = after_fault();
             next.nodes[node].pending = local.known;
-            steps.push(Step::fault(format!("node {node} tells it again"), next));
+            steps.push(Step::fault(
+                format!("node {node} prepares a repeated report"),
+                next,
+            ));
         }
         let due = self.due(state, node);
         if due != 0 {
@@ -299,7 +305,7 @@
             if self.has_defect(CrashDefect::SingleRow) {
                 next.nodes[node].written |= due;
             }
-            steps.push(Step::fault(format!("node {node}'s write is held up"), next));
+            steps.push(Step::fault(format!("node {node}'s write is delayed"), next));
         }
     }
 }
@@ -334,25 +340,25 @@
             let mut next = state.clone();
             next.faults_left -= 1;
             next.stored = 0;
-            steps.push(Step::fault("the store comes back without its rows", next));
+            steps.push(Step::fault("the store is restored without its rows", next));
         }
         for index in 0..state.delayed_writes.len() {
             let mut next = state.clone();
             let rows = next.delayed_writes.remove(index);
             self.store(&mut next, rows);
-            steps.push(Step::new("a write lands late", next));
+            steps.push(Step::new("the store applies a delayed write", next));
         }
         if self.has_defect(CrashDefect::DeletedEarly) && state.stored != 0 {
             let mut next = state.clone();
             next.stored &= next.stored - 1;
-            steps.push(Step::new("a row is dropped", next));
+            steps.push(Step::new("a row is deleted", next));
         }
         steps
     }
 
     fn violated_property(&self, state: &CrashState) -> Option<&'static str> {
         if state.witnessed() == CRASH_LIMIT {
-            return Some("a request ends at most two targets more, once all nodes can know");
+            return Some("a request crashes at most two more targets once all nodes can know");
         }
         if self.is_converged(state) {
             let connected = state.nodes.iter().filter(|node| !node.is_cut_from_store);
@@ -361,14 +367,14 @@
                 .filter(|node| self.quarantines(node))
                 .count();
             if quarantined != 0 && quarantined != connected.count() {
-                return Some("nodes in touch agree once everything is told");
+                return Some("connected nodes agree once all reports have propagated");
             }
         }
         let is_premature = |node: &NodeState| {
             self.quarantines(node) && (node.known.count_ones() as usize) < MIN_CRASHES
         };
         let has_premature = state.nodes.iter().any(is_premature);
-        has_premature.then_some("a request is held back only after three ends")
+        has_premature.then_some("a request is quarantined only after three crashes")
     }
 
     fn is_goal(&self, state: &CrashState) -> bool {
--- a/crates/model/src/gate.rs
+++ b/crates/model/src/gate.rs
@@ -1,8 +1,8 @@
-//! A node asks two watchers about one member, and sends requests while the evidence is good.
+//! A node polls two watchers about one member and sends requests while the evidence is valid.
 //!
-//! The evidence is kept by the real [`EvidenceCache`]. Answers are held up, the member dies, and
-//! the node freezes, which is time passing without a step of it. The property: a request goes out only if the member lived no longer ago than
-//! the evidence is good for.
+//! The real [`EvidenceCache`] stores the evidence. Responses are delayed, the member dies, and the node pauses,
+//! which is modelled as time passing without a step of the node. The property: a request is sent only if the
+//! member was alive within the last evidence TTL.
 
 use std::time::Duration;
 
@@ -11,28 +11,28 @@
 
 use crate::search::{Specification, Step};
 
-/// Last moment of the bounded run, in ticks.
+/// Length of the bounded run, in ticks.
 const MAX_TIME: u64 = 4;
-/// Ticks for which evidence is good.
+/// Time for which evidence is valid, in ticks.
 const TTL: u64 = 1;
-/// Reports and refusals in one run.
+/// Maximum number of reports and refused connections in one run.
 const MAX_EVENTS: usize = 4;
 const VM: &str = "vm";
 
-/// A defect put in on purpose.
+/// A seeded defect that the search must detect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum GateDefect {
-    /// Evidence never runs out.
+    /// Evidence does not expire within the run.
     NeverExpires,
-    /// Evidence counts from when the answer came.
+    /// Evidence is dated by the arrival of the response instead of the time of the poll.
     CountedFromResponse,
-    /// A revocation is undone by evidence that is older.
+    /// Evidence that is older than a revocation overrides it.
     OlderUndoesRevocation,
-    /// The generation is not compared.
+    /// The reported generation is not compared with the group's.
     GenerationIgnored,
 }
 
-/// The serving gate.
+/// Gate that allows requests only while evidence of the member is valid.
 #[derive(Clone, Copy, Debug)]
 pub struct GateSpec {
     defect: Option<GateDefect>,
@@ -50,9 +50,9 @@
     now: u64,
     died_at: Option<u64>,
     generation: u64,
-    /// When the member was last in the generation that the node's view names.
+    /// Time when the member left the generation recorded in the node's view.
     left_at: Option<u64>,
-    /// Questions under way: when each was asked, and the generation answered, if it was yet.
+    /// Outstanding polls: the time of each, and the generation in the response once there is one.
     polls: Vec<(u64, Option<u64>)>,
     events: Vec<Event>,
     is_sent_late: bool,
@@ -60,12 +60,12 @@
 }
 
 impl GateSpec {
-    /// Makes the sound protocol.
+    /// Returns the protocol without defects.
     pub fn sound() -> Self {
         Self { defect: None }
     }
 
-    /// Makes the protocol with one defect.
+    /// Returns the protocol with one seeded defect.
     pub fn defective(defect: GateDefect) -> Self {
         Self {
             defect: Some(defect),
@@ -76,7 +76,7 @@
         self.defect == Some(defect)
     }
 
-    /// Builds the ledger that the node's events lead to.
+    /// Builds the evidence cache by replaying the node's events.
     fn cache(&self, state: &GateState) -> EvidenceCache {
         let ttl = if self.has_defect(GateDefect::NeverExpires) {
             100
@@ -113,7 +113,7 @@
         if state.polls.len() < 2 {
             let mut next = state.clone();
             next.polls.push((state.now, None));
-            steps.push(Step::new("the node asks", next));
+            steps.push(Step::new("the node sends a poll", next));
         }
         for (index, (requested_at, response)) in state.polls.iter().enumerate() {
             let Some(generation) = response else {
@@ -131,7 +131,7 @@
                 generation: *generation,
             });
             steps.push(Step::new(
-                format!("the answer asked for at {requested_at} arrives"),
+                format!("the response to the poll at {requested_at} arrives"),
                 next,
             ));
         }
@@ -156,7 +156,7 @@
             if response.is_none() {
                 let mut next = state.clone();
                 next.polls[index].1 = Some(state.generation);
-                steps.push(Step::new("the member answers", next));
+                steps.push(Step::new("the member responds", next));
             }
         }
         let mut next = state.clone();
@@ -171,14 +171,14 @@
     }
 }
 
-/// Returns whether the member was last there, in the generation the view names, longer ago than
-/// evidence is good for.
+/// Returns whether the member died or left the generation in the node's view longer ago than
+/// evidence is valid for.
 fn is_late(state: &GateState) -> bool {
     let lost_at = [state.died_at, state.left_at].into_iter().flatten().min();
     lost_at.is_some_and(|lost_at| state.now > lost_at + TTL)
 }
 
-/// Returns whether the node has seen the member refuse a connection, which it does only when dead.
+/// Returns whether the node has seen the member refuse a connection, which happens only after its death.
 fn is_revoked(state: &GateState) -> bool {
     let mut events = state.events.iter();
     events.any(|event| matches!(event, Event::Revoked { .. }))
@@ -216,11 +216,11 @@
 
     fn violated_property(&self, state: &GateState) -> Option<&'static str> {
         if state.is_sent_revoked {
-            return Some("no request is sent after the member was seen to be gone");
+            return Some("no request is sent after the member refused a connection");
         }
         state
             .is_sent_late
-            .then_some("no request is sent longer after a member's loss than evidence is good for")
+            .then_some("no request is sent more than the evidence TTL after the member's loss")
     }
 
     fn is_goal(&self, state: &GateState) -> bool {
--- a/crates/model/src/group_formation.rs
+++ b/crates/model/src/group_formation.rs
@@ -1,47 +1,47 @@
-//! Two controllers form groups by conditional orders, with one target in all of them.
+//! Two controllers form groups by conditional orders, with one target a member of every group.
 //!
-//! Both believe they are responsible: one forms a group, and again after it ended; the other ends it
-//! and takes its second member for a group whose other members play no part here. Orders are held up and carried out in any order, or are lost;
-//! targets restart with their count of orders back at zero. The controllers know of a target only
-//! what it last reported to them.
+//! Both controllers act as the responsible one: one forms a group, and another after the first is dissolved;
+//! the other dissolves it and takes its follower for a group whose other members are not modelled. Orders are
+//! delayed, reordered or lost. Targets restart with their sequence number back at zero. A controller knows
+//! only what a target last reported to it.
 
 use crate::search::{Specification, Step};
 
-/// Targets.
+/// Number of targets.
 const TARGET_COUNT: usize = 2;
-/// Controllers.
+/// Number of controllers.
 const CONTROLLER_COUNT: usize = 2;
-/// Controller that ends the other's groups.
+/// Controller that dissolves the groups of the other one.
 const DISSOLVER: usize = 1;
-/// First member of the groups that the first controller forms.
+/// Target that leads the groups of the first controller.
 const LEADER: usize = 0;
-/// Member of all groups.
+/// Target that is a member of every group.
 const FOLLOWER: usize = 1;
-/// Controller of each group.
+/// Controller that forms each group.
 const GROUP_OWNERS: [usize; 3] = [0, DISSOLVER, 0];
-/// Restarts in one run.
+/// Maximum number of restarts in one run.
 const MAX_RESTARTS: u8 = 1;
-/// Orders under way at once.
+/// Maximum number of orders in flight.
 const MAX_IN_FLIGHT: usize = 2;
-/// Orders to leave in one run.
+/// Maximum number of leave orders in one run.
 const MAX_LEAVES: u8 = 1;
 
-/// A defect put in on purpose.
+/// A seeded defect that the search must detect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum GroupFormationDefect {
-    /// Targets carry orders out whatever their count is.
+    /// Targets execute orders without comparing the expected sequence number.
     SequenceIgnored,
-    /// Targets carry out orders that were meant for an earlier life.
+    /// Targets execute orders addressed to an earlier incarnation.
     IncarnationIgnored,
-    /// Members are taken as soon as the first member was told to leave.
+    /// The follower is reused as soon as the leader has been ordered to leave, before it has left.
     ReusedBeforeStop,
-    /// A group is opened when its first member is ready.
+    /// A group is opened when its leader is ready, whether its follower is or not.
     OpenedBeforeReady,
-    /// An order without an answer is taken for carried out.
+    /// An order without a response is assumed to have been executed.
     UnknownTakenAsDone,
 }
 
-/// Forming, opening and leaving of groups.
+/// Forming, opening and dissolving of groups.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupFormationSpec {
     defect: Option<GroupFormationDefect>,
@@ -78,16 +78,16 @@
     group: Option<(Group, Stage)>,
 }
 
-/// State of targets, orders and what the controllers know.
+/// State of the targets, the orders and the controllers' views.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct GroupFormationState {
     targets: [Target; TARGET_COUNT],
     views: [[Option<Target>; TARGET_COUNT]; CONTROLLER_COUNT],
-    /// Whether each group was formed.
+    /// Whether each group has been formed.
     formed: [bool; GROUP_OWNERS.len()],
-    /// Groups whose first member each controller knows to have left.
+    /// Groups whose leader is known to each controller to have left.
     released: [Vec<Group>; CONTROLLER_COUNT],
-    /// Whether each member of a group was ever ready in it.
+    /// Whether the leader and the follower of each group have ever been ready in it.
     ever_ready: [[bool; 2]; GROUP_OWNERS.len()],
     orders: Vec<Order>,
     restarts_left: u8,
@@ -97,12 +97,12 @@
 }
 
 impl GroupFormationSpec {
-    /// Makes the sound protocol.
+    /// Returns the protocol without defects.
     pub fn sound() -> Self {
         Self { defect: None }
     }
 
-    /// Makes the protocol with one defect.
+    /// Returns the protocol with one seeded defect.
     pub fn defective(defect: GroupFormationDefect) -> Self {
         Self {
             defect: Some(defect),
@@ -140,7 +140,7 @@
             action,
         });
         state.orders.sort_unstable();
-        // The target has to report before it is ordered again by this controller.
+        // The target has to report to this controller again before the next order.
         state.views[controller][target] = None;
         if self.has_defect(GroupFormationDefect::UnknownTakenAsDone) {
             state.views[controller][target] = Some(Target {
@@ -160,7 +160,7 @@
         if state.orders.len() + 2 > MAX_IN_FLIGHT {
             return;
         }
-        // A group is formed anew only after the one before it.
+        // A controller forms its groups in order.
         let owned = GROUP_OWNERS.iter().enumerate();
         let mut pending =
             owned.filter(|(index, owner)| **owner == controller && !state.formed[*index]);
@@ -180,7 +180,10 @@
             self.send(&mut next, controller, LEADER, Action::Join(group));
         }
         self.send(&mut next, controller, FOLLOWER, Action::Join(group));
-        steps.push(Step::new(format!("{controller} forms {group}"), next));
+        steps.push(Step::new(
+            format!("controller {controller} forms group {group}"),
+            next,
+        ));
     }
 
     fn group_steps(
@@ -206,7 +209,10 @@
             if *owner == controller && stage(LEADER) == Some(Stage::Ready) && is_follower_ready {
                 let mut next = state.clone();
                 self.send(&mut next, controller, LEADER, Action::Open(group));
-                steps.push(Step::new(format!("{controller} opens {group}"), next));
+                steps.push(Step::new(
+                    format!("controller {controller} opens group {group}"),
+                    next,
+                ));
             }
             let may_dissolve =
                 controller == DISSOLVER && *owner != DISSOLVER && state.leaves_left > 0;
@@ -219,7 +225,10 @@
                 if is_early {
                     next.released[controller].push(group);
                 }
-                steps.push(Step::new(format!("{controller} ends {group}"), next));
+                steps.push(Step::new(
+                    format!("controller {controller} dissolves group {group}"),
+                    next,
+                ));
             }
         }
     }
@@ -234,7 +243,10 @@
                 let mut next = state.clone();
                 next.targets[target].group = Some((group, Stage::Ready));
                 next.record_ready(target, group);
-                steps.push(Step::new(format!("{target} is ready in {group}"), next));
+                steps.push(Step::new(
+                    format!("target {target} is ready in group {group}"),
+                    next,
+                ));
             }
             for controller in 0..CONTROLLER_COUNT {
                 if state.views[controller][target] == Some(state.targets[target]) {
@@ -242,7 +254,10 @@
                 }
                 let mut next = state.clone();
                 next.report(controller, target);
-                steps.push(Step::new(format!("{target} reports to {controller}"), next));
+                steps.push(Step::new(
+                    format!("target {target} reports to controller {controller}"),
+                    next,
+                ));
             }
         }
     }
@@ -254,7 +269,7 @@
             let mut lost = next.clone();
             self.execute(&mut next, order);
             if let Action::Leave(group) = order.action {
-                // Only the answer tells that the first member has left; it may be lost as well.
+                // Only the response shows that the leader has left, and it may be lost.
                 let mut answered = next.clone();
                 let is_done = answered.targets[LEADER]
                     .group
@@ -264,7 +279,7 @@
                     answered.released[DISSOLVER].sort_unstable();
                 }
                 steps.push(Step::new(
-                    format!("{order:?} arrives and is answered"),
+                    format!("{order:?} arrives and its response is received"),
                     answered,
                 ));
             }
@@ -307,7 +322,7 @@
         self.ever_ready[usize::from(group)][member] = true;
     }
 
-    /// Returns whether a group's first member is open.
+    /// Returns whether a group is serving: its leader is open.
     fn serves(&self, group: Group) -> bool {
         self.targets[LEADER].group == Some((group, Stage::Open))
     }
@@ -363,18 +378,18 @@
                 sequence: 0,
                 group: None,
             };
-            steps.push(Step::fault("the second member restarts", next));
+            steps.push(Step::fault("the follower restarts", next));
         }
         steps
     }
 
     fn violated_property(&self, state: &GroupFormationState) -> Option<&'static str> {
         if state.opened_early {
-            return Some("a group opens only after each member was ready in it");
+            return Some("a group opens only after every member has been ready in it");
         }
         state
             .moved_while_serving
-            .then_some("a target joins another group only when its old one does not serve")
+            .then_some("a target joins another group only when its previous one is not serving")
     }
 
     fn is_goal(&self, state: &GroupFormationState) -> bool {
--- a/crates/model/src/keys.rs
+++ b/crates/model/src/keys.rs
@@ -1,33 +1,33 @@
-//! Two nodes get requests with one caller's key; the work under it may run at most once.
+//! Two nodes receive requests with the same idempotency key, which may run at most once.
 //!
-//! Claims go to the table, which applies writes late and loses answers; nodes die; targets run a
-//! request and break off. What callers are told comes from the real [`FailurePoint`] table.
+//! Nodes claim the key in a table that delays writes and loses responses. Nodes die, and connections to the
+//! target break before or after it runs a request. Reported outcomes come from the real [`FailurePoint`] mapping.
 
 use briarswitch_core::outcome::{FailurePoint, Outcome};
 
 use crate::search::{Specification, Step};
 
-/// Losses, breaks and deaths in one run.
+/// Maximum number of lost or delayed claims, broken connections and node deaths in one run.
 const MAX_FAULTS: u8 = 3;
-/// Requests each node gets.
+/// Number of requests that each node receives.
 const MAX_REQUESTS: u8 = 2;
 
-/// A defect put in on purpose.
+/// A seeded defect that the search must detect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum KeyDefect {
-    /// A request is sent though its claim is unsettled.
+    /// A request is sent while the result of its claim is unknown.
     SentBeforeClaimKnown,
-    /// A request that may have run is sent again.
+    /// A request that may have run is retried.
     RetriedUnknown,
-    /// A key is given back after its request may have run.
+    /// The key is released although its request may have run.
     ReleasedUnknown,
-    /// The claim does not demand that the key is unclaimed.
+    /// Claims are not conditional on the key being unclaimed.
     UnconditionalClaim,
-    /// A connection that broke after bytes left is told as not run.
+    /// A request whose connection broke after bytes were sent is reported as not run.
     BrokenReportedNotRun,
 }
 
-/// At most once by claims.
+/// At-most-once execution by claiming keys.
 #[derive(Clone, Copy, Debug)]
 pub struct KeySpec {
     defect: Option<KeyDefect>,
@@ -45,28 +45,28 @@
     Dead,
 }
 
-/// State of the table, the nodes and the target.
+/// State of the table of claims, the nodes and the target.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct KeyState {
-    /// Node and request that hold the key.
+    /// Node and request number that hold the key.
     claim: Option<(usize, u8)>,
     delayed_claims: Vec<(usize, u8)>,
     stages: [Stage; 2],
     requests: [u8; 2],
     runs: u8,
-    /// Runs of the present request of each node.
+    /// Number of runs of each node's current request.
     current_runs: [u8; 2],
     is_misreported: bool,
     faults_left: u8,
 }
 
 impl KeySpec {
-    /// Makes the sound protocol.
+    /// Returns the protocol without defects.
     pub fn sound() -> Self {
         Self { defect: None }
     }
 
-    /// Makes the protocol with one defect.
+    /// Returns the protocol with one seeded defect.
     pub fn defective(defect: KeyDefect) -> Self {
         Self {
             defect: Some(defect),
@@ -89,7 +89,7 @@
                 next.requests[node] += 1;
                 next.current_runs[node] = 0;
                 next.stages[node] = Stage::Claiming;
-                steps.push(Step::new(format!("node {node} gets a request"), next));
+                steps.push(Step::new(format!("node {node} receives a request"), next));
             }
             Stage::Claiming => self.claim_steps(state, node, steps),
             Stage::ClaimUnknown => {
@@ -120,7 +120,7 @@
                     next.claim = None;
                 }
                 self.finish(&mut next, node, Outcome::NotRun);
-                steps.push(Step::new(format!("node {node} gives the key back"), next));
+                steps.push(Step::new(format!("node {node} releases the key"), next));
             }
             _ => {}
         }
@@ -146,14 +146,14 @@
         }
         next.stages[node] = Stage::ClaimUnknown;
         steps.push(Step::fault(
-            format!("the answer to node {node}'s claim is lost"),
+            format!("the response to node {node}'s claim is lost"),
             next,
         ));
         let mut next = state.clone();
         next.faults_left -= 1;
         next.delayed_claims.push(claim_id);
         next.stages[node] = Stage::ClaimUnknown;
-        steps.push(Step::fault(format!("node {node}'s claim is held up"), next));
+        steps.push(Step::fault(format!("node {node}'s claim is delayed"), next));
     }
 
     fn sent_steps(&self, state: &KeyState, node: usize, steps: &mut Vec<Step<KeyState>>) {
@@ -238,18 +238,18 @@
             if self.can_claim(state) {
                 next.claim = Some(claim_id);
             }
-            steps.push(Step::new("the store takes a late claim", next));
+            steps.push(Step::new("the store applies a delayed claim", next));
         }
         steps
     }
 
     fn violated_property(&self, state: &KeyState) -> Option<&'static str> {
         if state.runs > 1 {
-            return Some("work under one key runs at most once");
+            return Some("a request with one key runs at most once");
         }
         state
             .is_misreported
-            .then_some("a request told not run did not run")
+            .then_some("a request reported as not run did not run")
     }
 
     fn is_goal(&self, state: &KeyState) -> bool {
--- a/crates/model/src/lease.rs
+++ b/crates/model/src/lease.rs
@@ -1,8 +1,8 @@
-//! Two nodes contest one lease; the holder orders an engine.
+//! Two nodes compete for one lease, and the holder sends orders to an engine.
 //!
-//! The nodes run the real [`LeaseClient`]. The store applies writes late, loses answers, or both;
-//! a pause is a node that takes no step while time passes; orders to engines that check fencing numbers may be held up for ever, those
-//! to engines that ignore them for as long as the transport bound.
+//! The nodes run the real [`LeaseClient`]. The store delays writes, loses responses, or both. A paused node is
+//! one that takes no step while time passes. Orders to engines that check fencing numbers may be delayed
+//! without bound; orders to engines that ignore them are delayed by at most the transport's limit.
 
 use std::time::Duration;
 
@@ -12,43 +12,43 @@
 
 use crate::search::{Specification, Step};
 
-/// Last moment of a bounded run, in ticks.
+/// Length of a bounded run, in ticks.
 const MAX_TIME: u64 = 5;
-/// The same where every state is kept to look for stuck ones.
+/// Length of a run in the liveness check, which keeps every state in memory.
 const SHORT_MAX_TIME: u64 = 4;
-/// Lost answers and late writes in a run without orders.
+/// Maximum number of lost responses and delayed writes in a run without orders.
 const MAX_CONTEST_FAULTS: u8 = 2;
-/// The same in a run with orders, which multiply the states.
+/// The same in a run with orders, which multiply the number of states.
 const MAX_ORDER_FAULTS: u8 = 1;
-/// Orders in one run.
+/// Maximum number of orders in one run.
 const MAX_ORDERS: u8 = 2;
-/// Ticks after which an order to an engine that ignores fencing has arrived or died.
+/// Ticks after which an order to an engine that ignores fencing has arrived or been dropped.
 const ORDER_TTL: u64 = 3;
-/// Writes one node sends at most.
+/// Maximum number of writes sent by one node.
 const MAX_WRITES: u8 = 2;
 const DURATION: u64 = 2;
 const MARGIN: u64 = 1;
-/// Ticks a new holder waits before it orders engines that ignore fencing: the last holder's last
-/// order is at least two margins old when the lease changes hands. The node waits the whole life of
+/// Ticks that a new holder waits before it sends orders to engines that ignore fencing. The previous holder's
+/// last order is at least two margins old when the lease changes hands. Real nodes wait for the whole TTL of
 /// an order, which is longer.
 const ORDER_WAIT: u64 = ORDER_TTL - 2 * MARGIN;
 
-/// A defect put in on purpose.
+/// A seeded defect that the search must detect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LeaseDefect {
-    /// The holder counts its lease from the answer instead of from before the write.
+    /// The holder counts its lease from the response instead of from before the write.
     CountedFromResponse,
-    /// A challenger waits less than the lease's duration.
+    /// A challenger waits for less than the duration of the lease.
     EarlyChallenger,
-    /// Engines do not check fencing numbers though orders may be held up for ever.
+    /// Engines do not check fencing numbers although orders may be delayed without bound.
     FencingIgnored,
-    /// A new holder orders engines that ignore fencing at once.
+    /// A new holder sends orders at once to engines that ignore fencing.
     NoOrderWait,
-    /// The holder does not check its lease before it sends an order.
+    /// The holder sends orders without checking that its lease is still valid.
     UncheckedOrder,
 }
 
-/// The lease protocol.
+/// Competition for the lease, with or without orders to an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseSpec {
     checks_fencing: bool,
@@ -64,16 +64,16 @@
     Done(LeaseWriteResult),
 }
 
-/// State of the contest.
+/// State of the nodes, the store and the engine.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct LeaseState {
     now: u64,
     clients: [LeaseClient; 2],
     pending_writes: [Option<PendingWrite>; 2],
     delayed_writes: Vec<LeaseWrite>,
-    /// Epoch and end of the lease as a defective holder counts it.
+    /// Epoch and expiry of the lease as counted with [`LeaseDefect::CountedFromResponse`].
     assumed_leases: [Option<(u64, u64)>; 2],
-    /// Writes each node has sent, which name the next one.
+    /// Number of writes sent by each node, used in the id of its next write.
     writes: [u8; 2],
     orders_from: [u64; 2],
     last_epoch: [u64; 2],
@@ -87,7 +87,7 @@
 }
 
 impl LeaseSpec {
-    /// Makes the sound contest for the lease alone, with more faults.
+    /// Returns the protocol without defects and without orders, with more faults.
     pub fn contest() -> Self {
         Self {
             checks_fencing: true,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Makes the sound protocol for engines that check fencing numbers, or ignore them.
+    /// Returns the protocol without defects, for engines that check or ignore fencing numbers.
     pub fn sound(checks_fencing: bool) -> Self {
         Self {
             checks_fencing,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Makes a shorter contest, small enough to keep every state.
+    /// Returns the protocol without orders and with a shorter run, small enough for the liveness check.
     pub fn short() -> Self {
         Self {
             max_time: SHORT_MAX_TIME,
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Makes the protocol with one defect.
+    /// Returns the protocol with one seeded defect.
     pub fn defective(checks_fencing: bool, defect: LeaseDefect) -> Self {
         Self {
             checks_fencing,
@@ -174,7 +174,10 @@
                 next.assumed_leases[node] = Some((record.epoch, state.now + DURATION - MARGIN));
             }
             self.record_hold(&mut next, node);
-            steps.push(Step::new(format!("node {node} gets its answer"), next));
+            steps.push(Step::new(
+                format!("node {node} receives its response"),
+                next,
+            ));
         }
         self.order_step(state, node, steps);
         if state.faults_left > 0 {
@@ -193,7 +196,7 @@
         if let PendingWrite::Sent(write) = pending {
             next.delayed_writes.push(write.clone());
         }
-        steps.push(Step::fault(format!("node {node} loses its answer"), next));
+        steps.push(Step::fault(format!("node {node}'s response is lost"), next));
     }
 
     fn order_step(&self, state: &LeaseState, node: usize, steps: &mut Vec<Step<LeaseState>>) {
@@ -214,7 +217,7 @@
         ));
     }
 
-    /// Notes that a node holds a new epoch, and from when it sends orders.
+    /// Records that a node holds a new epoch, and the time from which it may send orders.
     fn record_hold(&self, state: &mut LeaseState, node: usize) {
         let Some(epoch) = state.clients[node].epoch(ticks(state.now)) else {
             return;
@@ -235,7 +238,7 @@
                 let result = apply(&mut next, write);
                 next.pending_writes[node] = Some(PendingWrite::Done(result));
                 steps.push(Step::new(
-                    format!("the store takes node {node}'s write"),
+                    format!("the store applies node {node}'s write"),
                     next,
                 ));
             }
@@ -244,7 +247,7 @@
             let mut next = state.clone();
             let write = next.delayed_writes.remove(index);
             apply(&mut next, &write);
-            steps.push(Step::new("the store takes a late write", next));
+            steps.push(Step::new("the store applies a delayed write", next));
         }
     }
 
@@ -260,7 +263,7 @@
                 next.engine_epoch = epoch;
             }
             steps.push(Step::new(
-                format!("the engine gets an order of epoch {epoch}"),
+                format!("the engine receives an order of epoch {epoch}"),
                 next,
             ));
         }
@@ -339,8 +342,8 @@
     }
 
     fn is_goal(&self, state: &LeaseState) -> bool {
-        // Near the end of the bounded run there is no time left to wait a lease out, and a node
-        // that has used up its writes can not win it.
+        // Near the end of the bounded run there is no time left for a lease to expire, and a node
+        // that has used up its writes cannot acquire it.
         let is_late = state.now + DURATION + MARGIN >= self.max_time;
         let is_used_up = state.writes.contains(&MAX_WRITES);
         let is_held = (0..2).any(|node| state.clients[node].epoch(ticks(state.now)).is_some());
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,7 +1,7 @@
-//! Specifications of the control protocol, searched exhaustively within small bounds.
+//! Specifications of the control protocols, checked by exhaustive search within small bounds.
 //!
-//! Each specification drives the decision code of `briarswitch_core` where it can, adds the faults
-//! of the brief as steps, and names properties. Seeded defects show that the properties can fail.
+//! Each specification runs the decision code of `briarswitch_core` where possible, models faults as
+//! steps, and states safety properties. Seeded defects show that the search detects violations.
 //!
 //! ```
 //! use briarswitch_model::{search, GateSpec};
--- a/crates/model/src/orders.rs
+++ b/crates/model/src/orders.rs
@@ -1,30 +1,29 @@
-//! One controller lets a machine go from one group and claims it for another.
+//! One controller releases a VM from one group and claims it for another.
 //!
-//! Orders are held up and delivered in any order, answers are lost, reports arrive late, and the
-//! machine is replaced. The property is about the machine itself: once it has joined the group that
-//! the table says, no earlier order takes it back.
+//! Orders are delayed, reordered or lost, reports arrive late, and the VM is replaced. The property concerns
+//! the VM itself: once it has joined the group recorded in the table, no earlier order moves it elsewhere.
 
 use crate::search::{Specification, Step};
 
-/// Losses and replacements in one run.
+/// Maximum number of lost orders and replacements in one run.
 const MAX_FAULTS: u8 = 3;
-/// Times the machine is claimed in one run.
+/// Maximum number of claims in one run.
 const MAX_CLAIMS: u8 = 3;
 
-/// A defect put in on purpose.
+/// A seeded defect that the search must detect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderDefect {
-    /// Engines take orders whatever their fencing number, and nothing waits for that.
+    /// Engines ignore fencing numbers, and the controller does not wait for earlier orders to arrive.
     FencingIgnored,
-    /// The machine is claimed again without its own report that it is idle.
+    /// The VM is claimed again without a report from it that it is idle.
     ClaimedWithoutReport,
-    /// A report that it is idle is believed though it may be older than an order to join.
+    /// A report of an idle VM is accepted although it may be older than an order to join.
     UnacknowledgedLeave,
     /// Every order of an epoch carries the same fencing number.
     SameFence,
 }
 
-/// Claim, order, report and release of one machine.
+/// Claims, orders, reports and releases of one VM.
 #[derive(Clone, Copy, Debug)]
 pub struct OrderSpec {
     checks_fencing: bool,
@@ -43,14 +42,14 @@
 struct Report {
     incarnation: u8,
     group: Option<Group>,
-    /// Fencing number of the last order obeyed.
+    /// Highest fencing number among the orders executed.
     fence: u8,
 }
 
-/// State of the machine and its controller.
+/// State of the VM and its controller.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct OrderState {
-    /// Group that the table says the machine belongs to.
+    /// Group that the VM belongs to according to the table.
     claim: Option<Group>,
     claim_incarnation: u8,
     is_dissolving: bool,
@@ -60,21 +59,21 @@
     vm_incarnation: u8,
     vm_group: Option<Group>,
     vm_fence: u8,
-    /// Newest report on its way, and the one the controller has.
+    /// Newest report in flight, followed by the last report that the controller received.
     report_in_flight: Option<Report>,
     last_report: Option<Report>,
     faults_left: u8,
     claims_left: u8,
-    /// Whether the machine had joined the claimed group since it was claimed.
+    /// Whether the VM has joined the group since it was claimed.
     has_joined: bool,
     is_moved_by_old_order: bool,
     is_claimed_in_group: bool,
 }
 
 impl OrderSpec {
-    /// Makes the sound protocol for engines that check fencing numbers, whose orders may be held up
-    /// for ever, or for those that ignore them, to which no order is sent until the one before has
-    /// arrived or died.
+    /// Returns the protocol without defects. Orders to engines that check fencing numbers may be delayed
+    /// without bound; an engine that ignores them is sent no order until the previous one has arrived or
+    /// been dropped.
     pub fn sound(checks_fencing: bool) -> Self {
         Self {
             checks_fencing,
@@ -82,7 +81,7 @@
         }
     }
 
-    /// Makes the protocol with one defect.
+    /// Returns the protocol with one seeded defect.
     pub fn defective(defect: OrderDefect) -> Self {
         Self {
             checks_fencing: true,
@@ -118,12 +117,12 @@
     }
 
     fn is_idle(&self, state: &OrderState, report: Report) -> bool {
-        // The platform's list tells the controller which life the machine is in.
+        // The platform's list gives the controller the VM's current incarnation.
         let is_present = report.incarnation == state.vm_incarnation;
         is_present && report.group.is_none()
     }
 
-    /// Returns whether a report shows that the last order, the one to leave, was obeyed.
+    /// Returns whether a report shows that the last order, the one to leave, was executed.
     fn has_left(&self, state: &OrderState, report: Report) -> bool {
         let is_executed =
             report.fence >= state.next_fence || self.has_defect(OrderDefect::UnacknowledgedLeave);
@@ -147,10 +146,7 @@
             next.last_report = None;
             next.is_claimed_in_group |= state.vm_group.is_some();
             self.send(&mut next, Some(state.next_group));
-            steps.push(Step::new(
-                "the machine is claimed and ordered to join",
-                next,
-            ));
+            steps.push(Step::new("the VM is claimed and ordered to join", next));
         }
         if let Some(group) = state.claim {
             self.claimed_steps(state, group, steps);
@@ -176,14 +172,14 @@
             let mut next = state.clone();
             next.claim = None;
             steps.push(Step::new(
-                format!("the claim of group {group} is dropped"),
+                format!("the claim for group {group} is released"),
                 next,
             ));
         }
         if state.orders.is_empty() && state.vm_fence < state.next_fence {
             let mut next = state.clone();
             self.send(&mut next, None);
-            steps.push(Step::new("the order to leave is sent again", next));
+            steps.push(Step::new("the leave order is resent", next));
         }
     }
 
@@ -197,7 +193,7 @@
             if !is_refused {
                 self.execute(&mut next, order);
             }
-            steps.push(Step::new(format!("order {order:?} arrives"), next));
+            steps.push(Step::new(format!("{order:?} arrives"), next));
         }
         let mut next = state.clone();
         next.report_in_flight = Some(Report {
@@ -205,7 +201,7 @@
             group: state.vm_group,
             fence: state.vm_fence,
         });
-        steps.push(Step::new("the machine reports", next));
+        steps.push(Step::new("the VM reports", next));
         if state.report_in_flight.is_some() {
             let mut next = state.clone();
             next.last_report = next.report_in_flight.take();
@@ -268,19 +264,19 @@
         next.vm_incarnation += 1;
         next.vm_group = None;
         next.vm_fence = 0;
-        // What was under way to the old life dies with its connections.
+        // Orders in flight to the old incarnation are lost with its connections.
         next.orders.clear();
-        steps.push(Step::fault("the machine is replaced", next));
+        steps.push(Step::fault("the VM is replaced", next));
         steps
     }
 
     fn violated_property(&self, state: &OrderState) -> Option<&'static str> {
         if state.is_moved_by_old_order {
-            return Some("no earlier order takes a machine out of the group the table gives it");
+            return Some("no earlier order moves a VM out of the group recorded in the table");
         }
         state
             .is_claimed_in_group
-            .then_some("a machine is claimed only when it is in no group")
+            .then_some("a VM is claimed only when it is in no group")
     }
 
     fn is_goal(&self, state: &OrderState) -> bool {
--- a/crates/model/src/relay.rs
+++ b/crates/model/src/relay.rs
@@ -1,47 +1,47 @@
-//! A node learns of configurations through others that ask the store for it.
+//! A node fetches the configuration through readers, other nodes that query the store on its behalf.
 //!
-//! Questions and answers take any time, which stands for frozen readers and links that were cut; readers keep
-//! answers for others that ask the same; answers of the store may be cut short; the node gives a question up
-//! and asks another reader. Time is one clock here, but readers tell ages only and no readings.
+//! Requests and responses take any time, which covers paused readers and broken links. Readers cache responses
+//! for identical requests, the store's responses may be truncated, and the node abandons a request to ask another
+//! reader. The model has a single clock, but readers pass on only the age of a response, never a clock reading.
 
 use crate::search::{Specification, Step};
 
-/// Readers that the node may ask.
+/// Number of readers.
 const READER_COUNT: usize = 2;
-/// Versions after the first.
+/// Number of versions accepted after the first.
 const MAX_UPDATES: u8 = 2;
-/// Moments in one run.
+/// Length of a run, in ticks.
 const MAX_TIME: u8 = 4;
-/// Questions that the node asks in one run.
+/// Number of requests that the node sends in one run.
 const MAX_REQUESTS: u8 = 3;
 
-/// A defect put in on purpose.
+/// A seeded defect that the search must detect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RelayDefect {
-    /// A reader passes a kept answer on as if it had asked for it just then.
+    /// A reader forwards a cached response with an age of zero.
     AgeIgnored,
-    /// An answer with changes is taken for all there are.
+    /// A response with changes, which may be truncated, is treated as complete.
     PartialConfirms,
-    /// A configuration is taken over whatever the version of the one held.
+    /// A configuration is applied even if it is older than the current one.
     OlderAdopted,
-    /// What is held is dated by the answer's arrival.
+    /// The configuration is dated by the arrival of the response instead of the time of the request.
     DatedByResponse,
 }
 
-/// Knowledge of configurations through readers.
+/// Distribution of the configuration through readers.
 #[derive(Clone, Copy, Debug)]
 pub struct RelaySpec {
     defect: Option<RelayDefect>,
 }
 
-/// What is asked: the whole, or changes after a version.
+/// Version after which changes are requested; none requests a snapshot.
 type KnownVersion = Option<u8>;
 
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 struct StoreRequest {
     known_version: KnownVersion,
     started_at: u8,
-    /// Newest version in the answer once it is there, none if nothing had changed.
+    /// Response once there is one: its newest version, or none if nothing had changed.
     response: Option<Option<u8>>,
 }
 
@@ -57,13 +57,13 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct RelayState {
     now: u8,
-    /// When each version was accepted.
+    /// Time when each version was accepted.
     accepted_at: Vec<u8>,
     store_requests: [Option<StoreRequest>; READER_COUNT],
     request: Option<NodeRequest>,
     requests_left: u8,
     held: Option<u8>,
-    /// Moment at which what is held was the newest, as the node believes.
+    /// Latest time at which the node believes its configuration was the newest.
     confirmed_at: Option<u8>,
     has_regressed: bool,
 }
@@ -75,12 +75,12 @@
 }
 
 impl RelaySpec {
-    /// Makes the sound protocol.
+    /// Returns the protocol without defects.
     pub fn sound() -> Self {
         Self { defect: None }
     }
 
-    /// Makes the protocol with one defect.
+    /// Returns the protocol with one seeded defect.
     pub fn defective(defect: RelayDefect) -> Self {
         Self {
             defect: Some(defect),
@@ -96,7 +96,7 @@
             return;
         }
         for reader in 0..READER_COUNT {
-            // One that is asked while another is waited for has been given up.
+            // A new request abandons the outstanding one.
             for known_version in [None, state.held] {
                 let mut next = state.clone();
                 next.requests_left -= 1;
@@ -107,7 +107,9 @@
                     received_at: None,
                 });
                 steps.push(Step::new(
-                    format!("the node asks {reader} after {known_version:?}"),
+                    format!(
+                        "the node requests changes after {known_version:?} from reader {reader}"
+                    ),
                     next,
                 ));
             }
@@ -129,7 +131,7 @@
                 response: None,
             });
         }
-        Some(Step::new("the question arrives", next))
+        Some(Step::new("the request arrives at the reader", next))
     }
 
     fn store_steps(&self, state: &RelayState, steps: &mut Vec<Step<RelayState>>) {
@@ -155,7 +157,7 @@
                     ..store_request
                 });
                 steps.push(Step::new(
-                    format!("the store answers {reader}: {response:?}"),
+                    format!("the store responds to reader {reader}: {response:?}"),
                     next,
                 ));
             }
@@ -189,7 +191,7 @@
             let at = sent_at.saturating_sub(age);
             next.confirmed_at = next.confirmed_at.max(Some(at));
         }
-        Some(Step::new("the node gets its answer", next))
+        Some(Step::new("the node receives the response", next))
     }
 
     fn apply_version(&self, state: &mut RelayState, version: u8) {
@@ -238,12 +240,12 @@
 
     fn violated_property(&self, state: &RelayState) -> Option<&'static str> {
         if state.has_regressed {
-            return Some("the configuration held never goes back");
+            return Some("the configuration never returns to an older version");
         }
         let held = state.held?;
         let confirmed_at = state.confirmed_at?;
         let next = state.accepted_at.get(usize::from(held) + 1)?;
-        (*next < confirmed_at).then_some("what is held was the newest at the moment it is dated")
+        (*next < confirmed_at).then_some("the configuration was the newest at the time it is dated")
     }
 
     fn is_goal(&self, state: &RelayState) -> bool {
--- a/crates/model/src/restart.rs
+++ b/crates/model/src/restart.rs
@@ -1,38 +1,38 @@
-//! A member restarts under its name while orders to join that were meant for its earlier life are held up.
+//! A member restarts under the same name while join orders for its earlier incarnation are delayed.
 //!
-//! The member counts from zero again, so an order may find the count it expects. Two controllers form groups
-//! with it; the other members, heads among them, play no part but that a group serves from its opening until
-//! its head has left. Orders to join carry the epoch of their group and arrive in any order, or are lost.
+//! The member's sequence number restarts at zero, so a delayed order may match the number it expects. Two
+//! controllers form groups with the member. Other members are not modelled, except that a group serves from its
+//! opening until its leader leaves. Join orders carry the epoch of their group and are reordered or lost.
 
 use crate::search::{Specification, Step};
 
-/// Controllers.
+/// Number of controllers.
 const CONTROLLER_COUNT: usize = 2;
-/// Groups in one run; the next one is formed by whoever finds the member free.
+/// Number of groups in one run; any controller that finds the member free forms the next one.
 const GROUP_COUNT: usize = 3;
-/// Orders under way at once.
+/// Maximum number of orders in flight.
 const MAX_IN_FLIGHT: usize = 3;
-/// Restarts in one run.
+/// Maximum number of restarts in one run.
 const MAX_RESTARTS: u8 = 1;
-/// Groups ended in one run.
+/// Maximum number of groups dissolved in one run.
 const MAX_DISSOLVED: u8 = 1;
 
-/// A defect put in on purpose.
+/// A seeded defect that the search must detect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RestartDefect {
-    /// A group's epoch is one more than what the controller last saw of the member.
+    /// A group's epoch is one more than the epoch in the member's last report.
     EpochFromReport,
-    /// The member joins whatever the epoch.
+    /// The member joins without comparing epochs.
     EpochIgnored,
-    /// Controllers choose the member by a report of a life that has ended.
+    /// Controllers choose the member by a report from an earlier incarnation.
     ChosenByStaleReport,
-    /// A group is opened though its member restarted since it was chosen.
+    /// A group is opened although its member has restarted since it was chosen.
     OpenedOtherIncarnation,
-    /// The member joins whatever its count.
+    /// The member joins without comparing the expected sequence number.
     SequenceIgnored,
 }
 
-/// Joining of one member across its lives.
+/// Joining of one member across its incarnations.
 #[derive(Clone, Copy, Debug)]
 pub struct RestartSpec {
     defect: Option<RestartDefect>,
@@ -50,7 +50,7 @@
 struct Member {
     incarnation: u8,
     sequence: u8,
-    /// Highest epoch that this life has seen.
+    /// Highest epoch that this incarnation has seen.
     epoch: u8,
     group: Option<Group>,
     is_ready: bool,
@@ -60,11 +60,11 @@
 struct Formation {
     controller: usize,
     epoch: u8,
-    /// Life of the member that was chosen.
+    /// Incarnation of the member when it was chosen.
     incarnation: u8,
 }
 
-/// State of the member, its groups and what the controllers know.
+/// State of the member, its groups and the controllers' views.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct RestartState {
     member: Member,
@@ -79,12 +79,12 @@
 }
 
 impl RestartSpec {
-    /// Makes the sound protocol.
+    /// Returns the protocol without defects.
     pub fn sound() -> Self {
         Self { defect: None }
     }
 
-    /// Makes the protocol with one defect.
+    /// Returns the protocol with one seeded defect.
     pub fn defective(defect: RestartDefect) -> Self {
         Self {
             defect: Some(defect),
@@ -125,9 +125,12 @@
             expected: reported.sequence,
         });
         next.orders.sort_unstable();
-        // The member has to report before it is ordered again by this controller.
+        // The member has to report to this controller again before the next order.
         next.views[controller] = None;
-        Some(Step::new(format!("{controller} forms {group}"), next))
+        Some(Step::new(
+            format!("controller {controller} forms group {group}"),
+            next,
+        ))
     }
 
     fn open_step(&self, state: &RestartState, controller: usize) -> Option<Step<RestartState>> {
@@ -143,7 +146,7 @@
         is_due.then(|| {
             let mut next = state.clone();
             next.serves[group] = true;
-            Step::new(format!("{controller} opens {group}"), next)
+            Step::new(format!("controller {controller} opens group {group}"), next)
         })
     }
 
@@ -157,7 +160,10 @@
             next.dissolves_left -= 1;
             next.serves[group] = false;
             next.dissolved[group] = true;
-            steps.push(Step::new(format!("the head of {group} leaves"), next));
+            steps.push(Step::new(
+                format!("the leader of group {group} leaves"),
+                next,
+            ));
         }
     }
 
@@ -199,7 +205,7 @@
                 let mut next = state.clone();
                 next.views[controller] = Some(state.member);
                 steps.push(Step::new(
-                    format!("the member reports to {controller}"),
+                    format!("the member reports to controller {controller}"),
                     next,
                 ));
             }
@@ -258,7 +264,7 @@
     fn violated_property(&self, state: &RestartState) -> Option<&'static str> {
         state
             .is_moved_while_serving
-            .then_some("a member joins another group only when its old one does not serve")
+            .then_some("a member joins another group only when its previous one is not serving")
     }
 
     fn is_goal(&self, state: &RestartState) -> bool {
--- a/crates/model/src/search.rs
+++ b/crates/model/src/search.rs
@@ -1,4 +1,4 @@
-//! Breadth-first search over a specification's states.
+//! Breadth-first search over the states of a specification.
 
 use std::cell::RefCell;
 use std::fmt::Debug;
@@ -7,22 +7,22 @@
 use indexmap::{IndexMap, IndexSet};
 use pathfinding::prelude::{bfs, bfs_reach};
 
-/// Most states looked at before a search gives up.
+/// Maximum number of states that a search explores before it stops.
 const STATE_LIMIT: usize = 2_000_000;
 
-/// One step from a state.
+/// A transition from one state to the next.
 #[derive(Clone, Debug)]
 pub struct Step<S> {
-    /// What happens.
+    /// Description used in traces.
     pub name: String,
-    /// State that results.
+    /// Resulting state.
     pub state: S,
-    /// Whether it is a fault, which liveness assumes to stop.
+    /// Whether the step is a fault; the liveness check assumes that faults eventually stop.
     pub is_fault: bool,
 }
 
 impl<S> Step<S> {
-    /// Makes a step of the protocol itself.
+    /// Creates a step of the protocol.
     pub fn new(name: impl Into<String>, state: S) -> Self {
         Self {
             name: name.into(),
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Makes a step that is a fault.
+    /// Creates a step that is a fault.
     pub fn fault(name: impl Into<String>, state: S) -> Self {
         Self {
             name: name.into(),
@@ -41,45 +41,45 @@
     }
 }
 
-/// A protocol as states and steps.
+/// A protocol described as a state machine.
 pub trait Specification {
-    /// State of everything.
+    /// Complete state of the modelled system.
     type State: Clone + Debug + Eq + Hash;
 
-    /// Returns the state at the start.
+    /// Returns the initial state.
     fn initial(&self) -> Self::State;
 
-    /// Returns every step that can come next.
+    /// Returns every step possible from a state.
     fn steps(&self, state: &Self::State) -> Vec<Step<Self::State>>;
 
-    /// Returns the property that a state breaks, if any.
+    /// Returns the safety property that a state violates, if any.
     fn violated_property(&self, state: &Self::State) -> Option<&'static str>;
 
-    /// Returns whether a state is what the protocol works towards.
+    /// Returns whether a state counts as progress in the liveness check.
     fn is_goal(&self, state: &Self::State) -> bool;
 }
 
-/// The shortest way to a state that breaks a property.
+/// The shortest path to a state that violates a property.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// Property broken.
+    /// Violated property.
     pub property: &'static str,
-    /// Steps from the start.
+    /// Descriptions of the steps from the initial state.
     pub trace: Vec<String>,
 }
 
-/// What a search found.
+/// Result of a search.
 #[derive(Clone, Debug)]
 pub struct SearchReport {
-    /// States looked at.
+    /// Number of states explored.
     pub states: usize,
-    /// Whether every state within the bounds was looked at.
+    /// Whether every reachable state was explored.
     pub is_exhausted: bool,
     /// Shortest counterexample, if any.
     pub violation: Option<Violation>,
 }
 
-/// Searches every state breadth-first, so the first violation found is the shortest.
+/// Explores every reachable state breadth-first, so the first violation found has the shortest trace.
 pub fn search<S: Specification>(spec: &S) -> SearchReport {
     let visited = RefCell::new(0_usize);
     let path = bfs(
@@ -101,7 +101,7 @@
     }
 }
 
-/// Counts the reachable states from which no goal can be reached once faults stop.
+/// Counts the reachable states from which no goal state can be reached without further faults.
 pub fn stuck_states<S: Specification>(spec: &S) -> usize {
     let states: IndexSet<S::State> =
         bfs_reach(spec.initial(), |state| next_states(spec, state)).collect();
