--- a/crates/model/examples/check.rs
+++ b/crates/model/examples/check.rs
@@ -61,7 +61,7 @@
 
 fn main() -> ExitCode {
     let mut summary = CheckSummary::default();
-    summary.check_properties("lease without orders", &LeaseSpec::contest());
+    summary.check_properties("lease without orders", &LeaseSpec::without_orders());
     summary.check_properties("lease, engines that check fencing", &LeaseSpec::sound(true));
     summary.check_properties(
         "lease, engines that ignore fencing",
--- a/crates/model/src/lease.rs
+++ b/crates/model/src/lease.rs
@@ -17,9 +17,9 @@
 /// Length of a run in the liveness check, which keeps every state in memory.
 const SHORT_MAX_TIME: u64 = 4;
 /// Maximum number of lost responses and delayed writes in a run without orders.
-const MAX_CONTEST_FAULTS: u8 = 2;
+const MAX_FAULTS_WITHOUT_ORDERS: u8 = 2;
 /// The same in a run with orders, which multiply the number of states.
-const MAX_ORDER_FAULTS: u8 = 1;
+const MAX_FAULTS_WITH_ORDERS: u8 = 1;
 /// Maximum number of orders in one run.
 const MAX_ORDERS: u8 = 2;
 /// Ticks after which an order to an engine that ignores fencing has arrived or been dropped.
@@ -88,7 +88,7 @@
 
 impl LeaseSpec {
     /// Returns the protocol without defects and without orders, with more faults.
-    pub fn contest() -> Self {
+    pub fn without_orders() -> Self {
         Self {
             checks_fencing: true,
             sends_orders: false,
@@ -113,7 +113,7 @@
     pub fn short() -> Self {
         Self {
             max_time: SHORT_MAX_TIME,
-            ..Self::contest()
+            ..Self::without_orders()
         }
     }
 
@@ -149,7 +149,7 @@
         if state.pending_writes[node].is_none() && state.writes[node] < MAX_WRITES {
             let mut next = state.clone();
             next.clients[node].observe(state.row.clone(), state.version, ticks(state.now));
-            self.record_hold(&mut next, node);
+            self.record_epoch(&mut next, node);
             steps.push(Step::new(
                 format!("node {node} reads the row"),
                 next.clone(),
@@ -173,7 +173,7 @@
             {
                 next.assumed_leases[node] = Some((record.epoch, state.now + DURATION - MARGIN));
             }
-            self.record_hold(&mut next, node);
+            self.record_epoch(&mut next, node);
             steps.push(Step::new(
                 format!("node {node} receives its response"),
                 next,
@@ -218,7 +218,7 @@
     }
 
     /// Records that a node holds a new epoch, and the time from which it may send orders.
-    fn record_hold(&self, state: &mut LeaseState, node: usize) {
+    fn record_epoch(&self, state: &mut LeaseState, node: usize) {
         let Some(epoch) = state.clients[node].epoch(ticks(state.now)) else {
             return;
         };
@@ -302,9 +302,9 @@
             orders: Vec::new(),
             orders_left: if self.sends_orders { MAX_ORDERS } else { 0 },
             faults_left: if self.sends_orders {
-                MAX_ORDER_FAULTS
+                MAX_FAULTS_WITH_ORDERS
             } else {
-                MAX_CONTEST_FAULTS
+                MAX_FAULTS_WITHOUT_ORDERS
             },
             engine_epoch: 0,
             is_stale_order_applied: false,
--- a/crates/model/src/orders.rs
+++ b/crates/model/src/orders.rs
@@ -164,11 +164,11 @@
             steps.push(Step::new(format!("group {group} is dissolved"), next));
             return;
         }
-        let is_left = state.last_report.is_some_and(|report| {
+        let may_release = state.last_report.is_some_and(|report| {
             let is_replaced = state.vm_incarnation != state.claim_incarnation;
             is_replaced || self.has_left(state, report)
         });
-        if is_left || self.has_defect(OrderDefect::ClaimedWithoutReport) {
+        if may_release || self.has_defect(OrderDefect::ClaimedWithoutReport) {
             let mut next = state.clone();
             next.claim = None;
             steps.push(Step::new(
--- a/crates/model/src/relay.rs
+++ b/crates/model/src/relay.rs
@@ -62,7 +62,7 @@
     store_requests: [Option<StoreRequest>; READER_COUNT],
     request: Option<NodeRequest>,
     requests_left: u8,
-    held: Option<u8>,
+    current_version: Option<u8>,
     /// Latest time at which the node believes its configuration was the newest.
     confirmed_at: Option<u8>,
     has_regressed: bool,
@@ -97,7 +97,7 @@
         }
         for reader in 0..READER_COUNT {
             // A new request abandons the outstanding one.
-            for known_version in [None, state.held] {
+            for known_version in [None, state.current_version] {
                 let mut next = state.clone();
                 next.requests_left -= 1;
                 next.request = Some(NodeRequest {
@@ -117,14 +117,16 @@
     }
 
     fn receive_step(&self, state: &RelayState) -> Option<Step<RelayState>> {
-        let request = state.request.filter(|held| held.received_at.is_none())?;
+        let request = state
+            .request
+            .filter(|pending| pending.received_at.is_none())?;
         let mut next = state.clone();
         next.request = Some(NodeRequest {
             received_at: Some(state.now),
             ..request
         });
         let store_request = &mut next.store_requests[request.reader];
-        if store_request.is_none_or(|held| held.known_version != request.known_version) {
+        if store_request.is_none_or(|pending| pending.known_version != request.known_version) {
             *store_request = Some(StoreRequest {
                 known_version: request.known_version,
                 started_at: state.now,
@@ -137,7 +139,7 @@
     fn store_steps(&self, state: &RelayState, steps: &mut Vec<Step<RelayState>>) {
         for reader in 0..READER_COUNT {
             let Some(store_request) =
-                state.store_requests[reader].filter(|held| held.response.is_none())
+                state.store_requests[reader].filter(|pending| pending.response.is_none())
             else {
                 continue;
             };
@@ -187,7 +189,9 @@
             self.apply_version(&mut next, version);
         }
         let is_complete = request.known_version.is_none() || version.is_none();
-        if next.held.is_some() && (is_complete || self.has_defect(RelayDefect::PartialConfirms)) {
+        if next.current_version.is_some()
+            && (is_complete || self.has_defect(RelayDefect::PartialConfirms))
+        {
             let at = sent_at.saturating_sub(age);
             next.confirmed_at = next.confirmed_at.max(Some(at));
         }
@@ -195,10 +199,12 @@
     }
 
     fn apply_version(&self, state: &mut RelayState, version: u8) {
-        let is_newer = state.held.is_none_or(|held| version > held);
+        let is_newer = state
+            .current_version
+            .is_none_or(|current| version > current);
         if is_newer || self.has_defect(RelayDefect::OlderAdopted) {
-            state.has_regressed |= !is_newer && state.held != Some(version);
-            state.held = Some(version);
+            state.has_regressed |= !is_newer && state.current_version != Some(version);
+            state.current_version = Some(version);
         }
     }
 }
@@ -213,7 +219,7 @@
             store_requests: [None; READER_COUNT],
             request: None,
             requests_left: MAX_REQUESTS,
-            held: None,
+            current_version: None,
             confirmed_at: None,
             has_regressed: false,
         }
@@ -242,13 +248,13 @@
         if state.has_regressed {
             return Some("the configuration never returns to an older version");
         }
-        let held = state.held?;
+        let current = state.current_version?;
         let confirmed_at = state.confirmed_at?;
-        let next = state.accepted_at.get(usize::from(held) + 1)?;
+        let next = state.accepted_at.get(usize::from(current) + 1)?;
         (*next < confirmed_at).then_some("the configuration was the newest at the time it is dated")
     }
 
     fn is_goal(&self, state: &RelayState) -> bool {
-        state.held.is_some() || state.requests_left == 0
+        state.current_version.is_some() || state.requests_left == 0
     }
 }
