--- a/crates/model/examples/check.rs
+++ b/crates/model/examples/check.rs
@@ -1,29 +1,29 @@
-//! Searches every specification, and shows that every seeded defect is caught.
+//! Checks every specification, and that every seeded defect is detected.
 //!
-//! Exits 0 only if every property holds in every state, no state is stuck, and every defect yields
-//! a counterexample.
+//! Exits with 0 only if every property holds in every reachable state, no state is stuck, and every
+//! defect yields a counterexample.
 
 use std::process::ExitCode;
 
 use briarswitch_model::{
-    search, stuck_states, AssemblyDefect, AssemblySpec, ConfigDefect, ConfigSpec, CrashDefect,
-    CrashSpec, GateDefect, GateSpec, KeyDefect, KeySpec, LeaseDefect, LeaseSpec, OrderDefect,
-    OrderSpec, RelayDefect, RelaySpec, RestartDefect, RestartSpec, Specification,
+    search, stuck_states, ConfigDefect, ConfigSpec, CrashDefect, CrashSpec, GateDefect, GateSpec,
+    GroupFormationDefect, GroupFormationSpec, KeyDefect, KeySpec, LeaseDefect, LeaseSpec,
+    OrderDefect, OrderSpec, RelayDefect, RelaySpec, RestartDefect, RestartSpec, Specification,
 };
 
-/// Counts what was not as it should be.
+/// Prints the results of the checks and counts failures.
 #[derive(Default)]
-struct CheckTally {
+struct CheckSummary {
     failures: usize,
 }
 
-impl CheckTally {
-    fn holds<S: Specification>(&mut self, name: &str, spec: &S) {
+impl CheckSummary {
+    fn check_properties<S: Specification>(&mut self, name: &str, spec: &S) {
         let report = search(spec);
         let is_sound = report.violation.is_none() && report.is_exhausted;
         println!(
             "{} {name}: {} states, exhausted {}",
-            if is_sound { "holds " } else { "BROKEN" },
+            if is_sound { "holds  " } else { "BROKEN " },
             report.states,
             report.is_exhausted,
         );
@@ -33,26 +33,26 @@
         self.failures += usize::from(!is_sound);
     }
 
-    fn progresses<S: Specification>(&mut self, name: &str, spec: &S) {
+    fn check_liveness<S: Specification>(&mut self, name: &str, spec: &S) {
         let stuck = stuck_states(spec);
-        let word = if stuck == 0 { "lives " } else { "STUCK " };
-        println!("{word} {name}: {stuck} states from which nothing good is reached");
+        let label = if stuck == 0 { "live   " } else { "STUCK  " };
+        println!("{label} {name}: {stuck} states from which no goal is reachable");
         self.failures += usize::from(stuck > 0);
     }
 
-    fn catches<S: Specification>(&mut self, name: &str, spec: &S) {
+    fn check_defect<S: Specification>(&mut self, name: &str, spec: &S) {
         let report = search(spec);
         match report.violation {
             Some(violation) => {
                 println!(
-                    "caught {name}: {} steps break \"{}\"",
+                    "caught  {name}: {} steps violate \"{}\"",
                     violation.trace.len(),
                     violation.property
                 );
                 println!("    {}", violation.trace.join("; "));
             }
             None => {
-                println!("MISSED {name}: {} states", report.states);
+                println!("MISSED  {name}: {} states", report.states);
                 self.failures += 1;
             }
         }
@@ -60,127 +60,130 @@
 }
 
 fn main() -> ExitCode {
-    let mut tally = CheckTally::default();
-    tally.holds("lease, contest alone", &LeaseSpec::contest());
-    tally.holds("lease, engines that check fencing", &LeaseSpec::sound(true));
-    tally.holds(
+    let mut summary = CheckSummary::default();
+    summary.check_properties("lease without orders", &LeaseSpec::without_orders());
+    summary.check_properties("lease, engines that check fencing", &LeaseSpec::sound(true));
+    summary.check_properties(
         "lease, engines that ignore fencing",
         &LeaseSpec::sound(false),
     );
-    tally.holds(
+    summary.check_properties(
         "orders, engines that check fencing",
         &OrderSpec::sound(true),
     );
-    tally.holds(
+    summary.check_properties(
         "orders, engines that ignore fencing",
         &OrderSpec::sound(false),
     );
-    tally.holds("groups by conditional orders", &AssemblySpec::sound());
-    tally.holds("a member that restarts", &RestartSpec::sound());
-    tally.holds("configuration through readers", &RelaySpec::sound());
-    tally.holds("serving gate", &GateSpec::sound());
-    tally.holds("accepted configuration", &ConfigSpec::sound());
-    tally.holds("at most once by key", &KeySpec::sound());
-    tally.holds("requests that end targets", &CrashSpec::sound());
-    tally.progresses("lease", &LeaseSpec::short());
-    tally.progresses(
+    summary.check_properties(
+        "group formation by conditional orders",
+        &GroupFormationSpec::sound(),
+    );
+    summary.check_properties("join orders across a restart", &RestartSpec::sound());
+    summary.check_properties("configuration through readers", &RelaySpec::sound());
+    summary.check_properties("serving gate", &GateSpec::sound());
+    summary.check_properties("configuration edits", &ConfigSpec::sound());
+    summary.check_properties("at-most-once execution by key", &KeySpec::sound());
+    summary.check_properties("requests that crash targets", &CrashSpec::sound());
+    summary.check_liveness("lease", &LeaseSpec::short());
+    summary.check_liveness(
         "orders, engines that check fencing",
         &OrderSpec::sound(true),
     );
-    tally.progresses(
+    summary.check_liveness(
         "orders, engines that ignore fencing",
         &OrderSpec::sound(false),
     );
-    tally.progresses("serving gate", &GateSpec::sound());
-    tally.progresses("accepted configuration", &ConfigSpec::sound());
-    tally.progresses("at most once by key", &KeySpec::sound());
+    summary.check_liveness("serving gate", &GateSpec::sound());
+    summary.check_liveness("configuration edits", &ConfigSpec::sound());
+    summary.check_liveness("at-most-once execution by key", &KeySpec::sound());
     for (checks, defect) in [
-        (true, LeaseDefect::CountedFromAnswer),
-        (true, LeaseDefect::HastyChallenger),
-        (true, LeaseDefect::NoFencing),
+        (true, LeaseDefect::CountedFromResponse),
+        (true, LeaseDefect::EarlyChallenger),
+        (true, LeaseDefect::FencingIgnored),
         (false, LeaseDefect::NoOrderWait),
         (false, LeaseDefect::UncheckedOrder),
     ] {
         let name = format!("lease with {defect:?}");
-        tally.catches(&name, &LeaseSpec::defective(checks, defect));
+        summary.check_defect(&name, &LeaseSpec::defective(checks, defect));
     }
     for defect in [
-        OrderDefect::NoFencing,
-        OrderDefect::NoReport,
+        OrderDefect::FencingIgnored,
+        OrderDefect::ClaimedWithoutReport,
         OrderDefect::UnacknowledgedLeave,
         OrderDefect::SameFence,
     ] {
         let name = format!("orders with {defect:?}");
-        tally.catches(&name, &OrderSpec::defective(defect));
+        summary.check_defect(&name, &OrderSpec::defective(defect));
     }
     for defect in [
-        AssemblyDefect::NoSequence,
-        AssemblyDefect::NoInstance,
-        AssemblyDefect::ReusedBeforeStop,
-        AssemblyDefect::OpenedUnseen,
-        AssemblyDefect::UnsettledBelieved,
+        GroupFormationDefect::SequenceIgnored,
+        GroupFormationDefect::IncarnationIgnored,
+        GroupFormationDefect::ReusedBeforeStop,
+        GroupFormationDefect::OpenedBeforeReady,
+        GroupFormationDefect::UnknownTakenAsDone,
     ] {
         let name = format!("groups with {defect:?}");
-        tally.catches(&name, &AssemblySpec::defective(defect));
+        summary.check_defect(&name, &GroupFormationSpec::defective(defect));
     }
     for defect in [
-        RestartDefect::EpochOfSeen,
-        RestartDefect::NoEpoch,
-        RestartDefect::ChosenByOldReport,
-        RestartDefect::OpenedOtherLife,
-        RestartDefect::NoSequence,
+        RestartDefect::EpochFromReport,
+        RestartDefect::EpochIgnored,
+        RestartDefect::ChosenByStaleReport,
+        RestartDefect::OpenedOtherIncarnation,
+        RestartDefect::SequenceIgnored,
     ] {
         let name = format!("restart with {defect:?}");
-        tally.catches(&name, &RestartSpec::defective(defect));
+        summary.check_defect(&name, &RestartSpec::defective(defect));
     }
     for defect in [
-        RelayDefect::AgeForgotten,
-        RelayDefect::CutShortDates,
+        RelayDefect::AgeIgnored,
+        RelayDefect::PartialConfirms,
         RelayDefect::OlderAdopted,
-        RelayDefect::DatedByArrival,
+        RelayDefect::DatedByResponse,
     ] {
         let name = format!("readers with {defect:?}");
-        tally.catches(&name, &RelaySpec::defective(defect));
+        summary.check_defect(&name, &RelaySpec::defective(defect));
     }
     for defect in [
         GateDefect::NeverExpires,
-        GateDefect::CountedFromAnswer,
+        GateDefect::CountedFromResponse,
         GateDefect::OlderUndoesRevocation,
-        GateDefect::AnyGeneration,
+        GateDefect::GenerationIgnored,
     ] {
         let name = format!("gate with {defect:?}");
-        tally.catches(&name, &GateSpec::defective(defect));
+        summary.check_defect(&name, &GateSpec::defective(defect));
     }
     for defect in [
         ConfigDefect::LowerAccepted,
         ConfigDefect::BlindRetry,
-        ConfigDefect::SettleBarsNothing,
+        ConfigDefect::SettleWithoutVoid,
         ConfigDefect::UnconditionalHead,
     ] {
         let name = format!("configuration with {defect:?}");
-        tally.catches(&name, &ConfigSpec::defective(defect));
+        summary.check_defect(&name, &ConfigSpec::defective(defect));
     }
     for defect in [
-        KeyDefect::SentUnsettled,
+        KeyDefect::SentBeforeClaimKnown,
         KeyDefect::RetriedUnknown,
         KeyDefect::ReleasedUnknown,
         KeyDefect::UnconditionalClaim,
-        KeyDefect::BrokenToldNotRun,
+        KeyDefect::BrokenReportedNotRun,
     ] {
         let name = format!("keys with {defect:?}");
-        tally.catches(&name, &KeySpec::defective(defect));
+        summary.check_defect(&name, &KeySpec::defective(defect));
     }
     for defect in [
         CrashDefect::NeverWritten,
         CrashDefect::Summed,
-        CrashDefect::DroppedEarly,
-        CrashDefect::OneRow,
-        CrashDefect::UnreadAtStart,
+        CrashDefect::DeletedEarly,
+        CrashDefect::SingleRow,
+        CrashDefect::NoInitialRead,
         CrashDefect::EraIgnored,
     ] {
-        let name = format!("requests that end targets with {defect:?}");
-        tally.catches(&name, &CrashSpec::defective(defect));
+        let name = format!("requests that crash targets with {defect:?}");
+        summary.check_defect(&name, &CrashSpec::defective(defect));
     }
-    println!("{} not as it should be", tally.failures);
-    ExitCode::from(u8::from(tally.failures > 0))
+    println!("{} checks failed", summary.failures);
+    ExitCode::from(u8::from(summary.failures > 0))
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,7 +1,7 @@
-//! Specifications of the control protocol, searched exhaustively within small bounds.
+//! Specifications of the control protocols, checked by exhaustive search within small bounds.
 //!
-//! Each specification drives the decision code of `briarswitch_core` where it can, adds the faults
-//! of the brief as steps, and names properties. Seeded defects show that the properties can fail.
+//! Each specification runs the decision code of `briarswitch_core` where possible, models faults as
+//! steps, and states safety properties. Seeded defects show that the search detects violations.
 //!
 //! ```
 //! use briarswitch_model::{search, GateSpec};
@@ -10,10 +10,10 @@
 //! assert!(report.violation.is_none() && report.is_exhausted);
 //! ```
 
-mod assembly;
 mod config;
 mod crash;
 mod gate;
+mod group_formation;
 mod keys;
 mod lease;
 mod orders;
@@ -21,10 +21,10 @@
 mod restart;
 mod search;
 
-pub use assembly::{AssemblyDefect, AssemblySpec};
 pub use config::{ConfigDefect, ConfigSpec};
 pub use crash::{CrashDefect, CrashSpec};
 pub use gate::{GateDefect, GateSpec};
+pub use group_formation::{GroupFormationDefect, GroupFormationSpec};
 pub use keys::{KeyDefect, KeySpec};
 pub use lease::{LeaseDefect, LeaseSpec};
 pub use orders::{OrderDefect, OrderSpec};
--- a/crates/model/src/search.rs
+++ b/crates/model/src/search.rs
@@ -1,4 +1,4 @@
-//! Breadth-first search over a specification's states.
+//! Breadth-first search over the states of a specification.
 
 use std::cell::RefCell;
 use std::fmt::Debug;
@@ -7,23 +7,23 @@
 use indexmap::{IndexMap, IndexSet};
 use pathfinding::prelude::{bfs, bfs_reach};
 
-/// Most states looked at before a search gives up.
+/// Maximum number of states that a search explores before it stops.
 const STATE_LIMIT: usize = 2_000_000;
 
-/// One step from a state.
+/// A transition from one state to the next.
 #[derive(Clone, Debug)]
 pub struct Step<S> {
-    /// What happens.
+    /// Description used in traces.
     pub name: String,
-    /// State that results.
+    /// Resulting state.
     pub state: S,
-    /// Whether it is a fault, which liveness assumes to stop.
+    /// Whether the step is a fault; the liveness check assumes that faults eventually stop.
     pub is_fault: bool,
 }
 
 impl<S> Step<S> {
-    /// Makes a step of the protocol itself.
-    pub fn of(name: impl Into<String>, state: S) -> Self {
+    /// Creates a step of the protocol.
+    pub fn new(name: impl Into<String>, state: S) -> Self {
         Self {
             name: name.into(),
             state,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Makes a step that is a fault.
+    /// Creates a step that is a fault.
     pub fn fault(name: impl Into<String>, state: S) -> Self {
         Self {
             name: name.into(),
@@ -41,91 +41,91 @@
     }
 }
 
-/// A protocol as states and steps.
+/// A protocol described as a state machine.
 pub trait Specification {
-    /// State of everything.
+    /// Complete state of the modelled system.
     type State: Clone + Debug + Eq + Hash;
 
-    /// Returns the state at the start.
+    /// Returns the initial state.
     fn initial(&self) -> Self::State;
 
-    /// Returns every step that can come next.
+    /// Returns every step possible from a state.
     fn steps(&self, state: &Self::State) -> Vec<Step<Self::State>>;
 
-    /// Returns the property that a state breaks, if any.
-    fn broken(&self, state: &Self::State) -> Option<&'static str>;
+    /// Returns the safety property that a state violates, if any.
+    fn violated_property(&self, state: &Self::State) -> Option<&'static str>;
 
-    /// Returns whether a state is what the protocol works towards.
+    /// Returns whether a state counts as progress in the liveness check.
     fn is_goal(&self, state: &Self::State) -> bool;
 }
 
-/// The shortest way to a state that breaks a property.
+/// The shortest path to a state that violates a property.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// Property broken.
+    /// Violated property.
     pub property: &'static str,
-    /// Steps from the start.
+    /// Descriptions of the steps from the initial state.
     pub trace: Vec<String>,
 }
 
-/// What a search found.
+/// Result of a search.
 #[derive(Clone, Debug)]
 pub struct SearchReport {
-    /// States looked at.
+    /// Number of states explored.
     pub states: usize,
-    /// Whether every state within the bounds was looked at.
+    /// Whether every reachable state was explored.
     pub is_exhausted: bool,
     /// Shortest counterexample, if any.
     pub violation: Option<Violation>,
 }
 
-/// Searches every state breadth-first, so the first violation found is the shortest.
+/// Explores every reachable state breadth-first, so the first violation found has the shortest trace.
 pub fn search<S: Specification>(spec: &S) -> SearchReport {
-    let seen = RefCell::new(0_usize);
+    let visited = RefCell::new(0_usize);
     let path = bfs(
         &spec.initial(),
         |state| {
-            *seen.borrow_mut() += 1;
-            if *seen.borrow() > STATE_LIMIT {
+            *visited.borrow_mut() += 1;
+            if *visited.borrow() > STATE_LIMIT {
                 return Vec::new();
             }
             next_states(spec, state)
         },
-        |state| spec.broken(state).is_some(),
+        |state| spec.violated_property(state).is_some(),
     );
-    let states = *seen.borrow();
+    let states = *visited.borrow();
     SearchReport {
         states,
         is_exhausted: path.is_none() && states <= STATE_LIMIT,
-        violation: path.map(|path| describe(spec, &path)),
+        violation: path.map(|path| build_violation(spec, &path)),
     }
 }
 
-/// Counts the reachable states from which no goal can be reached once faults stop.
+/// Counts the reachable states from which no goal state can be reached without further faults.
 pub fn stuck_states<S: Specification>(spec: &S) -> usize {
     let states: IndexSet<S::State> =
         bfs_reach(spec.initial(), |state| next_states(spec, state)).collect();
-    let mut before: IndexMap<usize, Vec<usize>> = IndexMap::new();
-    let mut open: Vec<usize> = Vec::new();
+    let mut predecessors: IndexMap<usize, Vec<usize>> = IndexMap::new();
+    let mut pending: Vec<usize> = Vec::new();
     for (index, state) in states.iter().enumerate() {
         if spec.is_goal(state) {
-            open.push(index);
+            pending.push(index);
         }
         for step in spec.steps(state).into_iter().filter(|step| !step.is_fault) {
             if let Some(next) = states.get_index_of(&step.state) {
-                before.entry(next).or_default().push(index);
+                predecessors.entry(next).or_default().push(index);
             }
         }
     }
-    let mut live: IndexSet<usize> = open.iter().copied().collect();
-    while let Some(index) = open.pop() {
-        for earlier in before.get(&index).into_iter().flatten() {
-            if live.insert(*earlier) {
-                open.push(*earlier);
+    let mut can_reach_goal: IndexSet<usize> = pending.iter().copied().collect();
+    while let Some(index) = pending.pop() {
+        for predecessor in predecessors.get(&index).into_iter().flatten() {
+            if can_reach_goal.insert(*predecessor) {
+                pending.push(*predecessor);
             }
         }
     }
-    states.len() - live.len()
+    states.len() - can_reach_goal.len()
 }
 
 fn next_states<S: Specification>(spec: &S, state: &S::State) -> Vec<S::State> {
@@ -133,13 +133,13 @@
     steps.into_iter().map(|step| step.state).collect()
 }
 
-fn describe<S: Specification>(spec: &S, path: &[S::State]) -> Violation {
+fn build_violation<S: Specification>(spec: &S, path: &[S::State]) -> Violation {
     let trace = path.windows(2).map(|pair| {
         let steps = spec.steps(&pair[0]);
         let step = steps.into_iter().find(|step| step.state == pair[1]);
         step.map_or_else(|| "?".to_owned(), |step| step.name)
     });
-    let last = path.last().and_then(|state| spec.broken(state));
+    let last = path.last().and_then(|state| spec.violated_property(state));
     Violation {
         property: last.unwrap_or("none"),
         trace: trace.collect(),
