--- a/crates/wire/src/config.rs
+++ b/crates/wire/src/config.rs
@@ -1,4 +1,4 @@
-//! Configuration documents as operators write them and as the table keeps them.
+//! Configuration documents as operators submit them and as the table stores them.
 
 use briarswitch_core::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -9,10 +9,10 @@
 pub struct OrganisationDoc {
     /// SHA-256 of the caller's key, in hexadecimal.
     pub key_hash: String,
-    /// Share of service relative to other organisations.
+    /// Weight of the organisation's share relative to other organisations.
     #[serde(default = "one")]
     pub weight: u32,
-    /// Requests a second allowed over all nodes.
+    /// Request rate limit, over all nodes together.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub requests_per_second: Option<u32>,
 }
@@ -21,37 +21,37 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct DeploymentDoc {
-    /// Pool whose machines serve it.
+    /// Pool of the machines that serve it.
     pub pool: PoolId,
-    /// Model served by replica groups; a document without one describes a plain service.
+    /// Model served by replica groups; `None` for a plain service.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub model: Option<ModelDoc>,
-    /// Requests in flight that one target takes from one node.
+    /// Maximum number of requests in flight from one node to one target.
     #[serde(default = "default_in_flight")]
     pub target_in_flight: u32,
-    /// Rank when machines or places in the queue are short.
+    /// Priority when machines or queue slots are scarce.
     #[serde(default)]
     pub priority: u8,
 }
 
-/// What a deployment of a model adds.
+/// Settings of a deployment that serves a model.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelDoc {
     /// Machines in one replica.
     pub vms_per_replica: u32,
-    /// Replicas wanted in each availability zone.
+    /// Desired number of replicas in each availability zone.
     pub replicas_per_zone: u32,
-    /// Whether the engines refuse orders with an old fencing number.
+    /// Whether the engines reject orders with an outdated fencing number.
     #[serde(default)]
     pub checks_fencing: bool,
     /// Whether a replica may span fabric domains.
     #[serde(default)]
     pub spans_domains: bool,
-    /// Weight of group downtime.
+    /// Weight of group downtime in planning.
     #[serde(default = "one")]
     pub downtime_weight: u32,
-    /// Weight of stranded accelerators.
+    /// Weight of stranded accelerators in planning.
     #[serde(default = "one")]
     pub stranded_weight: u32,
 }
@@ -62,10 +62,10 @@
 pub struct RuleDoc {
     /// Name of the rule.
     pub name: String,
-    /// Conditions, all of which have to hold.
+    /// Conditions, all of which must match.
     #[serde(default)]
     pub when: WhenDoc,
-    /// What is done.
+    /// Action taken when the rule matches.
     pub then: ThenDoc,
 }
 
@@ -73,25 +73,25 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WhenDoc {
-    /// Organisation that calls.
+    /// Organisation of the caller.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub organisation: Option<OrganisationId>,
-    /// Deployment asked for.
+    /// Deployment that the request names.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub asked: Option<DeploymentId>,
-    /// Header that must carry a value.
+    /// Header that must have a given value.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub header: Option<HeaderDoc>,
     /// Smallest body in bytes.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub min_body_bytes: Option<u64>,
-    /// Zone that took the request.
+    /// Zone of the node that received the request.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub zone: Option<ZoneId>,
-    /// Minutes of the UTC day.
+    /// Time range in minutes of the UTC day.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub minutes: Option<MinutesDoc>,
-    /// Share of callers, 0 to 100.
+    /// Percentage of callers that match, 0 to 100.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub percent: Option<u8>,
 }
@@ -102,50 +102,50 @@
 pub struct HeaderDoc {
     /// Name of the header.
     pub name: String,
-    /// Value that it must carry.
+    /// Required value.
     pub value: String,
 }
 
-/// A span of minutes in the UTC day.
+/// A range of minutes in the UTC day.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct MinutesDoc {
     /// First minute.
     pub from: u16,
-    /// Minute after the last.
+    /// End of the range (exclusive).
     pub to: u16,
 }
 
-/// What a rule does.
+/// Action of a rule.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ThenDoc {
     /// Sends the request to a deployment.
     Route(RouteDoc),
-    /// Refuses the request.
+    /// Rejects the request.
     Reject(RejectDoc),
 }
 
-/// Where a rule sends a request.
+/// Where a rule routes a request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteDoc {
     /// Deployment that serves it.
     pub deployment: DeploymentId,
-    /// Priority in place of the deployment's own.
+    /// Priority that overrides that of the deployment.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub priority: Option<u8>,
 }
 
-/// Why a rule refuses a request.
+/// How a rule rejects a request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RejectDoc {
-    /// Text for the caller.
+    /// Message returned to the caller.
     pub message: String,
 }
 
-/// The text of one entity after an edit.
+/// The value of one entity after an edit.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ValueDoc {
@@ -153,9 +153,9 @@
     Organisation(OrganisationDoc),
     /// A deployment.
     Deployment(DeploymentDoc),
-    /// The whole rule list.
+    /// The complete rule list.
     Rules(Vec<RuleDoc>),
-    /// The entity is gone.
+    /// The entity was deleted.
     Deleted,
 }
 
@@ -174,22 +174,22 @@
 /// One accepted edit.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EntryDoc {
-    /// Version that the edit made.
+    /// Configuration version that the edit created.
     pub version: ConfigVersion,
     /// Kind of the entity.
     pub kind: KindDoc,
     /// Name of the entity.
     pub id: String,
-    /// Its text after the edit.
+    /// Value of the entity after the edit.
     pub value: ValueDoc,
 }
 
-/// The whole configuration at one version, as the object store keeps it.
+/// A snapshot of the configuration at one version, as stored in the object store.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct SnapshotDoc {
     /// Version of the configuration.
     pub version: ConfigVersion,
-    /// Every entity, with the version of its last edit.
+    /// All entities, each with the version of its last edit.
     pub entries: Vec<EntryDoc>,
 }
 
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -1,4 +1,4 @@
-//! Conversions between configuration documents and the decisions' types.
+//! Conversions between configuration documents and the types of `briarswitch_core`.
 
 use briarswitch_core::prelude::*;
 
@@ -38,11 +38,11 @@
     }
 }
 
-/// A document whose kind does not fit the entity it was sent for.
+/// The kind of a document differs from the kind of its entity.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("the document is not of kind {wanted}")]
+#[error("expected a document of kind {wanted}")]
 pub struct KindMismatch {
-    /// Kind of the entity.
+    /// Kind that the entity requires.
     pub wanted: &'static str,
 }
 
@@ -101,10 +101,10 @@
 }
 
 impl From<&VersionedConfig> for SnapshotDoc {
-    fn from(book: &VersionedConfig) -> Self {
+    fn from(config: &VersionedConfig) -> Self {
         Self {
-            version: book.version(),
-            entries: book.entries().into_iter().map(EntryDoc::from).collect(),
+            version: config.version(),
+            entries: config.entries().into_iter().map(EntryDoc::from).collect(),
         }
     }
 }
@@ -120,7 +120,7 @@
 }
 
 impl OrganisationDoc {
-    /// Gives the document its name.
+    /// Converts the document to an entity named `id`.
     pub fn into_named(self, id: &str) -> Organisation {
         Organisation {
             id: id.to_owned(),
@@ -142,7 +142,7 @@
 }
 
 impl DeploymentDoc {
-    /// Gives the document its name.
+    /// Converts the document to an entity named `id`.
     pub fn into_named(self, id: &str) -> Deployment {
         let kind = match self.model {
             Some(model) => DeploymentKind::Model {
--- a/crates/wire/src/engine.rs
+++ b/crates/wire/src/engine.rs
@@ -1,22 +1,22 @@
-//! What the model engines speak: orders, reports and requests.
+//! Protocol of the model engines: orders, reports and requests.
 
 use briarswitch_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// Header that carries an attempt's id to the target and back.
+/// Header with the id of an attempt; the target returns it in its response.
 pub const ATTEMPT_HEADER: &str = "x-attempt-id";
-/// Header that carries the number of stream events already received, when a stream is resumed.
+/// Header with the number of stream events already received, when a stream is resumed.
 pub const RESUME_HEADER: &str = "x-resume-from";
 /// Header that carries a request's priority.
 pub const PRIORITY_HEADER: &str = "x-priority";
-/// Header that names the group and generation a request is meant for, as `GROUP@GENERATION`; an
-/// engine that is in another refuses the request as not run.
+/// Header that names the group and generation a request is addressed to, as `GROUP@GENERATION`; an
+/// engine that is in a different one rejects the request as not run.
 pub const GROUP_HEADER: &str = "x-group";
-/// Header by which a target says that it did not run the request.
+/// Response header of a target that did not run the request.
 pub const NOT_RUN_HEADER: &str = "x-not-run";
-/// Header by which a target says that it is leaving.
+/// Response header of a target that is shutting down.
 pub const LEAVING_HEADER: &str = "x-leaving";
-/// Header that carries the time left for an attempt, in milliseconds.
+/// Header with the remaining time for an attempt, in milliseconds.
 pub const TIMEOUT_HEADER: &str = "x-timeout-ms";
 /// Last event of a stream.
 pub const STREAM_END: &str = "data: [DONE]\n\n";
@@ -26,25 +26,25 @@
 /// An order to an engine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct OrderDoc {
-    /// Fencing number; an engine that checks refuses one lower than it has seen.
+    /// Fencing number; an engine that checks it rejects one lower than the highest it has seen.
     pub fence: Epoch,
-    /// What to do.
+    /// Action to take.
     pub action: OrderAction,
 }
 
-/// What an engine is told to do.
+/// Action that an order requests of an engine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderAction {
     /// Join a group and load its weights.
     Join(JoinDoc),
-    /// Leave whatever group it is in, keeping its weights.
+    /// Leave the current group, if any, and keep the weights.
     Leave,
     /// Load a deployment's weights without joining a group.
     Preload(DeploymentId),
 }
 
-/// Which group to join, and how.
+/// Parameters of a join order.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct JoinDoc {
     /// Group to join.
@@ -53,7 +53,7 @@
     pub generation: Generation,
     /// Deployment whose weights are loaded.
     pub deployment: DeploymentId,
-    /// Rank of this machine; rank 0 takes requests.
+    /// Rank of this machine; rank 0 receives the requests.
     pub rank: usize,
     /// Addresses of all members by rank.
     pub members: Vec<String>,
@@ -63,22 +63,22 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StateDoc {
-    /// In no group.
+    /// Not in a group.
     Idle,
     /// Loading weights.
     Loading,
-    /// Serving its group.
+    /// Serving as a member of its group.
     Ready,
 }
 
-/// What an engine reports of itself.
+/// Status report of an engine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ReportDoc {
     /// Machine that reports.
     pub vm: VmId,
-    /// Life of the machine.
+    /// Incarnation of the machine.
     pub incarnation: Incarnation,
-    /// What it does.
+    /// State of the engine.
     pub state: StateDoc,
     /// Group it is in.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -86,16 +86,16 @@
     /// Generation of that group.
     #[serde(default)]
     pub generation: Generation,
-    /// Highest fencing number it was given.
+    /// Highest fencing number received.
     #[serde(default)]
     pub fence: Epoch,
-    /// Deployment whose weights it holds, whether or not it is in a group.
+    /// Deployment whose weights are loaded, whether or not the engine is in a group.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub weights: Option<DeploymentId>,
-    /// Requests it runs.
+    /// Number of running requests.
     #[serde(default)]
     pub running: u32,
-    /// Requests it holds queued.
+    /// Number of queued requests.
     #[serde(default)]
     pub queued: u32,
 }
@@ -140,29 +140,29 @@
     }
 }
 
-/// A chat request, as far as the node reads it; every other field is passed on untouched.
+/// The fields of a chat request that the node reads; all others are forwarded unchanged.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ChatDoc {
-    /// Deployment asked for.
+    /// Name of the requested deployment.
     pub model: String,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     #[serde(default)]
     pub stream: bool,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_tokens: Option<u32>,
-    /// Turns of the conversation.
+    /// Messages of the conversation.
     #[serde(default)]
     pub messages: Vec<MessageDoc>,
 }
 
-/// One turn of a conversation.
+/// One message of a conversation.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct MessageDoc {
-    /// Who speaks.
+    /// Role of the author, such as `user`.
     #[serde(default)]
     pub role: String,
-    /// What is said.
+    /// Text of the message.
     #[serde(default)]
     pub content: String,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,6 +1,6 @@
-//! Wire types of briarswitch and their conversions to and from the decisions' types.
+//! Wire types of briarswitch and their conversions to and from the types of `briarswitch_core`.
 //!
-//! Callers, operators, targets and the platform speak JSON; nodes speak MessagePack among
+//! Callers, operators, targets and the platform use JSON; nodes use MessagePack among
 //! themselves. Every format is described with examples in `docs/INTERFACES.md`.
 //!
 //! ```
--- a/crates/wire/src/operator.rs
+++ b/crates/wire/src/operator.rs
@@ -1,4 +1,4 @@
-//! What operators' clients speak with a node.
+//! Protocol between operators' clients and a node.
 
 use briarswitch_core::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -13,65 +13,65 @@
     pub kind: KindDoc,
     /// Name of the entity.
     pub id: String,
-    /// Version of the entity that the edit was made against; zero for a new one.
+    /// Version of the entity that the edit is based on; zero for a new entity.
     pub base: ConfigVersion,
-    /// Text wanted.
+    /// Requested value.
     pub value: ValueDoc,
-    /// Id chosen by the client, by which a lost answer is settled.
+    /// Id chosen by the client, used to settle the edit if the response is lost.
     pub write: WriteId,
 }
 
-/// What became of an edit.
+/// Result of an edit.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "answer")]
 pub enum EditReply {
-    /// It is in the log at this version.
+    /// The edit is in the log at this version.
     Accepted {
-        /// Version of the configuration that it made.
+        /// Configuration version that the edit created.
         version: ConfigVersion,
     },
-    /// It was not written, for these reasons.
+    /// The edit is invalid and was not written.
     Refused {
-        /// Every fault with its place.
+        /// All errors found, each with its location.
         findings: Vec<FindingDoc>,
     },
-    /// Somebody else's edit of the same entity came first; nothing was written.
+    /// A concurrent edit changed the same entity first; nothing was written.
     Conflict {
-        /// Version of that edit; zero when the entity is gone.
+        /// Version of that edit; zero if the entity was deleted.
         version: ConfigVersion,
-        /// Text now in force.
+        /// Value currently in force.
         current: Option<Value>,
-        /// Text that was wanted.
+        /// Value that was requested.
         wanted: Value,
     },
-    /// The table gave no answer; the edit may or may not be in force.
+    /// The table did not respond; the edit may or may not be in force.
     Unknown {
-        /// Id to settle it by.
+        /// Id to settle the edit with.
         write: WriteId,
     },
 }
 
-/// What became of an edit whose answer was lost.
+/// Final result of an edit whose response was lost.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "answer")]
 pub enum SettleReply {
-    /// It is in the log at this version.
+    /// The edit is in the log at this version.
     Accepted {
-        /// Version of the configuration that it made.
+        /// Configuration version that the edit created.
         version: ConfigVersion,
     },
-    /// It is not in the log, and never will be.
+    /// The edit is not in the log and can no longer be written.
     Void,
-    /// The table gave no answer.
+    /// The table did not respond.
     Unknown,
 }
 
-/// One fault and its place.
+/// One error in a document and its location.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct FindingDoc {
-    /// Where the fault stands.
+    /// Path of the invalid field.
     pub place: String,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
 
@@ -93,36 +93,36 @@
     pub entries: Vec<EntryDoc>,
 }
 
-/// Facts for trying the rules without sending a request.
+/// Properties of a hypothetical request, to evaluate the rules without sending one.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TryRequest {
-    /// Organisation that would call.
+    /// Organisation of the caller.
     pub organisation: String,
-    /// Deployment asked for.
+    /// Deployment that the request names.
     pub asked: String,
     /// Headers as name and value.
     pub headers: Vec<crate::config::HeaderDoc>,
-    /// Bytes of the body.
+    /// Size of the body in bytes.
     pub body_bytes: u64,
-    /// Zone of the node; the asked node's own when absent.
+    /// Zone of the node; the zone of the queried node when absent.
     pub zone: Option<String>,
-    /// Minute of the UTC day; the present one when absent.
+    /// Minute of the UTC day; the current one when absent.
     pub minute_of_day: Option<u16>,
-    /// Draw from 0 to 99 for percentages.
+    /// Number from 0 to 99 that is compared with the percentages of rules.
     pub draw: u8,
 }
 
-/// Which rule would decide, and why the earlier ones would not.
+/// The rule that matches a request, and why the earlier ones do not.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct TryReply {
-    /// Version of the configuration that was asked.
+    /// Configuration version that was evaluated.
     pub version: ConfigVersion,
     /// Name of the rule that matches.
     pub rule: Option<String>,
-    /// What it does.
+    /// Action of that rule.
     pub then: Option<crate::config::ThenDoc>,
-    /// Earlier rules and the condition each one failed.
+    /// Earlier rules, each with the condition that failed.
     pub passed_over: Vec<PassedRule>,
 }
 
@@ -131,26 +131,26 @@
 pub struct PassedRule {
     /// Name of the rule.
     pub rule: String,
-    /// First condition that did not hold.
+    /// First condition that did not match.
     pub failing: String,
 }
 
 /// A node's summary for `briarctl status`.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct StatusReply {
-    /// Node that answers.
+    /// Node that responds.
     pub node: NodeId,
     /// Its zone.
     pub zone: ZoneId,
-    /// Configuration version in force at each node it hears from.
+    /// Configuration version in force at each node that it receives messages from.
     pub versions: Vec<NodeVersion>,
-    /// Groups it knows.
+    /// Groups known to the node.
     pub groups: Vec<GroupStatus>,
     /// Holder and epoch of its zone's lease, as last read.
     pub controller: Option<ControllerStatus>,
-    /// Accelerators of its zone that belong to no working group.
+    /// Accelerators of its zone that are in no serving group.
     pub stranded_accelerators: u32,
-    /// Seconds that wanted groups of the zone could not serve, since this controller took over.
+    /// Accumulated downtime of the zone's desired groups in seconds, since this controller took over.
     pub group_downtime_s: f64,
 }
 
@@ -161,7 +161,7 @@
     pub node: NodeId,
     /// Version in force there.
     pub version: ConfigVersion,
-    /// Milliseconds since it was heard from.
+    /// Milliseconds since its last message.
     pub heard_ms: u64,
 }
 
@@ -172,19 +172,19 @@
     pub group: GroupId,
     /// Deployment served.
     pub deployment: DeploymentId,
-    /// Zone it stands in.
+    /// Zone of the group.
     pub zone: ZoneId,
     /// Generation.
     pub generation: Generation,
-    /// Stage of its life: `forming`, `serving` or `dissolving`.
+    /// State: `forming`, `serving` or `dissolving`.
     pub state: String,
     /// Members by rank.
     pub members: Vec<VmId>,
-    /// Whether this node would send it a request now.
+    /// Whether this node currently routes requests to it.
     pub is_routable: bool,
 }
 
-/// Who controls a zone.
+/// The controller of a zone.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ControllerStatus {
     /// Node that holds the lease.
@@ -198,21 +198,21 @@
 pub struct UsageRow {
     /// Organisation.
     pub organisation: OrganisationId,
-    /// Requests answered.
+    /// Completed requests.
     pub requests: u64,
     /// Tokens delivered.
     pub tokens: u64,
 }
 
-/// What one cause has cost a node since its start.
+/// Resources that one activity has used since the node started.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CostLine {
-    /// Cause.
+    /// Name of the activity.
     pub name: String,
-    /// How often.
+    /// Number of occurrences.
     pub count: u64,
-    /// Bytes sent and received, where they are counted.
+    /// Bytes sent and received, if counted.
     pub bytes: u64,
-    /// Time that the work itself took in microseconds, where it is measured.
+    /// Processing time in microseconds, if measured.
     pub micros: u64,
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,8 +1,8 @@
-//! What nodes tell each other.
+//! Messages that nodes exchange.
 //!
-//! An exchange is a question and an answer, never an announcement: the asker counts the age of what
-//! it learns from before it asked, so a message held up on the way makes evidence look older, never
-//! fresher, and no clocks are compared.
+//! An exchange is always a request and a response, never a push: the requester measures the age of
+//! the received data from before it sent the request. A delayed message therefore makes evidence
+//! look older, never fresher, and no clocks of different nodes are compared.
 
 use std::time::Duration;
 
@@ -13,90 +13,90 @@
 use crate::config::{EntryDoc, SnapshotDoc};
 use crate::engine::ReportDoc;
 
-/// Path before that of a caller's request that another node passes on.
+/// Path prefix of a caller's request that is forwarded by another node.
 pub const FORWARD_PREFIX: &str = "/peer/forward";
-/// Header that carries the nodes' credential beside the caller's own.
+/// Header with the credential of the nodes, sent in addition to the caller's own.
 pub const FORWARD_TOKEN_HEADER: &str = "x-peer-token";
 
-/// What one node asks another.
+/// Request of one node to another.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct ExchangeRequest {
-    /// Node that asks.
+    /// Node that sends the request.
     pub node: NodeId,
     /// Its zone.
     pub zone: ZoneId,
-    /// Its present life.
+    /// Its current incarnation.
     pub incarnation: Incarnation,
-    /// Configuration version it has.
+    /// Its configuration version.
     pub config: ConfigVersion,
-    /// Zone views it has.
+    /// Versions of its zone views.
     pub views: Vec<ViewMark>,
-    /// Life of the answering node whose evidence it holds, and the last change it holds of it.
+    /// Position up to which it has the evidence of the responding node.
     pub evidence: EvidenceMark,
 }
 
-/// How much of a node's evidence an asker already holds.
+/// Position in the stream of changes to a node's evidence, up to which a requester has it.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EvidenceMark {
-    /// Life of the node that holds the evidence.
+    /// Incarnation of the node that collects the evidence.
     pub incarnation: Incarnation,
-    /// Last change the asker has.
+    /// Sequence number of the last change that the requester has.
     pub sequence: u64,
 }
 
-/// How new a zone view is.
+/// Version of a zone view.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct ViewMark {
     /// Zone.
     pub zone: ZoneId,
     /// Epoch of its controller.
     pub epoch: Epoch,
-    /// Changes in that epoch.
+    /// Number of changes in that epoch.
     pub sequence: u64,
 }
 
-/// What a node answers.
+/// Response of a node to an exchange request.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct ExchangeReply {
-    /// Node that answers.
+    /// Node that responds.
     pub node: NodeId,
     /// Its zone.
     pub zone: ZoneId,
-    /// Its present life.
+    /// Its current incarnation.
     pub incarnation: Incarnation,
-    /// Configuration version it has in force.
+    /// Configuration version in force at the node.
     pub config: ConfigVersion,
-    /// Whether it knows that no older configuration than its own may be used.
+    /// Whether it has confirmed that no configuration older than its own may be used.
     pub has_floor: bool,
-    /// Entries that follow the asker's version.
+    /// Entries after the requester's version.
     pub entries: Vec<EntryDoc>,
-    /// The whole configuration, where the entries the asker lacks are no longer held.
+    /// Snapshot of the configuration, if the entries that the requester lacks are no longer kept.
     pub snapshot: Option<SnapshotDoc>,
-    /// Views newer than the asker's.
+    /// Views newer than those of the requester.
     pub views: Vec<ViewDoc>,
-    /// Evidence of the answering node's own probes.
+    /// Evidence from the responding node's own probes.
     pub evidence: EvidenceDoc,
     /// Whether the node is shutting down.
     pub is_leaving: bool,
 }
 
-/// What a node knows of machines, as changes since the asker's mark.
+/// Evidence of a node about machines, as changes since the requester's mark.
 ///
-/// One age covers every machine that is not lost: it is that of the oldest report. While nothing
-/// changes an exchange therefore costs the same whatever the number of machines.
+/// A single age covers every machine that is not lost: that of the oldest report. The size of an
+/// exchange without changes is therefore independent of the number of machines.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct EvidenceDoc {
-    /// Last change contained.
+    /// Position of the last change contained.
     pub mark: EvidenceMark,
-    /// Whether the asker has to forget what it held before.
+    /// Whether this is a snapshot that replaces all earlier evidence.
     pub is_whole: bool,
-    /// Reports that changed.
+    /// Changed reports.
     pub changed: Vec<ReportDoc>,
-    /// Machines found gone: refused, reset or answered by another.
+    /// Machines found to be gone: the connection was refused or reset, or another machine responded.
     pub lost: Vec<VmId>,
-    /// Machines the node no longer vouches for, which says nothing against them.
+    /// Machines the node no longer has evidence about; this does not mean that they are lost.
     pub dropped: Vec<VmId>,
-    /// Milliseconds since before the oldest report that stands was asked for.
+    /// Age of the oldest valid report in milliseconds, measured from before it was requested.
     pub age_ms: u32,
 }
 
@@ -109,7 +109,7 @@
     pub groups: Vec<GroupDoc>,
 }
 
-/// One group, as rows of the table and views carry it.
+/// One group, as stored in table rows and views.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct GroupDoc {
     /// Group.
@@ -120,9 +120,9 @@
     pub generation: Generation,
     /// Members by rank.
     pub members: Vec<MemberDoc>,
-    /// Stage of its life.
+    /// State of the group.
     pub state: GroupStateDoc,
-    /// Epoch of the controller that wrote it.
+    /// Epoch of the controller that last wrote it.
     pub epoch: Epoch,
 }
 
@@ -131,26 +131,26 @@
 pub struct MemberDoc {
     /// Machine.
     pub vm: VmId,
-    /// Life of the machine that was claimed.
+    /// Incarnation of the machine that was claimed.
     pub incarnation: Incarnation,
     /// Address as `ip:port`.
     pub address: String,
 }
 
-/// Stage of a group's life.
+/// State of a group.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GroupStateDoc {
-    /// Being loaded.
+    /// Members are loading weights.
     Forming,
-    /// Admitted.
+    /// Serving requests.
     Serving,
-    /// Being let go.
+    /// Being dissolved.
     Dissolving,
 }
 
 impl GroupStateDoc {
-    /// Returns the name shown to operators.
+    /// Returns the name displayed to operators.
     pub fn name(self) -> &'static str {
         match self {
             Self::Forming => "forming",
@@ -250,7 +250,7 @@
     }
 }
 
-/// Converts an age to whole milliseconds, rounded up so that evidence never looks fresher.
+/// Converts an age to milliseconds, rounded up so that evidence never looks fresher than it is.
 ///
 /// ```
 /// use briarswitch_wire::peer::age_ms;
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's services: transactional table, object store, list of machines, weight store.
+//! Protocol of the platform's services: transactional table, object store, VM list, weight store.
 
 use briarswitch_core::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -9,22 +9,22 @@
 pub struct RowDoc {
     /// Key of the row.
     pub key: String,
-    /// Rises with each write of the row.
+    /// Increases with each write of the row.
     pub version: RowVersion,
     /// Value of the row.
     pub value: Value,
 }
 
-/// A condition on a row's version; zero demands that the row is absent.
+/// A condition on a row's version; zero requires that the row does not exist.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CheckDoc {
     /// Key of the row.
     pub key: String,
-    /// Version it must have.
+    /// Required version.
     pub version: RowVersion,
 }
 
-/// A write of one row; no value deletes it.
+/// A write of one row; `None` as value deletes the row.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PutDoc {
     /// Key of the row.
@@ -33,7 +33,7 @@
     pub value: Option<Value>,
 }
 
-/// Several conditions and writes that take effect together or not at all.
+/// A transaction: conditions and writes that are applied atomically.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct TransactRequest {
     /// Conditions.
@@ -42,37 +42,37 @@
     pub puts: Vec<PutDoc>,
 }
 
-/// What became of a transaction.
+/// Result of a transaction.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TransactReply {
-    /// Every write took effect, at this version for each row put.
+    /// All writes were applied.
     Committed {
         /// Version of each written row, in the order of the request.
         versions: Vec<RowVersion>,
     },
-    /// A condition did not hold and nothing was written.
+    /// A condition failed and nothing was written.
     Conflict {
         /// Key of the first row that failed its condition.
         key: String,
     },
 }
 
-/// Which rows to read, all at one moment.
+/// Rows to read in one consistent read.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct ReadRequest {
-    /// Rows by key; absent ones are left out of the reply.
+    /// Keys of rows; rows that do not exist are omitted from the reply.
     #[serde(default)]
     pub keys: Vec<String>,
-    /// Rows whose key begins with one of these.
+    /// Key prefixes; all rows whose key starts with one of them.
     #[serde(default)]
     pub prefixes: Vec<String>,
 }
 
-/// Rows found.
+/// Result of a read.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct ReadReply {
-    /// Rows in order of key.
+    /// Rows sorted by key.
     pub rows: Vec<RowDoc>,
 }
 
@@ -81,19 +81,19 @@
 pub struct VmDoc {
     /// Name of the machine.
     pub id: VmId,
-    /// Zone that holds it.
+    /// Zone of the machine.
     pub zone: ZoneId,
-    /// Fabric domain that holds it.
+    /// Fabric domain of the machine.
     pub domain: DomainId,
-    /// Pool that it belongs to.
+    /// Pool of the machine.
     pub pool: PoolId,
     /// Address as `ip:port`.
     pub address: String,
     /// Changes whenever the machine is replaced.
     pub incarnation: Incarnation,
-    /// Accelerators it carries.
+    /// Number of accelerators.
     pub accelerators: u32,
-    /// Whether it is going away.
+    /// Whether the machine is about to be removed.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -101,7 +101,7 @@
 /// The platform's list of machines.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct VmListDoc {
-    /// Machines that the platform believes to be live or leaving.
+    /// Machines that are live or leaving according to the platform.
     pub vms: Vec<VmDoc>,
 }
 
@@ -144,11 +144,11 @@
 pub struct LeaseDoc {
     /// Node that holds the lease.
     pub holder: NodeId,
-    /// Life of that node.
+    /// Incarnation of that node.
     pub incarnation: Incarnation,
-    /// Counts the holders.
+    /// Increases with each change of holder.
     pub epoch: Epoch,
-    /// Write that put the row there.
+    /// Id of the write that created the row.
     pub write: WriteId,
 }
 
@@ -174,34 +174,34 @@
     }
 }
 
-/// The row that names the newest configuration version.
+/// The row with the latest configuration version.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct HeadDoc {
-    /// Newest version.
+    /// Latest version.
     pub version: ConfigVersion,
 }
 
 /// One row of the configuration's log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LogDoc {
-    /// Edit.
+    /// The edit.
     pub entry: crate::config::EntryDoc,
-    /// Write that put it there.
+    /// Id of the write that appended it.
     pub write: WriteId,
 }
 
-/// The row of one machine that belongs to a group.
+/// The row that assigns a machine to a group.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct VmClaimDoc {
-    /// Group it belongs to.
+    /// Group of the machine.
     pub group: GroupId,
     /// Generation in which it was claimed.
     pub generation: Generation,
-    /// Life of the machine that was claimed.
+    /// Incarnation of the machine that was claimed.
     pub incarnation: Incarnation,
 }
 
-/// The row that changes only with the holder of a zone's lease.
+/// The row that is written only when the holder of a zone's lease changes.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EpochDoc {
     /// Epoch.
@@ -210,32 +210,32 @@
     pub holder: NodeId,
 }
 
-/// The row of one caller's key.
+/// The row of one idempotency key.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct KeyClaimDoc {
-    /// Write that claimed it.
+    /// Id of the write that claimed the key.
     pub write: WriteId,
-    /// Node that claimed it.
+    /// Node that claimed the key.
     pub node: NodeId,
 }
 
-/// One batch of metered use.
+/// One batch of usage records.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct UsageBatchDoc {
-    /// Rows by organisation.
+    /// Usage by organisation.
     pub rows: Vec<crate::operator::UsageRow>,
 }
 
-/// Asks the weight store for leave to load weights.
+/// Requests permits to load weights from the weight store.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LoadPermitRequest {
-    /// Loads wanted.
+    /// Number of loads requested.
     pub loads: usize,
 }
 
-/// Loads that may be begun now.
+/// Number of loads that may start now.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LoadPermitReply {
-    /// Loads granted, at most as many as were asked for.
+    /// Number of loads granted, at most the number requested.
     pub granted: usize,
 }
