--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use briarswitch_http::{CallError, CallerClient, Codec};
+use briarswitch_http::{ApiClient, CallError, Codec};
 use http::Method;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -32,7 +32,7 @@
 /// Speaks with one node.
 pub struct NodeClient {
     node: String,
-    client: CallerClient,
+    client: ApiClient,
 }
 
 impl NodeClient {
@@ -40,7 +40,7 @@
     pub fn open(node: &str, token: Option<String>) -> Self {
         Self {
             node: node.to_owned(),
-            client: CallerClient::open(Codec::Json, token),
+            client: ApiClient::new(Codec::Json, token),
         }
     }
 
--- a/crates/fleet/src/caller_api.rs
+++ b/crates/fleet/src/caller_api.rs
@@ -227,7 +227,7 @@
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "the body is too large",
             )),
-            Ok(Err(BodyError::Broken)) => Err(LocalReply::rejected(
+            Ok(Err(BodyError::Incomplete)) => Err(LocalReply::rejected(
                 StatusCode::BAD_REQUEST,
                 "the body ended too early",
             )),
--- a/crates/fleet/src/dispatch.rs
+++ b/crates/fleet/src/dispatch.rs
@@ -6,8 +6,8 @@
 use briarswitch_core::id::*;
 use briarswitch_core::outcome::{FailurePoint, Outcome};
 use briarswitch_http::{
-    stream_body, whole_body, Response, SendFailure, TargetAddress, TargetBody, TargetClient,
-    TargetLimits, TargetReply,
+    full_body, stream_body, Response, SendError, TargetAddress, TargetBody, TargetClient,
+    TargetLimits, TargetResponse,
 };
 use briarswitch_kernel::{BootClock, Mailbox};
 use bytes::Bytes;
@@ -67,9 +67,9 @@
         peers: Mailbox<PeerMessage>,
         run_listeners: RunListeners,
     ) -> Arc<Self> {
-        let client = TargetClient::open(TargetLimits {
-            connect: CONNECT_TIMEOUT,
-            idle: MAX_IDLE_CONNECTIONS,
+        let client = TargetClient::new(TargetLimits {
+            connect_timeout: CONNECT_TIMEOUT,
+            max_idle: MAX_IDLE_CONNECTIONS,
         });
         Arc::new(Self {
             budgets: RetryBudgets::new(Arc::clone(&shared)),
@@ -210,7 +210,7 @@
         // A target may close an idle connection just as it is reused. It would then be unknown whether an at-most-once
         // request has run, so such requests use a new connection.
         let needs_new_connection = !job.rule.is_repeatable();
-        let client = self.client.keeping(self.idle_limit(job));
+        let client = self.client.with_max_idle(self.idle_limit(job));
         let sending = client.send(&address, request, needs_new_connection);
         let mut run = TargetRun::start(job.run_facts(&target, now), self.run_listeners.clone());
         match self
@@ -221,10 +221,10 @@
             Err(error) => {
                 target.gauge.record_outcome(true);
                 match error {
-                    HeadWaitError::Send(SendFailure::Broken) => {
+                    HeadWaitError::Send(SendError::Broken) => {
                         run.report_broken("broken_before_head");
                     }
-                    HeadWaitError::Send(SendFailure::Refused) => {
+                    HeadWaitError::Send(SendError::Refused) => {
                         // No process listens at the address. Until the directory removes the target, seconds later, it
                         // would appear to have the least load and be selected again and again.
                         run.end_unreported();
@@ -251,12 +251,12 @@
     /// Waits for the head of the response, and ends the wait early if the request is better sent to another target.
     async fn wait_head(
         &self,
-        sending: impl std::future::Future<Output = Result<TargetReply, SendFailure>>,
+        sending: impl std::future::Future<Output = Result<TargetResponse, SendError>>,
         job: &RequestJob,
         target: &RouteTarget,
         sent: Moment,
         may_reroute: bool,
-    ) -> Result<TargetReply, HeadWaitError> {
+    ) -> Result<TargetResponse, HeadWaitError> {
         tokio::pin!(sending);
         let reroute_delay = reroute_delay(job);
         loop {
@@ -297,10 +297,10 @@
         job: &RequestJob,
         target: Arc<RouteTarget>,
         slot: SlotGuard,
-        reply: TargetReply,
+        reply: TargetResponse,
         mut run: TargetRun,
     ) -> Result<ResponseStart, FailedAttempt> {
-        let TargetReply { head, body } = reply;
+        let TargetResponse { head, body } = reply;
         let info = self
             .shared
             .platform
@@ -350,7 +350,7 @@
         body: TargetBody,
     ) -> FailedAttempt {
         let remaining = job.deadline.saturating_sub(BootClock::now());
-        let reading = body.read_whole(MAX_RESPONSE_BYTES);
+        let reading = body.read_all(MAX_RESPONSE_BYTES);
         let bytes = tokio::time::timeout(remaining, reading).await;
         let point = FailurePoint::TargetError;
         match bytes {
@@ -377,7 +377,7 @@
             mut run,
         } = response;
         let remaining = job.deadline.saturating_sub(BootClock::now());
-        let read = tokio::time::timeout(remaining, body.read_whole(MAX_RESPONSE_BYTES)).await;
+        let read = tokio::time::timeout(remaining, body.read_all(MAX_RESPONSE_BYTES)).await;
         drop(slot);
         self.selector.serve_queue();
         match read {
@@ -465,7 +465,7 @@
             priority: job.priority.min(LOWEST_PRIORITY),
             last_event,
         };
-        let mut request = http::Request::new(whole_body(job.body.clone()));
+        let mut request = http::Request::new(full_body(job.body.clone()));
         *request.method_mut() = job.method.clone();
         *request.uri_mut() = job.path.parse::<Uri>().unwrap_or_default();
         *request.headers_mut() = self
--- a/crates/fleet/src/failure.rs
+++ b/crates/fleet/src/failure.rs
@@ -1,7 +1,7 @@
 //! Classification of failed attempts.
 
 use briarswitch_core::outcome::{FailurePoint, Outcome};
-use briarswitch_http::SendFailure;
+use briarswitch_http::SendError;
 use bytes::Bytes;
 use http::StatusCode;
 
@@ -66,7 +66,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum HeadWaitError {
     /// The request could not be sent, or the connection broke.
-    Send(SendFailure),
+    Send(SendError),
     /// The request's deadline passed.
     Deadline,
     /// The target is silent or slow, and the request is sent to another one.
@@ -76,8 +76,8 @@
 impl From<HeadWaitError> for FailedAttempt {
     fn from(end: HeadWaitError) -> Self {
         let sign = match end {
-            HeadWaitError::Send(SendFailure::Broken) => ConnectionFailure::Broken,
-            HeadWaitError::Send(SendFailure::Refused) => ConnectionFailure::Refused,
+            HeadWaitError::Send(SendError::Broken) => ConnectionFailure::Broken,
+            HeadWaitError::Send(SendError::Refused) => ConnectionFailure::Refused,
             _ => ConnectionFailure::None,
         };
         Self {
@@ -90,9 +90,9 @@
 impl From<HeadWaitError> for FailurePoint {
     fn from(end: HeadWaitError) -> Self {
         match end {
-            HeadWaitError::Send(SendFailure::Connect | SendFailure::Refused) => Self::Connect,
-            HeadWaitError::Send(SendFailure::ClosedBeforeSend) => Self::ClosedBeforeSend,
-            HeadWaitError::Send(SendFailure::Broken) | HeadWaitError::Rerouted => {
+            HeadWaitError::Send(SendError::Connect | SendError::Refused) => Self::Connect,
+            HeadWaitError::Send(SendError::ClosedBeforeSend) => Self::ClosedBeforeSend,
+            HeadWaitError::Send(SendError::Broken) | HeadWaitError::Rerouted => {
                 Self::BrokenBeforeHead
             }
             HeadWaitError::Deadline => Self::AnswerDeadline,
--- a/crates/fleet/src/feed.rs
+++ b/crates/fleet/src/feed.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use briarswitch_core::id::*;
-use briarswitch_http::{CallError, CallerClient, Codec};
+use briarswitch_http::{ApiClient, CallError, Codec};
 use briarswitch_kernel::BootClock;
 use briarswitch_membership::{LiveView, NodeEntry, ZonePart};
 use futures::future::{BoxFuture, FutureExt, Shared};
@@ -101,7 +101,7 @@
 /// Reads tables of the store, directly or through another node.
 pub struct FeedRelay {
     store: Arc<dyn FeedSource>,
-    client: CallerClient,
+    client: ApiClient,
     shared_requests: Mutex<IndexMap<FeedRequest, SharedRequest>>,
     /// Failed readers, with the time until which each is skipped.
     backed_off: Mutex<IndexMap<NodeId, Moment>>,
@@ -117,7 +117,7 @@
     pub fn new(store: Arc<dyn FeedSource>, costs: Arc<CostCounters>) -> Self {
         Self {
             store,
-            client: CallerClient::open(Codec::Packed, None),
+            client: ApiClient::new(Codec::MessagePack, None),
             shared_requests: Mutex::default(),
             backed_off: Mutex::default(),
             pacers: Mutex::default(),
--- a/crates/fleet/src/peer_api.rs
+++ b/crates/fleet/src/peer_api.rs
@@ -6,7 +6,9 @@
 
 use briarswitch_core::fingerprint::RequestFingerprint;
 use briarswitch_core::id::Moment;
-use briarswitch_http::{read_body, reply_packed, reply_text, unpack, Handler, Request, Response};
+use briarswitch_http::{
+    decode_msgpack, read_body, reply_msgpack, reply_text, Handler, Request, Response,
+};
 use briarswitch_kernel::{BootClock, Mailbox};
 use briarswitch_membership::{Gossip, GossipDoc, Standing};
 use futures::future::BoxFuture;
@@ -63,7 +65,7 @@
         };
         self.shared.costs.count(CostKind::ReaderAnswered);
         match self.shared.feed.respond(doc.into(), arrived).await {
-            Ok(response) => reply_packed(StatusCode::OK, &FeedResponseDoc::from(response)),
+            Ok(response) => reply_msgpack(StatusCode::OK, &FeedResponseDoc::from(response)),
             // The requesting node has to read the full table again. If this were reported as an
             // outage, it would repeat the same request forever.
             Err(SourceError::HistoryGone) => reply_text(StatusCode::GONE, "history gone"),
@@ -85,7 +87,7 @@
         }
         let response = self.shared.membership().answer(&gossip, &cached.1, now);
         drop(cached);
-        reply_packed(StatusCode::OK, &GossipDoc::from(&response))
+        reply_msgpack(StatusCode::OK, &GossipDoc::from(&response))
     }
 
     /// Records crashes that another node saw, and responds with all that is known of the requests
@@ -109,7 +111,7 @@
         let known = fingerprints
             .iter()
             .flat_map(|fingerprint| suspects.rows(fingerprint));
-        reply_packed(StatusCode::OK, &known.collect::<SuspectDoc>())
+        reply_msgpack(StatusCode::OK, &known.collect::<SuspectDoc>())
     }
 
     async fn suspicion(&self, request: Request) -> Response {
@@ -117,7 +119,7 @@
             return reply_text(StatusCode::BAD_REQUEST, "expected a target");
         };
         apply_suspicions(&self.shared, std::iter::once(&doc.target));
-        reply_packed(StatusCode::OK, &())
+        reply_msgpack(StatusCode::OK, &())
     }
 }
 
@@ -125,7 +127,7 @@
     let bytes = read_body(request.into_body(), MAX_MESSAGE_BYTES)
         .await
         .ok()?;
-    unpack::<T>(&bytes).ok()
+    decode_msgpack::<T>(&bytes).ok()
 }
 
 impl Handler for PeerApi {
--- a/crates/fleet/src/peers.rs
+++ b/crates/fleet/src/peers.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use briarswitch_core::id::*;
-use briarswitch_http::{pack, unpack, CallError, CallerClient, Codec};
+use briarswitch_http::{decode_msgpack, encode_msgpack, ApiClient, CallError, Codec};
 use briarswitch_kernel::{BootClock, Service, ServiceLink};
 use briarswitch_membership::{Gossip, GossipDoc, GossipTarget, LiveView, Standing, WorkSum};
 use http::Method;
@@ -76,18 +76,16 @@
 }
 
 /// Sends a gossip message; returns the response and the size of both in bytes.
-async fn exchange(
-    client: &CallerClient,
-    target: &GossipTarget,
-) -> Result<(Gossip, usize), CallError> {
+async fn exchange(client: &ApiClient, target: &GossipTarget) -> Result<(Gossip, usize), CallError> {
     let url = format!("http://{}{GOSSIP_PATH}", target.address);
-    let unreadable = |error: String| CallError::Unreadable(error);
-    let sent = pack(&GossipDoc::from(&target.gossip)).map_err(|e| unreadable(e.to_string()))?;
+    let unreadable = |error: String| CallError::InvalidBody(error);
+    let sent =
+        encode_msgpack(&GossipDoc::from(&target.gossip)).map_err(|e| unreadable(e.to_string()))?;
     let size = sent.len();
     let response = client
         .call_raw(Method::POST, &url, sent, RESPONSE_TIMEOUT)
         .await?;
-    let doc: GossipDoc = unpack(&response).map_err(|e| unreadable(e.to_string()))?;
+    let doc: GossipDoc = decode_msgpack(&response).map_err(|e| unreadable(e.to_string()))?;
     Ok((doc.into(), size + response.len()))
 }
 
@@ -132,7 +130,7 @@
 /// Exchanges gossip with the other nodes and keeps the list of nodes up to date.
 pub struct PeerExchange {
     shared: Arc<FleetShared>,
-    client: CallerClient,
+    client: ApiClient,
     mark: Option<FeedMark>,
     is_registered: bool,
     published_version: u64,
@@ -166,7 +164,7 @@
     pub fn new(shared: Arc<FleetShared>) -> Self {
         Self {
             shared,
-            client: CallerClient::open(Codec::Packed, None),
+            client: ApiClient::new(Codec::MessagePack, None),
             mark: None,
             is_registered: false,
             published_version: 0,
--- a/crates/fleet/src/suspect_sync.rs
+++ b/crates/fleet/src/suspect_sync.rs
@@ -15,7 +15,7 @@
 };
 use briarswitch_core::fingerprint::RequestFingerprint;
 use briarswitch_core::id::*;
-use briarswitch_http::{CallError, CallerClient, Codec};
+use briarswitch_http::{ApiClient, CallError, Codec};
 use briarswitch_kernel::{Service, ServiceLink};
 use briarswitch_membership::NodeEntry;
 use http::Method;
@@ -99,7 +99,7 @@
 /// Keeps the ledger that traffic reads in sync with other nodes and the store's table.
 pub struct SuspectSync {
     host: Arc<dyn SuspectHost>,
-    client: CallerClient,
+    client: ApiClient,
     mark: Option<FeedMark>,
     source_health: SourceHealth,
     table: SuspectTable,
@@ -116,7 +116,7 @@
     pub fn new(host: Arc<dyn SuspectHost>) -> Self {
         Self {
             host,
-            client: CallerClient::open(Codec::Packed, None),
+            client: ApiClient::new(Codec::MessagePack, None),
             mark: None,
             source_health: SourceHealth::default(),
             table: SuspectTable::default(),
--- a/crates/fleet/tests/feed.rs
+++ b/crates/fleet/tests/feed.rs
@@ -10,7 +10,7 @@
 use briarswitch_fleet::ports::{
     FeedMark, FeedRequest, FeedResponse, FeedRow, FeedSource, SourceError, SourceFuture,
 };
-use briarswitch_http::{reply_packed, reply_text, Handler, HttpServer, Request, Response};
+use briarswitch_http::{reply_msgpack, reply_text, Handler, HttpServer, Request, Response};
 use briarswitch_kernel::BootClock;
 use briarswitch_membership::{LiveView, Membership, NodeEntry};
 use futures::future::{join_all, BoxFuture};
@@ -273,7 +273,7 @@
                     return reply_text(StatusCode::SERVICE_UNAVAILABLE, "no answer yet");
                 }
                 ReaderBehavior::Responds => {
-                    return reply_packed(StatusCode::OK, &FeedResponseDoc::from(changed()));
+                    return reply_msgpack(StatusCode::OK, &FeedResponseDoc::from(changed()));
                 }
                 ReaderBehavior::Silent => {}
             }
--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -14,7 +14,7 @@
     TrafficRule,
 };
 use briarswitch_fleet::{FleetNode, FleetSettings};
-use briarswitch_http::{whole_body, TargetAddress, TargetClient, TargetLimits};
+use briarswitch_http::{full_body, TargetAddress, TargetClient, TargetLimits};
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue, Method};
 
@@ -221,9 +221,9 @@
         let mut fleet = Self {
             targets: Vec::new(),
             nodes: Vec::new(),
-            client: TargetClient::open(TargetLimits {
-                connect: Duration::from_secs(2),
-                idle: 0,
+            client: TargetClient::new(TargetLimits {
+                connect_timeout: Duration::from_secs(2),
+                max_idle: 0,
             }),
             next_attempt: Default::default(),
             service,
@@ -359,7 +359,7 @@
 }
 
 fn request(method: Method, path: &str, body: &str) -> http::Request<http_body_util::Full<Bytes>> {
-    let mut request = http::Request::new(whole_body(Bytes::from(body.to_owned())));
+    let mut request = http::Request::new(full_body(Bytes::from(body.to_owned())));
     *request.method_mut() = method;
     *request.uri_mut() = path.parse().expect("valid path");
     let host = HeaderValue::from_static(HOST);
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -21,7 +21,7 @@
     /// JSON, for everything outside the system.
     Json,
     /// MessagePack with field names, between nodes.
-    Packed,
+    MessagePack,
 }
 
 /// Why a call gave no usable reply.
@@ -37,27 +37,27 @@
     },
     /// No reply came; the call may or may not have taken effect.
     #[error("no answer: {0}")]
-    Lost(String),
+    NoResponse(String),
     /// The reply could not be understood.
     #[error("unreadable answer: {0}")]
-    Unreadable(String),
+    InvalidBody(String),
 }
 
 /// Calls one kind of server with typed bodies.
 #[derive(Clone)]
-pub struct CallerClient {
+pub struct ApiClient {
     client: Client,
     codec: Codec,
     token: Option<String>,
 }
 
-impl CallerClient {
+impl ApiClient {
     /// Opens a client that writes bodies with `codec` and sends `token` as its credential.
     ///
     /// # Panics
     ///
     /// Panics when the library refuses its own default settings.
-    pub fn open(codec: Codec, token: Option<String>) -> Self {
+    pub fn new(codec: Codec, token: Option<String>) -> Self {
         let client = Client::builder()
             .build()
             .expect("default client settings are valid");
@@ -72,7 +72,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`CallError`]; only [`CallError::Lost`] leaves open whether the call took effect.
+    /// Returns [`CallError`]; only [`CallError::NoResponse`] leaves open whether the call took effect.
     pub async fn call<Q: Serialize, R: DeserializeOwned>(
         &self,
         method: Method,
@@ -80,7 +80,7 @@
         body: Option<&Q>,
         limit: Duration,
     ) -> Result<R, CallError> {
-        let (_, reply) = self.call_headed(method, url, body, limit).await?;
+        let (_, reply) = self.call_with_headers(method, url, body, limit).await?;
         Ok(reply)
     }
 
@@ -88,8 +88,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`CallError`] as [`CallerClient::call`] does.
-    pub async fn call_headed<Q: Serialize, R: DeserializeOwned>(
+    /// Returns [`CallError`] as [`ApiClient::call`] does.
+    pub async fn call_with_headers<Q: Serialize, R: DeserializeOwned>(
         &self,
         method: Method,
         url: &str,
@@ -108,7 +108,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`CallError`] as [`CallerClient::call`] does.
+    /// Returns [`CallError`] as [`ApiClient::call`] does.
     pub async fn call_raw(
         &self,
         method: Method,
@@ -130,7 +130,7 @@
         let exchange = self.exchange(method, url, body);
         match tokio::time::timeout(limit, exchange).await {
             Ok(result) => result,
-            Err(_) => Err(CallError::Lost(format!("no reply within {limit:?}"))),
+            Err(_) => Err(CallError::NoResponse(format!("no reply within {limit:?}"))),
         }
     }
 
@@ -151,12 +151,12 @@
             .body(Body::from(body))
             .send()
             .await
-            .map_err(|error| CallError::Lost(error.to_string()))?;
+            .map_err(|error| CallError::NoResponse(error.to_string()))?;
         let (head, body) = response.into_parts();
         let status = head.status;
         let bytes = read_body(body, REPLY_LIMIT)
             .await
-            .map_err(|error| CallError::Lost(error.to_string()))?;
+            .map_err(|error| CallError::NoResponse(error.to_string()))?;
         if status == StatusCode::OK {
             return Ok((head.headers, bytes));
         }
@@ -169,14 +169,14 @@
     fn content_type(&self) -> &'static str {
         match self.codec {
             Codec::Json => "application/json",
-            Codec::Packed => "application/msgpack",
+            Codec::MessagePack => "application/msgpack",
         }
     }
 
     fn encode<Q: Serialize>(&self, body: &Q) -> Result<Bytes, CallError> {
         let bytes = match self.codec {
             Codec::Json => serde_json::to_vec(body).map_err(unreadable)?,
-            Codec::Packed => rmp_serde::to_vec_named(body).map_err(unreadable)?,
+            Codec::MessagePack => rmp_serde::to_vec_named(body).map_err(unreadable)?,
         };
         Ok(Bytes::from(bytes))
     }
@@ -184,11 +184,11 @@
     fn decode<R: DeserializeOwned>(&self, bytes: &[u8]) -> Result<R, CallError> {
         match self.codec {
             Codec::Json => serde_json::from_slice(bytes).map_err(unreadable),
-            Codec::Packed => rmp_serde::from_slice(bytes).map_err(unreadable),
+            Codec::MessagePack => rmp_serde::from_slice(bytes).map_err(unreadable),
         }
     }
 }
 
 fn unreadable(error: impl std::fmt::Display) -> CallError {
-    CallError::Unreadable(error.to_string())
+    CallError::InvalidBody(error.to_string())
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -15,14 +15,14 @@
 mod server;
 mod target;
 
-pub use client::{CallError, CallerClient, Codec};
+pub use client::{ApiClient, CallError, Codec};
 pub use reply::{
-    pack, read_body, reply_bytes, reply_json, reply_packed, reply_text, stream_body, unpack,
-    BodyError,
+    decode_msgpack, encode_msgpack, read_body, reply_bytes, reply_json, reply_msgpack, reply_text,
+    stream_body, BodyError,
 };
 pub use volo_http::body::Body;
 
 pub use server::{Handler, HttpServer, Request, Response, ServerGuard};
 pub use target::{
-    whole_body, SendFailure, TargetAddress, TargetBody, TargetClient, TargetLimits, TargetReply,
+    full_body, SendError, TargetAddress, TargetBody, TargetClient, TargetLimits, TargetResponse,
 };
--- a/crates/http/src/reply.rs
+++ b/crates/http/src/reply.rs
@@ -28,7 +28,7 @@
     },
     /// The sender broke off.
     #[error("the body ended before its announced length")]
-    Broken,
+    Incomplete,
 }
 
 /// Reads a whole body of at most `limit` bytes.
@@ -47,7 +47,7 @@
     let mut first: Option<Bytes> = None;
     let mut rest = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_| BodyError::Broken)?;
+        let frame = frame.map_err(|_| BodyError::Incomplete)?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
@@ -100,7 +100,7 @@
 }
 
 /// Builds a MessagePack reply, as nodes exchange them.
-pub fn reply_packed<T: Serialize>(status: StatusCode, value: &T) -> Response {
+pub fn reply_msgpack<T: Serialize>(status: StatusCode, value: &T) -> Response {
     match rmp_serde::to_vec_named(value) {
         Ok(bytes) => reply_bytes(status, "application/msgpack", Bytes::from(bytes)),
         Err(error) => reply_text(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
@@ -114,10 +114,10 @@
 /// Returns an error when the value can not be written.
 ///
 /// ```
-/// let bytes = briarswitch_http::pack(&7).unwrap();
-/// assert_eq!(briarswitch_http::unpack::<u32>(&bytes).unwrap(), 7);
+/// let bytes = briarswitch_http::encode_msgpack(&7).unwrap();
+/// assert_eq!(briarswitch_http::decode_msgpack::<u32>(&bytes).unwrap(), 7);
 /// ```
-pub fn pack<T: Serialize>(value: &T) -> Result<Bytes, rmp_serde::encode::Error> {
+pub fn encode_msgpack<T: Serialize>(value: &T) -> Result<Bytes, rmp_serde::encode::Error> {
     rmp_serde::to_vec_named(value).map(Bytes::from)
 }
 
@@ -126,7 +126,7 @@
 /// # Errors
 ///
 /// Returns the library's error when the bytes do not hold the type.
-pub fn unpack<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, rmp_serde::decode::Error> {
+pub fn decode_msgpack<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, rmp_serde::decode::Error> {
     rmp_serde::from_slice(bytes)
 }
 
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -62,7 +62,7 @@
     /// # Errors
     ///
     /// Returns the operating system's error when the listener can not be used.
-    pub fn adopt(listener: std::net::TcpListener) -> io::Result<Self> {
+    pub fn from_std(listener: std::net::TcpListener) -> io::Result<Self> {
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
         let listener = TcpListener::from_std(listener)?;
--- a/crates/http/src/target.rs
+++ b/crates/http/src/target.rs
@@ -30,14 +30,14 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TargetLimits {
     /// Time to open a connection.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Idle connections kept for one target.
-    pub idle: usize,
+    pub max_idle: usize,
 }
 
 /// Why no head of an answer came.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
-pub enum SendFailure {
+pub enum SendError {
     /// The connection could not be opened.
     #[error("the connection could not be opened")]
     Connect,
@@ -63,7 +63,7 @@
 }
 
 /// The head of an answer and the body that follows.
-pub struct TargetReply {
+pub struct TargetResponse {
     /// Status and headers.
     pub head: http::response::Parts,
     /// Body.
@@ -83,7 +83,7 @@
 
 impl TargetClient {
     /// Opens a client without connections.
-    pub fn open(limits: TargetLimits) -> Self {
+    pub fn new(limits: TargetLimits) -> Self {
         Self {
             limits,
             idle: IdlePool::default(),
@@ -91,17 +91,17 @@
     }
 
     /// Returns how many idle connections to a target are kept.
-    pub fn idle(&self, target: &TargetAddress) -> usize {
+    pub fn idle_connections(&self, target: &TargetAddress) -> usize {
         let idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.get(target).map_or(0, Vec::len)
     }
 
     /// Returns a client of the same connections that keeps at most `idle` of one target.
     #[must_use]
-    pub fn keeping(&self, idle: usize) -> Self {
+    pub fn with_max_idle(&self, idle: usize) -> Self {
         Self {
             limits: TargetLimits {
-                idle,
+                max_idle: idle,
                 ..self.limits
             },
             idle: Arc::clone(&self.idle),
@@ -116,19 +116,19 @@
     ///
     /// # Errors
     ///
-    /// Returns the point of failure; only [`SendFailure::Broken`] leaves open whether the target
+    /// Returns the point of failure; only [`SendError::Broken`] leaves open whether the target
     /// received the request.
     pub async fn send(
         &self,
         target: &TargetAddress,
         request: http::Request<Full<Bytes>>,
         fresh: bool,
-    ) -> Result<TargetReply, SendFailure> {
+    ) -> Result<TargetResponse, SendError> {
         let mut request = request;
         if !fresh {
             while let Some(sender) = self.take_idle(target) {
                 match self.send_on(target, sender, request).await {
-                    Err((SendFailure::ClosedBeforeSend, Some(unsent))) => request = *unsent,
+                    Err((SendError::ClosedBeforeSend, Some(unsent))) => request = *unsent,
                     Err((failure, _)) => return Err(failure),
                     Ok(reply) => return Ok(reply),
                 }
@@ -152,25 +152,25 @@
         target: &TargetAddress,
         mut sender: Sender,
         request: http::Request<Full<Bytes>>,
-    ) -> Result<TargetReply, (SendFailure, Option<Box<http::Request<Full<Bytes>>>>)> {
+    ) -> Result<TargetResponse, (SendError, Option<Box<http::Request<Full<Bytes>>>>)> {
         match sender.try_send_request(request).await {
             Ok(response) => {
                 let (head, incoming) = response.into_parts();
-                Ok(TargetReply {
+                Ok(TargetResponse {
                     head,
                     body: TargetBody {
                         incoming,
                         sender: Some(sender),
                         key: target.clone(),
                         idle: Arc::clone(&self.idle),
-                        keep: self.limits.idle,
+                        keep: self.limits.max_idle,
                     },
                 })
             }
             Err(mut error) => match error.take_message() {
                 // The library hands the request back only if it never began to write it.
-                Some(unsent) => Err((SendFailure::ClosedBeforeSend, Some(Box::new(unsent)))),
-                None => Err((SendFailure::Broken, None)),
+                Some(unsent) => Err((SendError::ClosedBeforeSend, Some(Box::new(unsent)))),
+                None => Err((SendError::Broken, None)),
             },
         }
     }
@@ -179,28 +179,28 @@
     ///
     /// # Errors
     ///
-    /// Returns [`SendFailure::Refused`] when nobody listens, [`SendFailure::Connect`] when nothing is known.
-    pub async fn reach(&self, address: &str) -> Result<(), SendFailure> {
+    /// Returns [`SendError::Refused`] when nobody listens, [`SendError::Connect`] when nothing is known.
+    pub async fn probe(&self, address: &str) -> Result<(), SendError> {
         self.open_stream(address).await.map(|_| ())
     }
 
-    async fn open_stream(&self, address: &str) -> Result<TcpStream, SendFailure> {
+    async fn open_stream(&self, address: &str) -> Result<TcpStream, SendError> {
         let opening = TcpStream::connect(address);
-        match tokio::time::timeout(self.limits.connect, opening).await {
+        match tokio::time::timeout(self.limits.connect_timeout, opening).await {
             Ok(Ok(stream)) => Ok(stream),
             Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
-                Err(SendFailure::Refused)
+                Err(SendError::Refused)
             }
-            _ => Err(SendFailure::Connect),
+            _ => Err(SendError::Connect),
         }
     }
 
-    async fn connect(&self, target: &TargetAddress) -> Result<Sender, SendFailure> {
+    async fn connect(&self, target: &TargetAddress) -> Result<Sender, SendError> {
         let stream = self.open_stream(&target.address).await?;
         let _ = stream.set_nodelay(true);
         let (sender, connection) = handshake(TokioIo::new(stream))
             .await
-            .map_err(|_| SendFailure::Connect)?;
+            .map_err(|_| SendError::Connect)?;
         tokio::spawn(async move {
             let _ = connection.await;
         });
@@ -236,7 +236,7 @@
                 }
                 Some(Err(error)) => return Err(error),
                 None => {
-                    self.give_back();
+                    self.release_connection();
                     return Ok(None);
                 }
             }
@@ -248,13 +248,13 @@
     /// # Errors
     ///
     /// Returns [`BodyError`] when the body is larger than `limit` or ends too early.
-    pub async fn read_whole(mut self, limit: usize) -> Result<Bytes, BodyError> {
+    pub async fn read_all(mut self, limit: usize) -> Result<Bytes, BodyError> {
         let bytes = read_body(&mut self.incoming, limit).await?;
-        self.give_back();
+        self.release_connection();
         Ok(bytes)
     }
 
-    fn give_back(&mut self) {
+    fn release_connection(&mut self) {
         let Some(mut sender) = self.sender.take() else {
             return;
         };
@@ -277,9 +277,9 @@
 /// Wraps whole bytes as a request body.
 ///
 /// ```
-/// let body = briarswitch_http::whole_body("text".into());
+/// let body = briarswitch_http::full_body("text".into());
 /// assert_eq!(http_body::Body::size_hint(&body).exact(), Some(4));
 /// ```
-pub fn whole_body(bytes: Bytes) -> Full<Bytes> {
+pub fn full_body(bytes: Bytes) -> Full<Bytes> {
     Full::new(bytes)
 }
--- a/crates/http/tests/target.rs
+++ b/crates/http/tests/target.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use briarswitch_http::{
-    reply_text, whole_body, Handler, HttpServer, Request, Response, TargetAddress, TargetClient,
+    full_body, reply_text, Handler, HttpServer, Request, Response, TargetAddress, TargetClient,
     TargetLimits,
 };
 use bytes::Bytes;
@@ -32,12 +32,12 @@
 }
 
 async fn call(client: &TargetClient, target: &TargetAddress) {
-    let mut request = http::Request::new(whole_body(Bytes::new()));
+    let mut request = http::Request::new(full_body(Bytes::new()));
     let host = target.address.parse().expect("a header's value");
     request.headers_mut().insert("host", host);
     let reply = client.send(target, request, false).await;
     let body = reply.expect("an answer").body;
-    body.read_whole(1 << 10).await.expect("a whole body");
+    body.read_all(1 << 10).await.expect("a whole body");
 }
 
 /// Symptom: calls are lost on a connection that the target resets at once.
@@ -54,19 +54,19 @@
     };
     let (_stop, stopped) = watch::channel(false);
     let _guard = server.spawn(Arc::new(SlowAnswer), stopped);
-    let client = TargetClient::open(TargetLimits {
-        connect: Duration::from_secs(2),
-        idle: CALLS,
+    let client = TargetClient::new(TargetLimits {
+        connect_timeout: Duration::from_secs(2),
+        max_idle: CALLS,
     });
-    let few = client.keeping(FEW);
+    let few = client.with_max_idle(FEW);
     join_all((0..CALLS).map(|_| call(&few, &target))).await;
     for _ in 0..LOOKS {
-        if few.idle(&target) == FEW {
+        if few.idle_connections(&target) == FEW {
             break;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    expect_that!(few.idle(&target), eq(FEW));
+    expect_that!(few.idle_connections(&target), eq(FEW));
     // The connections are shared: a client that may keep more finds them too.
-    expect_that!(client.idle(&target), eq(FEW));
+    expect_that!(client.idle_connections(&target), eq(FEW));
 }
--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use briarswitch_http::{read_body, reply_packed, reply_text, Handler, Request, Response};
+use briarswitch_http::{read_body, reply_msgpack, reply_text, Handler, Request, Response};
 use briarswitch_kernel::BootClock;
 use briarswitch_wire::config::{EntryDoc, SnapshotDoc};
 use briarswitch_wire::peer::{
@@ -116,7 +116,7 @@
             };
             self.shared.metrics.add_peer_bytes(bytes.len());
             match rmp_from(&bytes) {
-                Some(request) => reply_packed(StatusCode::OK, &self.answer(request)),
+                Some(request) => reply_msgpack(StatusCode::OK, &self.answer(request)),
                 None => reply_text(StatusCode::BAD_REQUEST, "unreadable request"),
             }
         })
@@ -124,5 +124,5 @@
 }
 
 fn rmp_from(bytes: &[u8]) -> Option<ExchangeRequest> {
-    briarswitch_http::unpack(bytes).ok()
+    briarswitch_http::decode_msgpack(bytes).ok()
 }
--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use briarswitch_core::prelude::*;
-use briarswitch_http::{whole_body, SendFailure, TargetBody, TargetClient, TargetReply};
+use briarswitch_http::{full_body, SendError, TargetBody, TargetClient, TargetResponse};
 use briarswitch_kernel::{BootClock, Mailbox};
 use briarswitch_wire::engine::{
     ATTEMPT_HEADER, GROUP_HEADER, LEAVING_HEADER, NOT_RUN_HEADER, PRIORITY_HEADER, RESUME_HEADER,
@@ -86,26 +86,26 @@
         self.check(reply, ask, target, attempt)
     }
 
-    fn note_failure(&self, failure: SendFailure, target: &Target, sent: Moment) -> FailurePoint {
+    fn note_failure(&self, failure: SendError, target: &Target, sent: Moment) -> FailurePoint {
         let _ = self.watch.post(WatchMessage::Failed {
             vm: target.vm.clone(),
             at: sent,
         });
         match failure {
-            SendFailure::Connect | SendFailure::Refused => FailurePoint::Connect,
-            SendFailure::ClosedBeforeSend => FailurePoint::ClosedBeforeSend,
-            SendFailure::Broken => FailurePoint::BrokenBeforeHead,
+            SendError::Connect | SendError::Refused => FailurePoint::Connect,
+            SendError::ClosedBeforeSend => FailurePoint::ClosedBeforeSend,
+            SendError::Broken => FailurePoint::BrokenBeforeHead,
         }
     }
 
     fn check(
         &self,
-        reply: TargetReply,
+        reply: TargetResponse,
         ask: &TargetAsk,
         target: &Target,
         attempt: &str,
     ) -> Result<AttemptReply, FailurePoint> {
-        let TargetReply { head, body } = reply;
+        let TargetResponse { head, body } = reply;
         if head.headers.contains_key(LEAVING_HEADER) {
             let _ = self.watch.post(WatchMessage::Leaving {
                 vm: target.vm.clone(),
@@ -138,7 +138,7 @@
 /// [`FailurePoint::AnswerDeadline`] when it is not whole in time.
 pub async fn read_whole(body: TargetBody, deadline: Moment) -> Result<Bytes, FailurePoint> {
     let left = deadline.saturating_sub(BootClock::now());
-    match tokio::time::timeout(left, body.read_whole(ANSWER_LIMIT)).await {
+    match tokio::time::timeout(left, body.read_all(ANSWER_LIMIT)).await {
         Ok(result) => result.map_err(|_| FailurePoint::Truncated),
         Err(_) => Err(FailurePoint::AnswerDeadline),
     }
@@ -151,7 +151,7 @@
     resume: Option<usize>,
     left: Duration,
 ) -> http::Request<http_body_util::Full<Bytes>> {
-    let mut request = http::Request::new(whole_body(ask.body.clone()));
+    let mut request = http::Request::new(full_body(ask.body.clone()));
     *request.method_mut() = ask.method.clone();
     *request.uri_mut() = ask.path.parse::<Uri>().unwrap_or_default();
     let headers = request.headers_mut();
--- a/crates/node/src/caller.rs
+++ b/crates/node/src/caller.rs
@@ -179,7 +179,7 @@
                 "body_too_large",
                 format!("the body is larger than {limit} bytes"),
             )),
-            Ok(Err(BodyError::Broken)) => {
+            Ok(Err(BodyError::Incomplete)) => {
                 Err(bad_request("body_broken", "the body ended too early"))
             }
             Err(_) => Err(CallerFailure::refused(
--- a/crates/node/src/controller.rs
+++ b/crates/node/src/controller.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use briarswitch_core::prelude::*;
-use briarswitch_http::{CallError, CallerClient, Codec};
+use briarswitch_http::{ApiClient, CallError, Codec};
 use briarswitch_kernel::{BootClock, Service, ServiceLink};
 use briarswitch_platform::StoreError;
 use briarswitch_wire::engine::{OrderAction, OrderDoc, ReportDoc, StateDoc};
@@ -76,7 +76,7 @@
 /// Controls one zone while it holds the lease.
 pub struct ZoneController {
     shared: Arc<NodeShared>,
-    client: CallerClient,
+    client: ApiClient,
     lease: LeaseTender,
     planner: GroupPlanner,
     reign: Option<ControllerReign>,
@@ -97,7 +97,7 @@
         Self {
             lease: LeaseTender::open(settings, shared.incarnation),
             planner: GroupPlanner::new(control.load_time, control.member_grace),
-            client: CallerClient::open(Codec::Json, None),
+            client: ApiClient::new(Codec::Json, None),
             reign: None,
             counts: ReignCounts::default(),
             is_table_busy: false,
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -6,8 +6,8 @@
 use briarswitch_core::minted_key::MintedKey;
 use briarswitch_core::prelude::*;
 use briarswitch_http::{
-    read_body, stream_body, whole_body, Body, Response, SendFailure, TargetAddress, TargetBody,
-    TargetClient, TargetLimits, TargetReply,
+    full_body, read_body, stream_body, Body, Response, SendError, TargetAddress, TargetBody,
+    TargetClient, TargetLimits, TargetResponse,
 };
 use briarswitch_wire::peer::{FORWARD_PREFIX, FORWARD_TOKEN_HEADER};
 use bytes::Bytes;
@@ -34,9 +34,9 @@
         let connect = shared.settings.requests.connect_timeout;
         Self {
             shared,
-            client: TargetClient::open(TargetLimits {
-                connect,
-                idle: IDLE,
+            client: TargetClient::new(TargetLimits {
+                connect_timeout: connect,
+                max_idle: IDLE,
             }),
         }
     }
@@ -61,7 +61,7 @@
         key: &MintedKey,
         head: Parts,
         body: Body,
-    ) -> Result<TargetReply, FailurePoint> {
+    ) -> Result<TargetResponse, FailurePoint> {
         let settings = &self.shared.settings;
         let peers = &settings.peers;
         let peer = peers.iter().find(|peer| peer.node == key.node);
@@ -81,10 +81,10 @@
         let sending = self.client.send(&target, request, true);
         match tokio::time::timeout(limit, sending).await {
             Ok(Ok(reply)) => Ok(reply),
-            Ok(Err(
-                SendFailure::Connect | SendFailure::ClosedBeforeSend | SendFailure::Refused,
-            )) => Err(FailurePoint::KeyClaimed),
-            Ok(Err(SendFailure::Broken)) => Err(FailurePoint::BrokenBeforeHead),
+            Ok(Err(SendError::Connect | SendError::ClosedBeforeSend | SendError::Refused)) => {
+                Err(FailurePoint::KeyClaimed)
+            }
+            Ok(Err(SendError::Broken)) => Err(FailurePoint::BrokenBeforeHead),
             Err(_) => Err(FailurePoint::AnswerDeadline),
         }
     }
@@ -97,7 +97,7 @@
     token: &str,
 ) -> http::Request<http_body_util::Full<Bytes>> {
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
-    let mut request = http::Request::new(whole_body(bytes));
+    let mut request = http::Request::new(full_body(bytes));
     *request.method_mut() = head.method.clone();
     *request.uri_mut() = format!("{FORWARD_PREFIX}{path}")
         .parse()
@@ -113,8 +113,8 @@
     request
 }
 
-fn pass_back(reply: TargetReply) -> Response {
-    let TargetReply { head, body } = reply;
+fn pass_back(reply: TargetResponse) -> Response {
+    let TargetResponse { head, body } = reply;
     let mut response = Response::new(stream_body(pieces(body)));
     *response.status_mut() = head.status;
     *response.headers_mut() = head.headers;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -108,9 +108,9 @@
         let usage = kernel.mount(UsageWriter::open(Arc::clone(&shared)))?;
         kernel.mount(PeerExchange::open(Arc::clone(&shared)))?;
 
-        let client = TargetClient::open(TargetLimits {
-            connect: shared.settings.requests.connect_timeout,
-            idle: IDLE_CONNECTIONS,
+        let client = TargetClient::new(TargetLimits {
+            connect_timeout: shared.settings.requests.connect_timeout,
+            max_idle: IDLE_CONNECTIONS,
         });
         let suspects = NodeSuspects::open(Arc::clone(&shared), watcher.clone());
         let host: Arc<dyn SuspectHost> = Arc::clone(&suspects) as Arc<dyn SuspectHost>;
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -5,7 +5,7 @@
 
 use briarswitch_core::prelude::*;
 use briarswitch_core::watch::watchers;
-use briarswitch_http::{CallError, CallerClient, Codec};
+use briarswitch_http::{ApiClient, CallError, Codec};
 use briarswitch_kernel::{BootClock, Service, ServiceLink};
 use briarswitch_wire::peer::{EvidenceMark, ExchangeReply, ExchangeRequest, ViewMark};
 use http::Method;
@@ -41,7 +41,7 @@
 /// Exchanges state with the other nodes.
 pub struct PeerExchange {
     shared: Arc<NodeShared>,
-    client: CallerClient,
+    client: ApiClient,
     roster: PeerRoster,
     marks: IndexMap<NodeId, EvidenceMark>,
     /// Peers of the zone that were asked at least once.
@@ -55,7 +55,7 @@
         let token = shared.settings.peer_token.clone();
         Self {
             shared,
-            client: CallerClient::open(Codec::Packed, Some(token)),
+            client: ApiClient::new(Codec::MessagePack, Some(token)),
             roster: PeerRoster::new(),
             marks: IndexMap::new(),
             asked: IndexSet::new(),
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -5,7 +5,7 @@
 
 use briarswitch_core::prelude::*;
 use briarswitch_core::watch::watchers;
-use briarswitch_http::{CallError, CallerClient, Codec};
+use briarswitch_http::{ApiClient, CallError, Codec};
 use briarswitch_kernel::{BootClock, Service, ServiceLink};
 use briarswitch_platform::StoreError;
 use briarswitch_wire::engine::ReportDoc;
@@ -83,7 +83,7 @@
 /// Watches machines and publishes where requests may go.
 pub struct FleetWatcher {
     shared: Arc<NodeShared>,
-    client: CallerClient,
+    client: ApiClient,
     ledger: EvidenceCache,
     fleet: FleetView,
     /// Machines of other zones that peers vouch for are routed to through the views alone.
@@ -113,7 +113,7 @@
         let incarnation = shared.incarnation;
         Self {
             ledger: EvidenceCache::new(shared.settings.gate.evidence_ttl),
-            client: CallerClient::open(Codec::Json, None),
+            client: ApiClient::new(Codec::Json, None),
             fleet: FleetView::default(),
             views: ViewBook::default(),
             own: EvidenceBoard::open(incarnation),
@@ -228,7 +228,7 @@
             }
             // Another machine answers at the address: the one asked for is not there any more.
             Ok(_) => self.lose(&result.vm, result.asked),
-            Err(CallError::Lost(text)) if is_refusal(&text) => {
+            Err(CallError::NoResponse(text)) if is_refusal(&text) => {
                 self.lose(&result.vm, result.asked);
             }
             Err(_) => {}
@@ -414,7 +414,7 @@
     })
 }
 
-async fn probe(client: CallerClient, vm: VmId, address: String, timeout: Duration) -> WatchMessage {
+async fn probe(client: ApiClient, vm: VmId, address: String, timeout: Duration) -> WatchMessage {
     let asked = BootClock::now();
     let url = format!("http://{address}/report");
     let report = client.call(Method::GET, &url, None::<&()>, timeout).await;
--- a/crates/node/tests/groups.rs
+++ b/crates/node/tests/groups.rs
@@ -304,11 +304,11 @@
 }
 
 async fn send_chat(address: String) -> String {
-    let client = briarswitch_http::TargetClient::open(briarswitch_http::TargetLimits {
-        connect: support::LIMIT,
-        idle: 0,
+    let client = briarswitch_http::TargetClient::new(briarswitch_http::TargetLimits {
+        connect_timeout: support::LIMIT,
+        max_idle: 0,
     });
-    let body = briarswitch_http::whole_body(support::chat_body(2, false).into());
+    let body = briarswitch_http::full_body(support::chat_body(2, false).into());
     let request = http::Request::post("/v1/chat/completions")
         .header("host", &address)
         .header("authorization", "Bearer kayal-key")
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -8,7 +8,7 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-use briarswitch_http::{whole_body, TargetAddress, TargetBody, TargetClient, TargetLimits};
+use briarswitch_http::{full_body, TargetAddress, TargetBody, TargetClient, TargetLimits};
 use briarswitch_node::auth::key_hash;
 use briarswitch_standins::{
     EngineSettings, EngineStandin, LinkRelay, PlainStandin, PlatformStandin,
@@ -260,9 +260,9 @@
             engines: BTreeMap::new(),
             services: BTreeMap::new(),
             nodes: Vec::new(),
-            client: TargetClient::open(TargetLimits {
-                connect: Duration::from_secs(5),
-                idle: 0,
+            client: TargetClient::new(TargetLimits {
+                connect_timeout: Duration::from_secs(5),
+                max_idle: 0,
             }),
         };
         for zone in &ZONES[..plan.zones] {
@@ -648,7 +648,7 @@
         for (name, value) in headers {
             request = request.header(*name, *value);
         }
-        let body = whole_body(Bytes::copy_from_slice(body.as_bytes()));
+        let body = full_body(Bytes::copy_from_slice(body.as_bytes()));
         let request = request.body(body).expect("a request");
         let target = TargetAddress {
             address: address.to_owned(),
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use briarswitch_core::prelude::*;
-use briarswitch_http::{CallError, CallerClient, Codec};
+use briarswitch_http::{ApiClient, CallError, Codec};
 use briarswitch_wire::platform::{
     LoadPermitReply, LoadPermitRequest, ReadReply, ReadRequest, TransactReply, TransactRequest,
     VmListDoc,
@@ -33,7 +33,7 @@
 /// Speaks with every service of the platform.
 pub struct HttpPlatform {
     addresses: PlatformAddresses,
-    client: CallerClient,
+    client: ApiClient,
     limit: Duration,
 }
 
@@ -42,7 +42,7 @@
     pub fn open(addresses: PlatformAddresses, limit: Duration) -> Platform {
         let client = Arc::new(Self {
             addresses,
-            client: CallerClient::open(Codec::Json, None),
+            client: ApiClient::new(Codec::Json, None),
             limit,
         });
         Platform {
--- a/crates/standins/examples/overhead.rs
+++ b/crates/standins/examples/overhead.rs
@@ -10,9 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use briarswitch_http::{
-    whole_body, CallerClient, Codec, TargetAddress, TargetClient, TargetLimits,
-};
+use briarswitch_http::{full_body, ApiClient, Codec, TargetAddress, TargetClient, TargetLimits};
 use briarswitch_standins::{EngineSettings, EngineStandin, PlatformStandin};
 use briarswitch_wire::config::{
     DeploymentDoc, KindDoc, ModelDoc, OrganisationDoc, RouteDoc, RuleDoc, ThenDoc, ValueDoc,
@@ -161,9 +159,9 @@
             Arc::clone(&failures),
         );
         tasks.push(tokio::spawn(async move {
-            let client = TargetClient::open(TargetLimits {
-                connect: LIMIT,
-                idle: 1,
+            let client = TargetClient::new(TargetLimits {
+                connect_timeout: LIMIT,
+                max_idle: 1,
             });
             let mut own = Histogram::<u64>::new_with_bounds(1, SLOWEST_US, 3).expect("a histogram");
             while Instant::now() < end {
@@ -209,7 +207,7 @@
     let request = http::Request::post("/v1/chat/completions")
         .header("host", &target.address)
         .header("authorization", "Bearer key")
-        .body(whole_body(Bytes::from(body)))
+        .body(full_body(Bytes::from(body)))
         .ok()?;
     let mut reply = client.send(target, request, false).await.ok()?;
     let mut events = 0;
@@ -272,7 +270,7 @@
 }
 
 async fn configure(operators: &str) -> Result<(), Failure> {
-    let client = CallerClient::open(Codec::Json, Some("change-me-operator".to_owned()));
+    let client = ApiClient::new(Codec::Json, Some("change-me-operator".to_owned()));
     let organisation = ValueDoc::Organisation(OrganisationDoc {
         key_hash: KEY_HASH.to_owned(),
         weight: 1,
--- a/crates/standins/examples/vm.rs
+++ b/crates/standins/examples/vm.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use briarswitch_http::{CallerClient, Codec};
+use briarswitch_http::{ApiClient, Codec};
 use briarswitch_standins::{wait_for_end, EngineSettings, EngineStandin, PlainStandin};
 use briarswitch_wire::platform::VmDoc;
 
@@ -37,7 +37,7 @@
         leaving: false,
     };
     let url = format!("http://{platform}/admin/vms");
-    let client = CallerClient::open(Codec::Json, None);
+    let client = ApiClient::new(Codec::Json, None);
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?
--- a/crates/standins/src/host.rs
+++ b/crates/standins/src/host.rs
@@ -64,7 +64,7 @@
         let address = listener.local_addr()?;
         let guard = {
             let _context = runtime.enter();
-            HttpServer::adopt(listener)?.spawn(handler, stop)
+            HttpServer::from_std(listener)?.spawn(handler, stop)
         };
         Ok(Self {
             address,
