--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! A client for calls that may be repeated: platform, peers and operators.
+//! Client for idempotent calls to the platform, to peers and to operator listeners.
 
 use std::time::Duration;
 
@@ -12,38 +12,38 @@
 
 use crate::reply::read_body;
 
-/// Largest reply read, in bytes.
-const REPLY_LIMIT: usize = 64 << 20;
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// How bodies are written.
+/// Encoding of request and response bodies.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Codec {
-    /// JSON, for everything outside the system.
+    /// JSON, for communication with external systems.
     Json,
-    /// MessagePack with field names, between nodes.
+    /// MessagePack with field names, for communication between nodes.
     MessagePack,
 }
 
-/// Why a call gave no usable reply.
+/// Error of a call.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum CallError {
-    /// The other side answered with an error status.
+    /// The server responded with an error status.
     #[error("status {status}: {text}")]
     Status {
-        /// Status of the reply.
+        /// Status code of the response.
         status: u16,
-        /// Its body as text.
+        /// Body of the response as text.
         text: String,
     },
-    /// No reply came; the call may or may not have taken effect.
-    #[error("no answer: {0}")]
+    /// No response was received; the call may or may not have taken effect.
+    #[error("no response: {0}")]
     NoResponse(String),
-    /// The reply could not be understood.
-    #[error("unreadable answer: {0}")]
+    /// A body could not be encoded or decoded.
+    #[error("invalid body: {0}")]
     InvalidBody(String),
 }
 
-/// Calls one kind of server with typed bodies.
+/// HTTP client with typed request and response bodies.
 #[derive(Clone)]
 pub struct ApiClient {
     client: Client,
@@ -52,11 +52,11 @@
 }
 
 impl ApiClient {
-    /// Opens a client that writes bodies with `codec` and sends `token` as its credential.
+    /// Creates a client that encodes bodies with `codec` and sends `token` as a bearer token.
     ///
     /// # Panics
     ///
-    /// Panics when the library refuses its own default settings.
+    /// Panics if the HTTP client cannot be built with its default settings.
     pub fn new(codec: Codec, token: Option<String>) -> Self {
         let client = Client::builder()
             .build()
@@ -68,23 +68,24 @@
         }
     }
 
-    /// Sends `body` to `url` and reads a typed reply, all within `limit`.
+    /// Sends `body` to `url` and decodes the response; `timeout` covers the whole call.
     ///
     /// # Errors
     ///
-    /// Returns [`CallError`]; only [`CallError::NoResponse`] leaves open whether the call took effect.
+    /// Returns [`CallError`]; only [`CallError::NoResponse`] leaves it unknown whether the call took
+    /// effect.
     pub async fn call<Q: Serialize, R: DeserializeOwned>(
         &self,
         method: Method,
         url: &str,
         body: Option<&Q>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<R, CallError> {
-        let (_, reply) = self.call_with_headers(method, url, body, limit).await?;
-        Ok(reply)
+        let (_, response) = self.call_with_headers(method, url, body, timeout).await?;
+        Ok(response)
     }
 
-    /// Sends `body` to `url` and reads the headers and a typed body of the reply, all within `limit`.
+    /// Like [`ApiClient::call`], but also returns the headers of the response.
     ///
     /// # Errors
     ///
@@ -94,17 +95,17 @@
         method: Method,
         url: &str,
         body: Option<&Q>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(HeaderMap, R), CallError> {
         let bytes = match body {
             Some(body) => self.encode(body)?,
             None => Bytes::new(),
         };
-        let (headers, reply) = self.call_within(method, url, bytes, limit).await?;
-        Ok((headers, self.decode(&reply)?))
+        let (headers, response) = self.call_with_timeout(method, url, bytes, timeout).await?;
+        Ok((headers, self.decode(&response)?))
     }
 
-    /// Sends bytes to `url` and reads the bytes of a reply, all within `limit`.
+    /// Sends a raw body to `url` and returns the raw body of the response, within `timeout`.
     ///
     /// # Errors
     ///
@@ -114,23 +115,25 @@
         method: Method,
         url: &str,
         body: Bytes,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Bytes, CallError> {
-        let (_, reply) = self.call_within(method, url, body, limit).await?;
-        Ok(reply)
+        let (_, response) = self.call_with_timeout(method, url, body, timeout).await?;
+        Ok(response)
     }
 
-    async fn call_within(
+    async fn call_with_timeout(
         &self,
         method: Method,
         url: &str,
         body: Bytes,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(HeaderMap, Bytes), CallError> {
         let exchange = self.exchange(method, url, body);
-        match tokio::time::timeout(limit, exchange).await {
+        match tokio::time::timeout(timeout, exchange).await {
             Ok(result) => result,
-            Err(_) => Err(CallError::NoResponse(format!("no reply within {limit:?}"))),
+            Err(_) => Err(CallError::NoResponse(format!(
+                "no response within {timeout:?}"
+            ))),
         }
     }
 
@@ -154,7 +157,7 @@
             .map_err(|error| CallError::NoResponse(error.to_string()))?;
         let (head, body) = response.into_parts();
         let status = head.status;
-        let bytes = read_body(body, REPLY_LIMIT)
+        let bytes = read_body(body, MAX_RESPONSE_BYTES)
             .await
             .map_err(|error| CallError::NoResponse(error.to_string()))?;
         if status == StatusCode::OK {
@@ -175,20 +178,20 @@
 
     fn encode<Q: Serialize>(&self, body: &Q) -> Result<Bytes, CallError> {
         let bytes = match self.codec {
-            Codec::Json => serde_json::to_vec(body).map_err(unreadable)?,
-            Codec::MessagePack => rmp_serde::to_vec_named(body).map_err(unreadable)?,
+            Codec::Json => serde_json::to_vec(body).map_err(invalid_body)?,
+            Codec::MessagePack => rmp_serde::to_vec_named(body).map_err(invalid_body)?,
         };
         Ok(Bytes::from(bytes))
     }
 
     fn decode<R: DeserializeOwned>(&self, bytes: &[u8]) -> Result<R, CallError> {
         match self.codec {
-            Codec::Json => serde_json::from_slice(bytes).map_err(unreadable),
-            Codec::MessagePack => rmp_serde::from_slice(bytes).map_err(unreadable),
+            Codec::Json => serde_json::from_slice(bytes).map_err(invalid_body),
+            Codec::MessagePack => rmp_serde::from_slice(bytes).map_err(invalid_body),
         }
     }
 }
 
-fn unreadable(error: impl std::fmt::Display) -> CallError {
+fn invalid_body(error: impl std::fmt::Display) -> CallError {
     CallError::InvalidBody(error.to_string())
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP for briarswitch: a server, a client for idempotent calls, and a client for targets.
+//! HTTP server, client for idempotent calls, and client for requests to targets.
 //!
-//! Servers and idempotent calls go through `volo-http`. Calls to targets go through `hyper`, the
-//! library under it, because a caller is told "not run" only if no byte of its request can have
-//! left, and `volo-http`'s pool does not say whether one has.
+//! Servers and idempotent calls use `volo-http`. Requests to targets use the underlying `hyper`
+//! directly: a caller may get the outcome "not run" only if no byte of its request can have been
+//! sent, and the connection pool of `volo-http` does not tell whether one was.
 //!
 //! ```
 //! use briarswitch_http::reply_text;
--- a/crates/http/src/reply.rs
+++ b/crates/http/src/reply.rs
@@ -1,4 +1,4 @@
-//! Reading bodies within a limit and building replies.
+//! Reading bodies up to a size limit and building responses.
 
 use std::io;
 use std::pin::Pin;
@@ -17,31 +17,33 @@
 
 use crate::server::Response;
 
-/// Why a body could not be read.
+/// Error while reading a body.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum BodyError {
-    /// It is larger than allowed.
+    /// The body exceeds the size limit.
     #[error("the body is larger than {limit} bytes")]
     TooLarge {
-        /// Most bytes allowed.
+        /// Maximum size in bytes.
         limit: usize,
     },
-    /// The sender broke off.
-    #[error("the body ended before its announced length")]
+    /// The connection was closed before the end of the body.
+    #[error("the body is incomplete: the connection was closed before its end")]
     Incomplete,
 }
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a complete body of at most `limit` bytes.
+///
+/// A body of a single frame is returned without copying.
 ///
 /// # Errors
 ///
-/// Returns [`BodyError`] when the body is too large or was cut short.
+/// Returns [`BodyError`] if the body is too large or incomplete.
 pub async fn read_body<B>(mut body: B, limit: usize) -> Result<Bytes, BodyError>
 where
     B: http_body::Body<Data = Bytes> + Unpin,
 {
-    let is_announced_large = body.size_hint().lower() > limit as u64;
-    if is_announced_large {
+    let exceeds_limit = body.size_hint().lower() > limit as u64;
+    if exceeds_limit {
         return Err(BodyError::TooLarge { limit });
     }
     let mut first: Option<Bytes> = None;
@@ -51,8 +53,8 @@
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        let held = first.as_ref().map_or(0, Bytes::len).max(rest.len());
-        if held + data.len() > limit {
+        let received = first.as_ref().map_or(0, Bytes::len).max(rest.len());
+        if received + data.len() > limit {
             return Err(BodyError::TooLarge { limit });
         }
         match first.take() {
@@ -67,7 +69,7 @@
     Ok(first.unwrap_or_else(|| rest.freeze()))
 }
 
-/// Builds a reply from bytes.
+/// Builds a response from bytes.
 pub fn reply_bytes(status: StatusCode, content_type: &'static str, bytes: Bytes) -> Response {
     let mut response = Response::new(Body::from(bytes));
     *response.status_mut() = status;
@@ -77,7 +79,7 @@
     response
 }
 
-/// Builds a plain-text reply.
+/// Builds a plain-text response.
 ///
 /// ```
 /// let reply = briarswitch_http::reply_text(http::StatusCode::NOT_FOUND, "no such path");
@@ -91,7 +93,7 @@
     )
 }
 
-/// Builds a JSON reply.
+/// Builds a JSON response.
 pub fn reply_json<T: Serialize>(status: StatusCode, value: &T) -> Response {
     match serde_json::to_vec(value) {
         Ok(bytes) => reply_bytes(status, "application/json", Bytes::from(bytes)),
@@ -99,7 +101,7 @@
     }
 }
 
-/// Builds a MessagePack reply, as nodes exchange them.
+/// Builds a MessagePack response.
 pub fn reply_msgpack<T: Serialize>(status: StatusCode, value: &T) -> Response {
     match rmp_serde::to_vec_named(value) {
         Ok(bytes) => reply_bytes(status, "application/msgpack", Bytes::from(bytes)),
@@ -107,11 +109,11 @@
     }
 }
 
-/// Writes a MessagePack body, as nodes exchange them.
+/// Encodes a value as MessagePack with field names, the format between nodes.
 ///
 /// # Errors
 ///
-/// Returns an error when the value can not be written.
+/// Returns an error if the value cannot be encoded.
 ///
 /// ```
 /// let bytes = briarswitch_http::encode_msgpack(&7).unwrap();
@@ -121,27 +123,27 @@
     rmp_serde::to_vec_named(value).map(Bytes::from)
 }
 
-/// Reads a MessagePack body, as nodes exchange them.
+/// Decodes a MessagePack value.
 ///
 /// # Errors
 ///
-/// Returns the library's error when the bytes do not hold the type.
+/// Returns an error if the bytes are not a valid encoding of `T`.
 pub fn decode_msgpack<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, rmp_serde::decode::Error> {
     rmp_serde::from_slice(bytes)
 }
 
-/// Builds a body from pieces that come one at a time; an error breaks the connection off.
-pub fn stream_body<S>(pieces: S) -> Body
+/// Builds a streaming body from chunks; an error in the stream aborts the connection.
+pub fn stream_body<S>(chunks: S) -> Body
 where
     S: Stream<Item = Result<Bytes, io::Error>> + Send + 'static,
 {
-    let frames = pieces.map(|piece| piece.map(Frame::data).map_err(Into::into));
+    let frames = chunks.map(|chunk| chunk.map(Frame::data).map_err(Into::into));
     Body::from_stream(ExclusiveStream {
         inner: Mutex::new(Box::pin(frames)),
     })
 }
 
-/// Makes a stream shareable between threads, as the library demands, by never sharing it.
+/// Makes a stream `Sync`, which `Body` requires; the mutex is only accessed through `&mut`.
 struct ExclusiveStream<S> {
     inner: Mutex<Pin<Box<S>>>,
 }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! An HTTP server around one handler.
+//! HTTP server with a single handler per listener.
 
 use std::convert::Infallible;
 use std::io;
@@ -16,29 +16,29 @@
 use volo_http::context::ServerContext;
 use volo_http::server::Server;
 
-/// Headers the library parses at most; more are answered by it with a bare status 431. Handlers
-/// that set a lower limit answer in their own shape.
-const MOST_HEADERS: usize = 256;
+/// Maximum number of headers. The library rejects requests with more by an empty 431 response, so
+/// handlers that set a lower limit can return an error body of their own.
+const MAX_HEADERS: usize = 256;
 
-/// A request as handlers get it.
+/// Request type of handlers.
 pub type Request = http::Request<Body>;
-/// A reply as handlers give it.
+/// Response type of handlers.
 pub type Response = http::Response<Body>;
 
-/// Answers every request of one listener.
+/// Handles the requests of one listener.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request.
+    /// Handles one request.
     fn handle(&self, request: Request) -> BoxFuture<'_, Response>;
 }
 
-/// A listener that is bound but does not answer yet.
+/// A server that is bound to its address but not started.
 #[derive(Debug)]
 pub struct HttpServer {
     listener: TcpListener,
     address: SocketAddr,
 }
 
-/// A server that answers until this handle is dropped.
+/// A running server; it is stopped when this guard is dropped.
 #[derive(Debug)]
 pub struct ServerGuard {
     address: SocketAddr,
@@ -46,22 +46,22 @@
 }
 
 impl HttpServer {
-    /// Binds a listener; port 0 lets the operating system choose.
+    /// Binds a listener; with port 0 the operating system chooses a free port.
     ///
     /// # Errors
     ///
-    /// Returns the operating system's error when the address cannot be bound.
+    /// Returns an error if the address cannot be bound.
     pub async fn bind(address: &str) -> io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
         Ok(Self { listener, address })
     }
 
-    /// Takes over a listener bound by the standard library, on the present runtime.
+    /// Creates a server from a listener of the standard library, on the current runtime.
     ///
     /// # Errors
     ///
-    /// Returns the operating system's error when the listener can not be used.
+    /// Returns an error if the listener cannot be registered with the runtime.
     pub fn from_std(listener: std::net::TcpListener) -> io::Result<Self> {
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
@@ -69,20 +69,20 @@
         Ok(Self { listener, address })
     }
 
-    /// Returns the address bound.
+    /// Returns the bound address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Starts to answer with `handler`.
+    /// Starts to serve requests with `handler`.
     ///
-    /// `stop` turns true when the process may close its listeners. The library begins to close as
-    /// soon as the process is told to end; the hook holds it back until then, so that requests are
-    /// still accepted while the balancer takes notice.
+    /// `stop` becomes true when the listener may be closed. The library starts its shutdown as soon
+    /// as the process receives a termination signal; the shutdown hook delays it until `stop` is
+    /// true, so that requests are still accepted until load balancers have noticed the shutdown.
     pub fn spawn(self, handler: Arc<dyn Handler>, mut stop: watch::Receiver<bool>) -> ServerGuard {
         let incoming = DefaultIncoming::from(self.listener);
         let mut server = Server::new(HandlerService { handler });
-        server.http1_config().set_max_headers(MOST_HEADERS);
+        server.http1_config().set_max_headers(MAX_HEADERS);
         let server = server.register_shutdown_hook(move || {
             Box::pin(async move {
                 let _ = stop.wait_for(|stopped| *stopped).await;
@@ -99,7 +99,7 @@
 }
 
 impl ServerGuard {
-    /// Returns the address the server listens at.
+    /// Returns the address the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
--- a/crates/http/src/target.rs
+++ b/crates/http/src/target.rs
@@ -1,4 +1,4 @@
-//! A client for targets that knows whether any byte of a request can have left.
+//! HTTP client for targets that reports whether any byte of a request can have been sent.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -14,75 +14,76 @@
 
 use crate::reply::{read_body, BodyError};
 
-/// A target's address in one of its lives.
+/// Address and incarnation of a target.
 ///
-/// The life is part of the key so that a connection to a machine that was replaced under the same
-/// address is never used for its successor.
+/// The incarnation is part of the pool's key so that a connection to a machine is never used for
+/// another machine that replaced it at the same address.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct TargetAddress {
     /// Address as `ip:port`.
     pub address: String,
-    /// Life of the machine.
+    /// Incarnation of the machine.
     pub incarnation: u64,
 }
 
-/// Limits of the client.
+/// Limits of a [`TargetClient`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TargetLimits {
-    /// Time to open a connection.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// Idle connections kept for one target.
+    /// Maximum number of idle connections kept for each target.
     pub max_idle: usize,
 }
 
-/// Why no head of an answer came.
+/// Error that occurred before the head of the response was received.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum SendError {
     /// The connection could not be opened.
     #[error("the connection could not be opened")]
     Connect,
-    /// Nobody listens at the address.
-    #[error("nobody listens at the address")]
+    /// The connection was refused: no process listens on the address.
+    #[error("the connection was refused")]
     Refused,
     /// The connection was closed before a byte of the request was written.
     #[error("the connection was closed before the request was written")]
     ClosedBeforeSend,
-    /// The connection broke after bytes of the request may have left.
-    #[error("the connection broke before the answer began")]
+    /// The connection failed after bytes of the request may have been sent.
+    #[error("the connection failed before the response began")]
     Broken,
 }
 
 type Sender = SendRequest<Full<Bytes>>;
 type IdlePool = Arc<Mutex<HashMap<TargetAddress, Vec<Sender>>>>;
 
-/// Sends requests to targets over kept connections; it never sends a request twice by itself.
+/// Sends requests to targets over pooled connections; it never retries a request that may have been
+/// sent.
 #[derive(Clone)]
 pub struct TargetClient {
     limits: TargetLimits,
     idle: IdlePool,
 }
 
-/// The head of an answer and the body that follows.
+/// Head and body of a response.
 pub struct TargetResponse {
     /// Status and headers.
     pub head: http::response::Parts,
-    /// Body.
+    /// Body, which is read from the connection on demand.
     pub body: TargetBody,
 }
 
-/// The body of an answer.
+/// Body of a response.
 ///
-/// Dropped before its end, it closes the connection, which tells the target to stop.
+/// Dropping it before its end closes the connection, which makes the target cancel the request.
 pub struct TargetBody {
     incoming: Incoming,
     sender: Option<Sender>,
     key: TargetAddress,
     idle: IdlePool,
-    keep: usize,
+    max_idle: usize,
 }
 
 impl TargetClient {
-    /// Opens a client without connections.
+    /// Creates a client without connections.
     pub fn new(limits: TargetLimits) -> Self {
         Self {
             limits,
@@ -90,34 +91,35 @@
         }
     }
 
-    /// Returns how many idle connections to a target are kept.
+    /// Returns the number of idle connections to a target.
     pub fn idle_connections(&self, target: &TargetAddress) -> usize {
         let idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.get(target).map_or(0, Vec::len)
     }
 
-    /// Returns a client of the same connections that keeps at most `idle` of one target.
+    /// Returns a client with the same connection pool that keeps at most `max_idle` idle connections
+    /// for each target.
     #[must_use]
-    pub fn with_max_idle(&self, idle: usize) -> Self {
+    pub fn with_max_idle(&self, max_idle: usize) -> Self {
         Self {
             limits: TargetLimits {
-                max_idle: idle,
+                max_idle,
                 ..self.limits
             },
             idle: Arc::clone(&self.idle),
         }
     }
 
-    /// Sends one request once.
+    /// Sends a request and waits for the head of the response.
     ///
-    /// A request that may not be repeated should ask for a `fresh` connection: a kept one can be
-    /// closed by the target at the moment of sending, which would leave its fate unknown for no
-    /// good reason.
+    /// A request that must not be retried should use a `fresh` connection: the target may close a
+    /// pooled connection while the request is being sent, and it would then be unknown whether the
+    /// request was run.
     ///
     /// # Errors
     ///
-    /// Returns the point of failure; only [`SendError::Broken`] leaves open whether the target
-    /// received the request.
+    /// Returns [`SendError`]; only [`SendError::Broken`] leaves it unknown whether the target received
+    /// the request.
     pub async fn send(
         &self,
         target: &TargetAddress,
@@ -140,7 +142,7 @@
             .map_err(|(failure, _)| failure)
     }
 
-    /// Closes the idle connections to targets that `keep` does not name.
+    /// Closes the idle connections to targets for which `keep` returns false.
     pub fn retain(&self, keep: impl Fn(&TargetAddress) -> bool) {
         if let Ok(mut idle) = self.idle.lock() {
             idle.retain(|target, _| keep(target));
@@ -163,30 +165,31 @@
                         sender: Some(sender),
                         key: target.clone(),
                         idle: Arc::clone(&self.idle),
-                        keep: self.limits.max_idle,
+                        max_idle: self.limits.max_idle,
                     },
                 })
             }
             Err(mut error) => match error.take_message() {
-                // The library hands the request back only if it never began to write it.
+                // hyper returns the request only if it has not started to write it.
                 Some(unsent) => Err((SendError::ClosedBeforeSend, Some(Box::new(unsent)))),
                 None => Err((SendError::Broken, None)),
             },
         }
     }
 
-    /// Opens a connection and closes it again, which shows whether anybody listens.
+    /// Opens a connection and closes it, to check whether a process listens on the address.
     ///
     /// # Errors
     ///
-    /// Returns [`SendError::Refused`] when nobody listens, [`SendError::Connect`] when nothing is known.
+    /// Returns [`SendError::Refused`] if no process listens on the address, and
+    /// [`SendError::Connect`] if the check gave no result.
     pub async fn probe(&self, address: &str) -> Result<(), SendError> {
         self.open_stream(address).await.map(|_| ())
     }
 
     async fn open_stream(&self, address: &str) -> Result<TcpStream, SendError> {
-        let opening = TcpStream::connect(address);
-        match tokio::time::timeout(self.limits.connect_timeout, opening).await {
+        let connecting = TcpStream::connect(address);
+        match tokio::time::timeout(self.limits.connect_timeout, connecting).await {
             Ok(Ok(stream)) => Ok(stream),
             Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
                 Err(SendError::Refused)
@@ -220,12 +223,12 @@
 }
 
 impl TargetBody {
-    /// Returns the next bytes, `None` at a clean end.
+    /// Returns the next chunk, or `None` at the regular end of the body.
     ///
     /// # Errors
     ///
-    /// Returns an error when the connection broke before the body's length or end mark; such a body
-    /// must never be passed on as whole.
+    /// Returns an error if the connection failed before the end of the body, as given by its length
+    /// or final chunk; such a body must never be forwarded as complete.
     pub async fn next(&mut self) -> Result<Option<Bytes>, hyper::Error> {
         loop {
             match self.incoming.frame().await {
@@ -243,11 +246,11 @@
         }
     }
 
-    /// Reads the rest of the body; the connection is kept if it ends cleanly.
+    /// Reads the rest of the body and returns the connection to the pool.
     ///
     /// # Errors
     ///
-    /// Returns [`BodyError`] when the body is larger than `limit` or ends too early.
+    /// Returns [`BodyError`] if the body is larger than `limit` or incomplete.
     pub async fn read_all(mut self, limit: usize) -> Result<Bytes, BodyError> {
         let bytes = read_body(&mut self.incoming, limit).await?;
         self.release_connection();
@@ -259,14 +262,14 @@
             return;
         };
         let idle = Arc::clone(&self.idle);
-        let (key, keep) = (self.key.clone(), self.keep);
+        let (key, max_idle) = (self.key.clone(), self.max_idle);
         tokio::spawn(async move {
             if sender.ready().await.is_err() {
                 return;
             }
             if let Ok(mut idle) = idle.lock() {
                 let senders = idle.entry(key).or_default();
-                if senders.len() < keep {
+                if senders.len() < max_idle {
                     senders.push(sender);
                 }
             }
@@ -274,7 +277,7 @@
     }
 }
 
-/// Wraps whole bytes as a request body.
+/// Builds a request body from bytes.
 ///
 /// ```
 /// let body = briarswitch_http::full_body("text".into());
--- a/crates/http/tests/target.rs
+++ b/crates/http/tests/target.rs
@@ -1,4 +1,4 @@
-//! Connections that the client of targets keeps.
+//! Idle connections in the pool of the target client.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,16 +13,16 @@
 use http::StatusCode;
 use tokio::sync::watch;
 
-/// Calls sent at once.
-const CALLS: usize = 12;
-/// Idle connections that a small target takes from one node.
-const FEW: usize = 3;
-/// Looks at the connections before a test gives up.
-const LOOKS: usize = 500;
+/// Number of concurrent requests.
+const REQUESTS: usize = 12;
+/// Limit of idle connections for a small target.
+const MAX_IDLE: usize = 3;
+/// Number of polls, 10 ms apart, before the test stops waiting.
+const MAX_POLLS: usize = 500;
 
-struct SlowAnswer;
+struct SlowHandler;
 
-impl Handler for SlowAnswer {
+impl Handler for SlowHandler {
     fn handle(&self, _: Request) -> BoxFuture<'_, Response> {
         Box::pin(async {
             tokio::time::sleep(Duration::from_millis(30)).await;
@@ -31,42 +31,41 @@
     }
 }
 
-async fn call(client: &TargetClient, target: &TargetAddress) {
+async fn send(client: &TargetClient, target: &TargetAddress) {
     let mut request = http::Request::new(full_body(Bytes::new()));
-    let host = target.address.parse().expect("a header's value");
+    let host = target.address.parse().expect("a valid header value");
     request.headers_mut().insert("host", host);
-    let reply = client.send(target, request, false).await;
-    let body = reply.expect("an answer").body;
-    body.read_all(1 << 10).await.expect("a whole body");
+    let response = client.send(target, request, false).await;
+    let body = response.expect("a response").body;
+    body.read_all(1 << 10).await.expect("a complete body");
 }
 
-/// Symptom: calls are lost on a connection that the target resets at once.
-/// Events: all nodes keep what a burst of calls has opened; together they hold more connections than
-/// the target takes.
-/// Cause guarded against: keeping the same number of connections for every target.
+/// Guards against requests that are lost because the target resets the connection at once. It happens
+/// when every node keeps all connections that a burst of requests opened, so that together they
+/// exceed the connection limit of the target. The limit of idle connections must be set per target.
 #[gtest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_burst_leaves_no_more_idle_connections_than_are_kept_of_the_target() {
+async fn a_burst_leaves_no_more_idle_connections_than_the_limit_of_the_target() {
     let server = HttpServer::bind("127.0.0.1:0").await.expect("a port");
     let target = TargetAddress {
         address: server.address().to_string(),
         incarnation: 0,
     };
     let (_stop, stopped) = watch::channel(false);
-    let _guard = server.spawn(Arc::new(SlowAnswer), stopped);
+    let _guard = server.spawn(Arc::new(SlowHandler), stopped);
     let client = TargetClient::new(TargetLimits {
         connect_timeout: Duration::from_secs(2),
-        max_idle: CALLS,
+        max_idle: REQUESTS,
     });
-    let few = client.with_max_idle(FEW);
-    join_all((0..CALLS).map(|_| call(&few, &target))).await;
-    for _ in 0..LOOKS {
-        if few.idle_connections(&target) == FEW {
+    let limited = client.with_max_idle(MAX_IDLE);
+    join_all((0..REQUESTS).map(|_| send(&limited, &target))).await;
+    for _ in 0..MAX_POLLS {
+        if limited.idle_connections(&target) == MAX_IDLE {
             break;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    expect_that!(few.idle_connections(&target), eq(FEW));
-    // The connections are shared: a client that may keep more finds them too.
-    expect_that!(client.idle_connections(&target), eq(FEW));
+    expect_that!(limited.idle_connections(&target), eq(MAX_IDLE));
+    // The pool is shared: the client with the higher limit sees the same connections.
+    expect_that!(client.idle_connections(&target), eq(MAX_IDLE));
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -35,7 +35,7 @@
     pub evidence: EvidenceMark,
 }
 
-/// Position in the stream of changes to a node's evidence, up to which a requester has it.
+/// Position in a node's sequence of changes to its evidence.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EvidenceMark {
     /// Incarnation of the node that collects the evidence.
