--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -65,10 +65,10 @@
     Settle(NameOptions),
     /// One request's story from the logs.
     #[options(help = "tell from the nodes' logs what became of a request, and why")]
-    Explain(StoryOptions),
+    Explain(LogQueryOptions),
     /// One group's story from the logs.
     #[options(help = "tell from the nodes' logs what became of a group")]
-    Timeline(StoryOptions),
+    Timeline(LogQueryOptions),
     /// Log level.
     #[options(help = "change the node's log level")]
     LogLevel(NameOptions),
@@ -95,7 +95,7 @@
 
 /// What to look for in the logs, and where.
 #[derive(Debug, Options)]
-pub struct StoryOptions {
+pub struct LogQueryOptions {
     /// Whether to print help.
     #[options(help = "print this help")]
     pub help: bool,
@@ -197,15 +197,15 @@
     Show(PlainOptions),
     /// Replaces them.
     #[options(help = "replace the whole list")]
-    Set(RulesDocument),
+    Set(RulesSetOptions),
     /// Tries them.
     #[options(help = "tell which rule a request would meet, and why")]
-    Try(RulesTrial),
+    Try(RulesTryOptions),
 }
 
 /// A new rule list.
 #[derive(Debug, Options)]
-pub struct RulesDocument {
+pub struct RulesSetOptions {
     /// Prints the usage.
     #[options(help = "print this help")]
     pub help: bool,
@@ -219,7 +219,7 @@
 
 /// A request to try the rules on.
 #[derive(Debug, Options)]
-pub struct RulesTrial {
+pub struct RulesTryOptions {
     /// Prints the usage.
     #[options(help = "print this help")]
     pub help: bool,
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -12,10 +12,10 @@
 
 /// Why a node gave no usable answer.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
-pub enum NodeFailure {
+pub enum NodeError {
     /// It was not reached, or broke off.
     #[error("no answer from {node}: {error}; try another node with --node")]
-    NoAnswer {
+    NoResponse {
         /// Address called.
         node: String,
         /// What happened.
@@ -23,7 +23,7 @@
     },
     /// The credential is not the operators'.
     #[error("{node} does not know this credential; give --token or set BRIARCTL_TOKEN")]
-    Credential {
+    Unauthorized {
         /// Address called.
         node: String,
     },
@@ -37,7 +37,7 @@
 
 impl NodeClient {
     /// Opens a client for a node's operator listener.
-    pub fn open(node: &str, token: Option<String>) -> Self {
+    pub fn new(node: &str, token: Option<String>) -> Self {
         Self {
             node: node.to_owned(),
             client: ApiClient::new(Codec::Json, token),
@@ -48,8 +48,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`NodeFailure`] when the node gave no usable answer.
-    pub async fn get<R: DeserializeOwned>(&self, path: &str) -> Result<R, NodeFailure> {
+    /// Returns [`NodeError`] when the node gave no usable answer.
+    pub async fn get<R: DeserializeOwned>(&self, path: &str) -> Result<R, NodeError> {
         self.call(Method::GET, path, None::<&()>).await
     }
 
@@ -57,12 +57,12 @@
     ///
     /// # Errors
     ///
-    /// Returns [`NodeFailure`] when the node gave no usable answer.
+    /// Returns [`NodeError`] when the node gave no usable answer.
     pub async fn post<Q: Serialize, R: DeserializeOwned>(
         &self,
         path: &str,
         body: &Q,
-    ) -> Result<R, NodeFailure> {
+    ) -> Result<R, NodeError> {
         self.call(Method::POST, path, Some(body)).await
     }
 
@@ -71,14 +71,14 @@
         method: Method,
         path: &str,
         body: Option<&Q>,
-    ) -> Result<R, NodeFailure> {
+    ) -> Result<R, NodeError> {
         let url = format!("http://{}{path}", self.node);
         let result = self.client.call(method, &url, body, LIMIT).await;
         result.map_err(|error| {
             let node = self.node.clone();
             match error {
-                CallError::Status { status: 401, .. } => NodeFailure::Credential { node },
-                error => NodeFailure::NoAnswer { node, error },
+                CallError::Status { status: 401, .. } => NodeError::Unauthorized { node },
+                error => NodeError::NoResponse { node, error },
             }
         })
     }
--- a/crates/ctl/src/edit.rs
+++ b/crates/ctl/src/edit.rs
@@ -8,29 +8,29 @@
 use sha2::{Digest, Sha256};
 
 use crate::cli::DocumentOptions;
-use crate::client::{NodeClient, NodeFailure};
+use crate::client::{NodeClient, NodeError};
 use crate::exit::ExitStatus;
 
 /// What a command prints and how it ends.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct CommandEnd {
+pub struct CommandOutcome {
     /// Text to print.
     pub text: String,
     /// How it ended.
     pub status: ExitStatus,
 }
 
-impl CommandEnd {
+impl CommandOutcome {
     /// Makes the end of a command that did what was asked.
-    pub fn done(text: impl Into<String>) -> Self {
+    pub fn success(text: impl Into<String>) -> Self {
         Self {
             text: text.into(),
-            status: ExitStatus::Done,
+            status: ExitStatus::Success,
         }
     }
 
     /// Makes the end of a command that did not.
-    pub fn failed(status: ExitStatus, text: impl Into<String>) -> Self {
+    pub fn failure(status: ExitStatus, text: impl Into<String>) -> Self {
         Self {
             text: text.into(),
             status,
@@ -38,9 +38,9 @@
     }
 }
 
-impl From<NodeFailure> for CommandEnd {
-    fn from(failure: NodeFailure) -> Self {
-        Self::failed(ExitStatus::NoAnswer, failure.to_string())
+impl From<NodeError> for CommandOutcome {
+    fn from(failure: NodeError) -> Self {
+        Self::failure(ExitStatus::NodeError, failure.to_string())
     }
 }
 
@@ -62,13 +62,13 @@
 ///
 /// Without a base the version that the node has in force now is taken, so an edit by somebody else
 /// in between still ends in a conflict.
-pub async fn send_edit(client: &NodeClient, draft: EditDraft, is_json: bool) -> CommandEnd {
+pub async fn send_edit(client: &NodeClient, draft: EditDraft, is_json: bool) -> CommandOutcome {
     let base = match draft.base {
         Some(base) => base,
         None if draft.is_new => 0,
-        None => match current(client, draft.kind, &draft.id).await {
+        None => match find_entity(client, draft.kind, &draft.id).await {
             Ok(Some(entry)) => entry.version,
-            Ok(None) => return missing(draft.kind, &draft.id),
+            Ok(None) => return not_found(draft.kind, &draft.id),
             Err(failure) => return failure.into(),
         },
     };
@@ -83,21 +83,22 @@
     match client.post::<_, EditReply>("/v1/edit", &request).await {
         Ok(reply) => tell_edit(reply, is_json),
         // The node may have written the edit before the connection broke.
-        Err(NodeFailure::NoAnswer { .. }) => tell_edit(EditReply::Unknown { write }, is_json),
+        Err(NodeError::NoResponse { .. }) => tell_edit(EditReply::Unknown { write }, is_json),
         Err(failure) => failure.into(),
     }
 }
 
 /// Settles an edit whose answer was unknown.
-pub async fn settle(client: &NodeClient, write: &str, is_json: bool) -> CommandEnd {
+pub async fn settle(client: &NodeClient, write: &str, is_json: bool) -> CommandOutcome {
     let reply: SettleReply = match client.post("/v1/settle", &write).await {
         Ok(reply) => reply,
         Err(failure) => return failure.into(),
     };
     let (text, status) = match &reply {
-        SettleReply::Accepted { version } => {
-            (format!("accepted as version {version}"), ExitStatus::Done)
-        }
+        SettleReply::Accepted { version } => (
+            format!("accepted as version {version}"),
+            ExitStatus::Success,
+        ),
         SettleReply::Void => (
             "not in force, and it never will be; send the edit anew".to_owned(),
             ExitStatus::Refused,
@@ -114,12 +115,12 @@
 ///
 /// # Errors
 ///
-/// Returns [`NodeFailure`] when the node gave no usable answer.
-pub async fn current(
+/// Returns [`NodeError`] when the node gave no usable answer.
+pub async fn find_entity(
     client: &NodeClient,
     kind: KindDoc,
     id: &str,
-) -> Result<Option<EntryDoc>, NodeFailure> {
+) -> Result<Option<EntryDoc>, NodeError> {
     let config: ConfigReply = client.get("/v1/config").await?;
     let found = config
         .entries
@@ -129,17 +130,18 @@
 }
 
 /// Tells that an entity is not there.
-pub fn missing(kind: KindDoc, id: &str) -> CommandEnd {
+pub fn not_found(kind: KindDoc, id: &str) -> CommandOutcome {
     let kind = kind.name();
     let text = format!("there is no {kind} named {id}; see: briarctl {kind} list");
-    CommandEnd::failed(ExitStatus::Missing, text)
+    CommandOutcome::failure(ExitStatus::NotFound, text)
 }
 
-fn tell_edit(reply: EditReply, is_json: bool) -> CommandEnd {
+fn tell_edit(reply: EditReply, is_json: bool) -> CommandOutcome {
     let (text, status) = match &reply {
-        EditReply::Accepted { version } => {
-            (format!("accepted as version {version}"), ExitStatus::Done)
-        }
+        EditReply::Accepted { version } => (
+            format!("accepted as version {version}"),
+            ExitStatus::Success,
+        ),
         EditReply::Refused { findings } => {
             let lines = findings
                 .iter()
@@ -173,13 +175,13 @@
     text: String,
     status: ExitStatus,
     is_json: bool,
-) -> CommandEnd {
+) -> CommandOutcome {
     let text = if is_json {
         serde_json::to_string(reply).unwrap_or(text)
     } else {
         text
     };
-    CommandEnd { text, status }
+    CommandOutcome { text, status }
 }
 
 /// Reads a document for an entity from the flags.
@@ -187,7 +189,7 @@
 /// # Errors
 ///
 /// Returns the end of the command when the flags or the file can not be understood.
-pub fn read_value(kind: KindDoc, options: &DocumentOptions) -> Result<ValueDoc, CommandEnd> {
+pub fn read_value(kind: KindDoc, options: &DocumentOptions) -> Result<ValueDoc, CommandOutcome> {
     if let (KindDoc::Organisation, Some(key)) = (kind, &options.key) {
         return Ok(ValueDoc::Organisation(OrganisationDoc {
             key_hash: key_hash(key),
@@ -197,7 +199,7 @@
     }
     let Some(file) = &options.file else {
         let text = "give the document with --file FILE, or --file - for standard input";
-        return Err(CommandEnd::failed(ExitStatus::Usage, text));
+        return Err(CommandOutcome::failure(ExitStatus::Usage, text));
     };
     let text = read_file(file)?;
     match kind {
@@ -212,7 +214,7 @@
 /// # Errors
 ///
 /// Returns the end of the command when it can not be read.
-pub fn read_file(file: &str) -> Result<String, CommandEnd> {
+pub fn read_file(file: &str) -> Result<String, CommandOutcome> {
     let read = if file == "-" {
         let mut text = String::new();
         std::io::stdin().read_to_string(&mut text).map(|_| text)
@@ -221,7 +223,7 @@
     };
     read.map_err(|error| {
         let text = format!("{file} can not be read: {error}");
-        CommandEnd::failed(ExitStatus::Usage, text)
+        CommandOutcome::failure(ExitStatus::Usage, text)
     })
 }
 
@@ -230,10 +232,10 @@
 /// # Errors
 ///
 /// Returns the end of the command with the place of the fault.
-pub fn parse<T: serde::de::DeserializeOwned>(file: &str, text: &str) -> Result<T, CommandEnd> {
+pub fn parse<T: serde::de::DeserializeOwned>(file: &str, text: &str) -> Result<T, CommandOutcome> {
     serde_json::from_str(text).map_err(|error| {
         let text = format!("{file}: {error}; see docs/INTERFACES.md for examples");
-        CommandEnd::failed(ExitStatus::Usage, text)
+        CommandOutcome::failure(ExitStatus::Usage, text)
     })
 }
 
--- a/crates/ctl/src/exit.rs
+++ b/crates/ctl/src/exit.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ExitStatus {
     /// It did what was asked.
-    Done,
+    Success,
     /// The command line or a file could not be understood.
     Usage,
     /// The edit was refused with findings.
@@ -14,22 +14,22 @@
     /// Nobody can say yet whether the edit is in force.
     Unknown,
     /// No node answered, or it answered with an error.
-    NoAnswer,
+    NodeError,
     /// What was asked for is not there.
-    Missing,
+    NotFound,
 }
 
 impl ExitStatus {
     /// Returns the process's exit code.
     pub fn code(self) -> u8 {
         match self {
-            Self::Done => 0,
+            Self::Success => 0,
             Self::Usage => 2,
             Self::Refused => 3,
             Self::Conflict => 4,
             Self::Unknown => 5,
-            Self::NoAnswer => 6,
-            Self::Missing => 7,
+            Self::NodeError => 6,
+            Self::NotFound => 7,
         }
     }
 }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -14,5 +14,5 @@
 pub mod show;
 
 pub use cli::{CtlOptions, Verb};
-pub use client::{NodeClient, NodeFailure};
+pub use client::{NodeClient, NodeError};
 pub use exit::ExitStatus;
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -2,9 +2,12 @@
 
 use std::process::ExitCode;
 
-use briarswitch_ctl::cli::{DocumentOptions, EntityAction, RulesAction, RulesTrial, StoryOptions};
+use briarswitch_ctl::cli::{
+    DocumentOptions, EntityAction, LogQueryOptions, RulesAction, RulesTryOptions,
+};
 use briarswitch_ctl::edit::{
-    current, missing, parse, read_file, read_value, send_edit, settle, CommandEnd, EditDraft,
+    find_entity, not_found, parse, read_file, read_value, send_edit, settle, CommandOutcome,
+    EditDraft,
 };
 use briarswitch_ctl::explain::{explain, read_logs, timeline, LogLine};
 use briarswitch_ctl::{show, CtlOptions, ExitStatus, NodeClient, Verb};
@@ -26,9 +29,9 @@
         .build();
     let end = match runtime {
         Ok(runtime) => runtime.block_on(run(options)),
-        Err(error) => CommandEnd::failed(ExitStatus::NoAnswer, error.to_string()),
+        Err(error) => CommandOutcome::failure(ExitStatus::NodeError, error.to_string()),
     };
-    if end.status == ExitStatus::Done {
+    if end.status == ExitStatus::Success {
         println!("{}", end.text);
     } else {
         eprintln!("{}", end.text);
@@ -36,17 +39,17 @@
     ExitCode::from(end.status.code())
 }
 
-async fn run(options: CtlOptions) -> CommandEnd {
+async fn run(options: CtlOptions) -> CommandOutcome {
     let token = options
         .token
         .or_else(|| std::env::var("BRIARCTL_TOKEN").ok());
-    let client = NodeClient::open(&options.node, token);
+    let client = NodeClient::new(&options.node, token);
     let is_json = options.json;
     let Some(verb) = options.verb else {
         let usage = CtlOptions::usage();
         let commands = CtlOptions::command_list().unwrap_or_default();
         let text = format!("briarctl [OPTIONS] COMMAND\n\n{usage}\n\n{commands}");
-        return CommandEnd::failed(ExitStatus::Usage, text);
+        return CommandOutcome::failure(ExitStatus::Usage, text);
     };
     let end = match verb {
         Verb::Organisation(options) => {
@@ -75,21 +78,24 @@
 }
 
 /// Tells a story from the logs, which needs no node.
-fn story(options: &StoryOptions, tell: impl Fn(&[LogLine], &str) -> Option<String>) -> CommandEnd {
+fn story(
+    options: &LogQueryOptions,
+    tell: impl Fn(&[LogLine], &str) -> Option<String>,
+) -> CommandOutcome {
     match read_logs(&options.files) {
-        Err(error) => CommandEnd::failed(ExitStatus::Usage, error),
+        Err(error) => CommandOutcome::failure(ExitStatus::Usage, error),
         Ok(lines) => match tell(&lines, &options.name) {
-            Some(text) => CommandEnd::done(text),
+            Some(text) => CommandOutcome::success(text),
             None => {
                 let text = format!("no line names {}", options.name);
-                CommandEnd::failed(ExitStatus::Missing, text)
+                CommandOutcome::failure(ExitStatus::NotFound, text)
             }
         },
     }
 }
 
 /// A command's end, or an early one.
-type Ending = Result<CommandEnd, CommandEnd>;
+type Ending = Result<CommandOutcome, CommandOutcome>;
 
 async fn entity(
     client: &NodeClient,
@@ -99,7 +105,7 @@
 ) -> Ending {
     let Some(action) = action else {
         let text = "expected create, show, edit, delete or list";
-        return Err(CommandEnd::failed(ExitStatus::Usage, text));
+        return Err(CommandOutcome::failure(ExitStatus::Usage, text));
     };
     match action {
         EntityAction::List(_) => {
@@ -112,8 +118,8 @@
             Ok(print(&of_kind, is_json, || show::entities(kind, &of_kind)))
         }
         EntityAction::Show(options) => {
-            let Some(entry) = current(client, kind, &options.name).await? else {
-                return Err(missing(kind, &options.name));
+            let Some(entry) = find_entity(client, kind, &options.name).await? else {
+                return Err(not_found(kind, &options.name));
             };
             let text = || {
                 format!(
@@ -160,13 +166,13 @@
 async fn rules(client: &NodeClient, action: Option<RulesAction>, is_json: bool) -> Ending {
     let Some(action) = action else {
         let text = "expected show, set or try";
-        return Err(CommandEnd::failed(ExitStatus::Usage, text));
+        return Err(CommandOutcome::failure(ExitStatus::Usage, text));
     };
     match action {
         RulesAction::Show(_) => {
-            let Some(entry) = current(client, KindDoc::Rules, RULE_LIST).await? else {
+            let Some(entry) = find_entity(client, KindDoc::Rules, RULE_LIST).await? else {
                 let text = "there are no rules; set them with: briarctl rules set --file FILE";
-                return Err(CommandEnd::failed(ExitStatus::Missing, text));
+                return Err(CommandOutcome::failure(ExitStatus::NotFound, text));
             };
             let text = || {
                 format!(
@@ -180,7 +186,7 @@
         RulesAction::Set(options) => {
             let text = read_file(&options.file)?;
             let value = ValueDoc::Rules(parse(&options.file, &text)?);
-            let held = current(client, KindDoc::Rules, RULE_LIST).await?;
+            let held = find_entity(client, KindDoc::Rules, RULE_LIST).await?;
             let draft = EditDraft {
                 kind: KindDoc::Rules,
                 id: RULE_LIST.to_owned(),
@@ -193,17 +199,17 @@
         RulesAction::Try(trial) => {
             let request = trial_request(trial)?;
             let reply: TryReply = client.post("/v1/rules/try", &request).await?;
-            Ok(print(&reply, is_json, || show::trial(&reply)))
+            Ok(print(&reply, is_json, || show::rule_match(&reply)))
         }
     }
 }
 
-fn trial_request(trial: RulesTrial) -> Result<TryRequest, CommandEnd> {
+fn trial_request(trial: RulesTryOptions) -> Result<TryRequest, CommandOutcome> {
     let mut headers = Vec::new();
     for header in &trial.header {
         let Some((name, value)) = header.split_once('=') else {
             let text = format!("--header {header}: expected NAME=VALUE");
-            return Err(CommandEnd::failed(ExitStatus::Usage, text));
+            return Err(CommandOutcome::failure(ExitStatus::Usage, text));
         };
         headers.push(HeaderDoc {
             name: name.to_owned(),
@@ -233,17 +239,17 @@
 
 async fn release(client: &NodeClient, print: &str) -> Ending {
     let released: String = client.post(&format!("/release/{print}"), &()).await?;
-    Ok(CommandEnd::done(format!("released {released}")))
+    Ok(CommandOutcome::success(format!("released {released}")))
 }
 
 async fn log_level(client: &NodeClient, level: &str) -> Ending {
     let set: String = client.post("/v1/log-level", &level).await?;
-    Ok(CommandEnd::done(format!("log level {set}")))
+    Ok(CommandOutcome::success(format!("log level {set}")))
 }
 
-fn print<T: Serialize>(value: &T, is_json: bool, text: impl FnOnce() -> String) -> CommandEnd {
+fn print<T: Serialize>(value: &T, is_json: bool, text: impl FnOnce() -> String) -> CommandOutcome {
     if is_json {
-        return CommandEnd::done(serde_json::to_string_pretty(value).unwrap_or_default());
+        return CommandOutcome::success(serde_json::to_string_pretty(value).unwrap_or_default());
     }
-    CommandEnd::done(text())
+    CommandOutcome::success(text())
 }
--- a/crates/ctl/src/show.rs
+++ b/crates/ctl/src/show.rs
@@ -147,7 +147,7 @@
 }
 
 /// Shows which rule a request would meet.
-pub fn trial(reply: &TryReply) -> String {
+pub fn rule_match(reply: &TryReply) -> String {
     let mut text = String::new();
     for passed in &reply.passed_over {
         let _ = writeln!(
