--- a/crates/ctl/tests/commands.rs
+++ b/crates/ctl/tests/commands.rs
@@ -93,7 +93,7 @@
     assert_that!(text(&refused), contains_substring("rules[1].name"));
     assert_that!(code(&refused), eq(3));
 
-    bench.platform.fault(|faults| faults.is_down = true);
+    bench.platform.update_faults(|faults| faults.is_down = true);
     let create = ["organisation", "create", "kayal", "--key", "secret"];
     let unknown = bench.run(&create, "");
     assert_that!(code(&unknown), eq(5));
@@ -106,7 +106,9 @@
         .to_owned();
     let still = bench.run(&["settle", &write], "");
     assert_that!(code(&still), eq(5));
-    bench.platform.fault(|faults| faults.is_down = false);
+    bench
+        .platform
+        .update_faults(|faults| faults.is_down = false);
     let void = bench.run(&["settle", &write], "");
     assert_that!(text(&void), contains_substring("never will be"));
     assert_that!(code(&void), eq(3));
--- a/crates/node/tests/config.rs
+++ b/crates/node/tests/config.rs
@@ -97,7 +97,9 @@
     // The lease is written too, so the fault may hit that instead; one of several edits meets it.
     let mut accepted = 0;
     for round in 0..5 {
-        cluster.platform.fault(|faults| faults.lose_answers = 2);
+        cluster
+            .platform
+            .update_faults(|faults| faults.lose_answers = 2);
         let name = format!("shop-{round}");
         let reply = cluster
             .edit(0, KindDoc::Organisation, &name, 0, organisation(&name))
@@ -123,7 +125,9 @@
         ..Plan::default()
     })
     .await;
-    cluster.platform.fault(|faults| faults.is_down = true);
+    cluster
+        .platform
+        .update_faults(|faults| faults.is_down = true);
     let request = EditRequest {
         kind: KindDoc::Organisation,
         id: "late".to_owned(),
@@ -140,7 +144,9 @@
         }))
     );
 
-    cluster.platform.fault(|faults| faults.is_down = false);
+    cluster
+        .platform
+        .update_faults(|faults| faults.is_down = false);
     let settled: Option<SettleReply> = cluster
         .operate(0, "POST", "/v1/settle", "\"write-late\"")
         .await;
@@ -218,7 +224,9 @@
         ..Plan::default()
     })
     .await;
-    cluster.platform.fault(|faults| faults.is_down = true);
+    cluster
+        .platform
+        .update_faults(|faults| faults.is_down = true);
     cluster.nodes[0].restart();
     cluster
         .wait("the restarted node is ready", async |cluster| {
@@ -240,7 +248,9 @@
     assert_that!(cluster.is_ready(1).await, eq(false));
     assert_that!(answer.code(), eq("not_ready"));
 
-    cluster.platform.fault(|faults| faults.is_down = false);
+    cluster
+        .platform
+        .update_faults(|faults| faults.is_down = false);
     cluster
         .wait("the platform gives the floor", async |cluster| {
             cluster.is_ready(1).await && cluster.version(1).await == Some(4)
@@ -267,7 +277,7 @@
             cluster.version(1).await == Some(4)
         })
         .await;
-    link.set(LinkMode::Cut);
+    link.set_mode(LinkMode::Cut);
     let mut seen = Vec::new();
     for round in 0..5 {
         let name = format!("shop-{round}");
@@ -281,7 +291,7 @@
             .await;
         seen.extend(cluster.version(1).await);
     }
-    link.set(LinkMode::Open);
+    link.set_mode(LinkMode::Open);
     for _ in 0..20 {
         seen.extend(cluster.version(1).await);
     }
--- a/crates/node/tests/crashes.rs
+++ b/crates/node/tests/crashes.rs
@@ -35,7 +35,7 @@
                 answer.is_some_and(|answer| answer.outcome() == "answered")
             })
             .await;
-        cluster.services[&name].fault(|faults| faults.breaks = 1);
+        cluster.services[&name].update_faults(|faults| faults.breaks = 1);
         cluster.call(node, "/deadly", &[]).await;
         runs += cluster.calls("/deadly");
         cluster.services.get_mut(&name).expect("a service").kill();
@@ -67,7 +67,7 @@
                 answer.is_some_and(|answer| answer.outcome() == "answered")
             })
             .await;
-        cluster.services[&name].fault(|faults| faults.breaks = 1);
+        cluster.services[&name].update_faults(|faults| faults.breaks = 1);
         let answer = cluster.call(node, "/deadly", &[]).await;
         refusal = answer.filter(|answer| answer.code() == "quarantined");
         cluster.services.get_mut(&name).expect("a service").kill();
@@ -84,9 +84,9 @@
                 "the node serves others and refuses this one",
                 async |cluster| {
                     let other = cluster.call(node, "/look", &[]).await;
-                    cluster.services[&name].fault(|faults| faults.breaks = 1);
+                    cluster.services[&name].update_faults(|faults| faults.breaks = 1);
                     let same = cluster.call(node, "/deadly", &[]).await;
-                    cluster.services[&name].fault(|faults| faults.breaks = 0);
+                    cluster.services[&name].update_faults(|faults| faults.breaks = 0);
                     other.is_some_and(|answer| answer.outcome() == "answered")
                         && same.is_some_and(|answer| answer.code() == "quarantined")
                 },
--- a/crates/node/tests/cuts.rs
+++ b/crates/node/tests/cuts.rs
@@ -28,7 +28,7 @@
     cluster.wait_routable(2).await;
 
     for link in links.values().chain([&platform]) {
-        link.set(LinkMode::Cut);
+        link.set_mode(LinkMode::Cut);
     }
     for node in 0..2 {
         cluster
@@ -48,7 +48,7 @@
     assert_that!(cluster.version(1).await, some(lt(version)));
 
     for link in links.values() {
-        link.set(LinkMode::Open);
+        link.set_mode(LinkMode::Open);
     }
     cluster
         .wait(
@@ -56,7 +56,7 @@
             async |cluster| cluster.version(1).await == Some(version),
         )
         .await;
-    platform.set(LinkMode::Open);
+    platform.set_mode(LinkMode::Open);
     cluster.wait_routable(2).await;
     check_history(&cluster.platform);
 }
@@ -77,7 +77,7 @@
     }
     cluster.wait_routable(2).await;
 
-    links[&(0, 1)].set(LinkMode::CutBack);
+    links[&(0, 1)].set_mode(LinkMode::CutReverse);
     cluster
         .wait("the deaf node drops the far group", async |cluster| {
             cluster.routable(0).await == 1
@@ -85,7 +85,7 @@
         .await;
     assert_that!(cluster.routable(1).await, eq(2));
 
-    links[&(0, 1)].set(LinkMode::Open);
+    links[&(0, 1)].set_mode(LinkMode::Open);
     cluster.wait_routable(2).await;
 }
 
@@ -105,7 +105,9 @@
     })
     .await;
     let before = cluster.status(0).await.expect("a status").controller;
-    cluster.platform.fault(|faults| faults.delay_ms = 300);
+    cluster
+        .platform
+        .update_faults(|faults| faults.delay_ms = 300);
     let writes = cluster.platform.history().len();
     cluster
         .wait("the lease is renewed several times", async |cluster| {
--- a/crates/node/tests/groups.rs
+++ b/crates/node/tests/groups.rs
@@ -207,7 +207,9 @@
         ..Plan::default()
     };
     let cluster = Cluster::start_bare(&plan).await;
-    cluster.platform.fault(|faults| faults.lose_answers = 4);
+    cluster
+        .platform
+        .update_faults(|faults| faults.lose_answers = 4);
     let cluster = cluster.configured(&plan).await;
 
     cluster.wait_routable(2).await;
@@ -226,7 +228,9 @@
         ..Plan::default()
     })
     .await;
-    cluster.platform.fault(|faults| faults.is_down = true);
+    cluster
+        .platform
+        .update_faults(|faults| faults.is_down = true);
     let writes = cluster.platform.history().len();
     cluster
         .wait("the lease is over", async |cluster| {
@@ -247,7 +251,9 @@
     assert_that!(answer.outcome(), eq("answered"));
     assert_that!(cluster.platform.history(), len(eq(writes)));
 
-    cluster.platform.fault(|faults| faults.is_down = false);
+    cluster
+        .platform
+        .update_faults(|faults| faults.is_down = false);
     cluster.wait_routable(2).await;
     check_history(&cluster.platform);
 }
@@ -276,7 +282,7 @@
     cluster.engines[&leader].thaw();
     cluster
         .wait("the returned machine is idle", async |cluster| {
-            cluster.engines[&leader].standing() == (StateDoc::Idle, None)
+            cluster.engines[&leader].status() == (StateDoc::Idle, None)
         })
         .await;
 
--- a/crates/node/tests/limits.rs
+++ b/crates/node/tests/limits.rs
@@ -218,7 +218,7 @@
     })
     .await;
     for engine in cluster.engines.values() {
-        engine.fault(|faults| faults.errors = u32::MAX);
+        engine.update_faults(|faults| faults.errors = u32::MAX);
     }
     for _ in 0..REQUESTS {
         let answer = cluster.chat(0, 1, false).await.expect("an answer");
--- a/crates/node/tests/measure.rs
+++ b/crates/node/tests/measure.rs
@@ -131,10 +131,14 @@
         let mut times = Vec::new();
         for round in 0..20 {
             let name = format!("shop-{round}");
-            cluster.platform.fault(|faults| faults.is_down = false);
+            cluster
+                .platform
+                .update_faults(|faults| faults.is_down = false);
             let value = organisation(&name);
             let version = cluster.must_edit(KindDoc::Organisation, &name, value).await;
-            cluster.platform.fault(|faults| faults.is_down = is_down);
+            cluster
+                .platform
+                .update_faults(|faults| faults.is_down = is_down);
             let start = Instant::now();
             for node in 0..6 {
                 cluster
@@ -183,11 +187,11 @@
         cluster.wait_routable(engines / 2).await;
         let link = probed.expect("a relayed machine");
         tokio::time::sleep(Duration::from_secs(2)).await;
-        let (before, bytes) = (cluster.usage_of(0), link.carried());
+        let (before, bytes) = (cluster.usage_of(0), link.bytes_forwarded());
         let peer = cluster.peer_bytes(0).await;
         let calls = cluster.platform.calls();
         tokio::time::sleep(window).await;
-        let (after, probes) = (cluster.usage_of(0), link.carried() - bytes);
+        let (after, probes) = (cluster.usage_of(0), link.bytes_forwarded() - bytes);
         let peer = cluster.peer_bytes(0).await - peer;
         let later = cluster.platform.calls();
         let seconds = window.as_secs_f64();
--- a/crates/node/tests/minted.rs
+++ b/crates/node/tests/minted.rs
@@ -35,7 +35,9 @@
 async fn minted_keys_run_once_without_the_platform() {
     const KEYS: usize = 20;
     let cluster = cluster_of(3).await;
-    cluster.platform.fault(|faults| faults.is_down = true);
+    cluster
+        .platform
+        .update_faults(|faults| faults.is_down = true);
     let mut answered = 0;
     for round in 0..KEYS {
         let key = mint(&cluster, round % 6).await;
--- a/crates/node/tests/requests.rs
+++ b/crates/node/tests/requests.rs
@@ -61,7 +61,7 @@
     })
     .await;
     for service in cluster.services.values() {
-        service.fault(|faults| faults.breaks = 1);
+        service.update_faults(|faults| faults.breaks = 1);
     }
     let answer = cluster.call(0, "/bill", &[]).await.expect("an answer");
 
@@ -75,7 +75,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_target_leaves_the_outcome_open() {
     let cluster = Cluster::start(service_plan()).await;
-    only_service(&cluster).fault(|faults| faults.silent = 1);
+    only_service(&cluster).update_faults(|faults| faults.unanswered = 1);
     let headers = [("x-deadline-ms", "300")];
     let answer = cluster.call(0, "/bill", &headers).await.expect("an answer");
 
@@ -96,9 +96,9 @@
     let status = cluster.status(0).await.expect("a status");
     let leader = &cluster.engines[&status.groups[0].members[0]];
     for fault in ["truncations", "foreign", "refusals", "errors"] {
-        leader.fault(|faults| match fault {
+        leader.update_faults(|faults| match fault {
             "truncations" => faults.truncations = 1,
-            "foreign" => faults.foreign = 1,
+            "foreign" => faults.foreign_responses = 1,
             "refusals" => faults.refusals = 1,
             _ => faults.errors = 1,
         });
@@ -124,9 +124,9 @@
     ];
     for (fault, outcome, code) in cases {
         for engine in cluster.engines.values() {
-            engine.fault(|faults| match fault {
+            engine.update_faults(|faults| match fault {
                 "truncations" => faults.truncations = 1,
-                "foreign" => faults.foreign = 1,
+                "foreign" => faults.foreign_responses = 1,
                 "refusals" => faults.refusals = 1,
                 _ => faults.errors = 1,
             });
@@ -140,7 +140,7 @@
         let ran = cluster.executions() - before;
         assert_that!(ran, eq(usize::from(outcome == "unknown")), "after {fault}");
         for engine in cluster.engines.values() {
-            engine.fault(|faults| *faults = Default::default());
+            engine.update_faults(|faults| *faults = Default::default());
         }
     }
 }
@@ -152,7 +152,7 @@
 async fn broken_stream_is_resumed_at_its_offset() {
     let cluster = Cluster::start(Plan::default()).await;
     for engine in cluster.engines.values() {
-        engine.fault(|faults| {
+        engine.update_faults(|faults| {
             faults.break_after = Some(3);
             faults.breaks = 1;
         });
@@ -172,20 +172,20 @@
 async fn stream_that_can_not_be_resumed_is_visibly_broken() {
     let cluster = Cluster::start(Plan::default()).await;
     for engine in cluster.engines.values() {
-        engine.fault(|faults| {
+        engine.update_faults(|faults| {
             faults.break_after = Some(3);
             faults.breaks = 1;
-            faults.forgets = true;
+            faults.rejects_resume = true;
         });
     }
     let broken = cluster.chat(0, 8, true).await.expect("an answer");
     assert_broken(&broken);
 
     for engine in cluster.engines.values() {
-        engine.fault(|faults| {
+        engine.update_faults(|faults| {
             *faults = Default::default();
-            faults.unmarked_ends = 1;
-            faults.forgets = true;
+            faults.missing_end_events = 1;
+            faults.rejects_resume = true;
         });
     }
     let unmarked = cluster.chat(0, 8, true).await.expect("an answer");
@@ -275,7 +275,7 @@
         ..service_plan()
     })
     .await;
-    only_service(&cluster).fault(|faults| faults.silent = 1);
+    only_service(&cluster).update_faults(|faults| faults.unanswered = 1);
     let address = cluster.callers(0);
     let headers = [
         ("authorization", "Bearer kayal-key"),
@@ -362,7 +362,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn platform_outage_refuses_keys_honestly() {
     let cluster = Cluster::start(service_plan()).await;
-    cluster.platform.fault(|faults| faults.is_down = true);
+    cluster
+        .platform
+        .update_faults(|faults| faults.is_down = true);
 
     let headers = [("idempotency-key", "order-1")];
     let keyed = cluster.call(0, "/bill", &headers).await.expect("an answer");
@@ -382,7 +384,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_answer_to_a_claim_is_read_back() {
     let cluster = Cluster::start(service_plan()).await;
-    cluster.platform.fault(|faults| faults.lose_answers = 1);
+    cluster
+        .platform
+        .update_faults(|faults| faults.lose_answers = 1);
     let mut outcomes = Vec::new();
     for _ in 0..3 {
         let headers = [("idempotency-key", "order-1")];
@@ -433,7 +437,7 @@
     })
     .await;
     let (_, leaving) = cluster.services.iter().next().expect("a service");
-    leaving.fault(|faults| faults.is_leaving = true);
+    leaving.update_faults(|faults| faults.is_leaving = true);
     for _ in 0..20 {
         let answer = cluster.call(0, "/bill", &[]).await.expect("an answer");
         assert_that!(answer.outcome(), eq("answered"));
--- a/crates/standins/examples/overhead.rs
+++ b/crates/standins/examples/overhead.rs
@@ -81,7 +81,7 @@
 /// Measures many streams at once whose tokens come at the pace of a real engine.
 async fn measure_paced(bench: &Bench, time: Duration) -> Result<(), Failure> {
     println!("\nstreams of one token every {PACE:?}");
-    bench.engine.pace(PACE);
+    bench.engine.set_token_time(PACE);
     let pid = bench.node.id();
     let idle = resident_kb(pid)?;
     for streams in [100, 500, 1000] {
--- a/crates/standins/examples/vm.rs
+++ b/crates/standins/examples/vm.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use briarswitch_http::{ApiClient, Codec};
-use briarswitch_standins::{wait_for_end, EngineSettings, EngineStandin, PlainStandin};
+use briarswitch_standins::{wait_for_shutdown_signal, EngineSettings, EngineStandin, PlainStandin};
 use briarswitch_wire::platform::VmDoc;
 
 const LIMIT: Duration = Duration::from_secs(10);
@@ -43,6 +43,6 @@
         .build()?
         .block_on(client.call::<_, ()>(http::Method::POST, &url, Some(&doc), LIMIT))?;
     println!("{kind} {name} at {address}");
-    wait_for_end()?;
+    wait_for_shutdown_signal()?;
     Ok(())
 }
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -81,17 +81,17 @@
     /// Breaks that are left to make.
     pub breaks: u32,
     /// Whether a broken stream may not be resumed.
-    pub forgets: bool,
+    pub rejects_resume: bool,
     /// Whole answers to cut short of their announced length.
     pub truncations: u32,
     /// Answers to give under another attempt's id.
-    pub foreign: u32,
+    pub foreign_responses: u32,
     /// Requests to refuse as not run.
     pub refusals: u32,
     /// Requests to run and then fail with a server error.
     pub errors: u32,
     /// Streams to end without their end mark.
-    pub unmarked_ends: u32,
+    pub missing_end_events: u32,
     /// Whether the engine says that it is leaving.
     pub is_leaving: bool,
 }
@@ -121,7 +121,7 @@
     /// Orders it took, with the time and its state after them.
     pub orders: Vec<(Instant, OrderDoc)>,
     /// Orders it refused for their fencing number.
-    pub refused_orders: usize,
+    pub rejected_orders: usize,
     /// Streams whose reader left before the end.
     pub cancelled: usize,
 }
@@ -177,7 +177,7 @@
         }));
         let frozen = Arc::new(FreezeGate::default());
         let handler = EngineHandler {
-            slots: SlotQueue::open(settings.slots),
+            slots: SlotQueue::new(settings.slots),
             settings,
             state: Arc::clone(&state),
             frozen: Arc::clone(&frozen),
@@ -196,12 +196,12 @@
     }
 
     /// Changes the faults.
-    pub fn fault(&self, change: impl FnOnce(&mut EngineFaults)) {
+    pub fn update_faults(&self, change: impl FnOnce(&mut EngineFaults)) {
         change(&mut self.lock().faults);
     }
 
     /// Changes the time to generate one token, for streams that begin from now on.
-    pub fn pace(&self, token_time: Duration) {
+    pub fn set_token_time(&self, token_time: Duration) {
         self.lock().token_time = token_time;
     }
 
@@ -211,7 +211,7 @@
     }
 
     /// Returns its state, group and generation.
-    pub fn standing(&self) -> (StateDoc, Option<(GroupId, Generation)>) {
+    pub fn status(&self) -> (StateDoc, Option<(GroupId, Generation)>) {
         let state = self.lock();
         (state.state, state.membership())
     }
@@ -323,7 +323,7 @@
     fn order(&self, order: OrderDoc) -> Response {
         let mut state = self.lock();
         if self.settings.checks_fencing && order.fence < state.fence {
-            state.record.refused_orders += 1;
+            state.record.rejected_orders += 1;
             return reply_text(StatusCode::CONFLICT, "old fencing number");
         }
         state.fence = state.fence.max(order.fence);
@@ -417,7 +417,7 @@
         let own = own.map(|(group, generation)| format!("{group}@{generation}"));
         let is_meant = group.is_none() || group == own.as_deref();
         let is_ready = state.state == StateDoc::Ready && is_meant;
-        let is_known = state.attempts.contains_key(attempt) && !state.faults.forgets;
+        let is_known = state.attempts.contains_key(attempt) && !state.faults.rejects_resume;
         let is_lost = resume.is_some() && !is_known;
         let is_refused = use_up(&mut state.faults.refusals);
         if is_ready && !is_lost && !is_refused {
@@ -459,7 +459,7 @@
     }
 
     fn shown_attempt(&self, attempt: &str) -> String {
-        if use_up(&mut self.lock().faults.foreign) {
+        if use_up(&mut self.lock().faults.foreign_responses) {
             return "someone-else".to_owned();
         }
         attempt.to_owned()
@@ -509,7 +509,7 @@
             } else {
                 None
             },
-            is_marked: !use_up(&mut state.faults.unmarked_ends),
+            is_marked: !use_up(&mut state.faults.missing_end_events),
         }
     }
 
--- a/crates/standins/src/host.rs
+++ b/crates/standins/src/host.rs
@@ -24,7 +24,7 @@
 /// # Errors
 ///
 /// Returns the operating system's error when signals can not be received.
-pub fn wait_for_end() -> io::Result<()> {
+pub fn wait_for_shutdown_signal() -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -21,7 +21,7 @@
 mod tokens;
 
 pub use engine::{EngineFaults, EngineRecord, EngineSettings, EngineStandin, Execution};
-pub use host::{wait_for_end, StandinHost};
+pub use host::{wait_for_shutdown_signal, StandinHost};
 pub use plain::{PlainFaults, PlainStandin, ServiceCall};
 pub use platform::{PlatformFaults, PlatformStandin, WriteRecord};
 pub use relay::{LinkMode, LinkRelay};
--- a/crates/standins/src/plain.rs
+++ b/crates/standins/src/plain.rs
@@ -24,9 +24,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct PlainFaults {
     /// Calls to run without ever answering.
-    pub silent: u32,
+    pub unanswered: u32,
     /// Time to spend on each call.
-    pub work: Duration,
+    pub processing_time: Duration,
     /// Calls to run and then break off without an answer.
     pub breaks: u32,
     /// Whether the service says that it is leaving, and runs nothing.
@@ -95,7 +95,7 @@
     }
 
     /// Changes the faults.
-    pub fn fault(&self, change: impl FnOnce(&mut PlainFaults)) {
+    pub fn update_faults(&self, change: impl FnOnce(&mut PlainFaults)) {
         change(&mut self.lock().faults);
     }
 
@@ -124,9 +124,9 @@
     }
 }
 
-enum CallFate {
-    Answer(usize),
-    Silence,
+enum CallOutcome {
+    Respond(usize),
+    NoResponse,
     Break,
     NotRun,
 }
@@ -136,11 +136,11 @@
         self.state.lock().expect("service state")
     }
 
-    fn run(&self, headers: &HeaderMap, path: &str) -> (CallFate, Duration) {
+    fn run(&self, headers: &HeaderMap, path: &str) -> (CallOutcome, Duration) {
         let mut state = self.lock();
-        let work = state.faults.work;
+        let work = state.faults.processing_time;
         if state.faults.is_leaving {
-            return (CallFate::NotRun, Duration::ZERO);
+            return (CallOutcome::NotRun, Duration::ZERO);
         }
         state.calls.push(ServiceCall {
             attempt: text_of(headers, ATTEMPT_HEADER).unwrap_or_default(),
@@ -148,15 +148,15 @@
             path: path.to_owned(),
             at: Instant::now(),
         });
-        if state.faults.silent > 0 {
-            state.faults.silent -= 1;
-            return (CallFate::Silence, work);
+        if state.faults.unanswered > 0 {
+            state.faults.unanswered -= 1;
+            return (CallOutcome::NoResponse, work);
         }
         if state.faults.breaks > 0 {
             state.faults.breaks -= 1;
-            return (CallFate::Break, work);
+            return (CallOutcome::Break, work);
         }
-        (CallFate::Answer(state.calls.len()), work)
+        (CallOutcome::Respond(state.calls.len()), work)
     }
 
     fn report(&self) -> ReportDoc {
@@ -192,14 +192,14 @@
             }
             let attempt = head.headers.get(ATTEMPT_HEADER).cloned();
             let mut reply = match fate {
-                CallFate::Answer(count) => {
+                CallOutcome::Respond(count) => {
                     let text = String::from_utf8_lossy(&bytes);
                     let answer = serde_json::json!({"vm": self.vm, "count": count, "echo": text});
                     reply_json(StatusCode::OK, &answer)
                 }
-                CallFate::Silence => std::future::pending().await,
-                CallFate::Break => broken_reply(),
-                CallFate::NotRun => refusal(),
+                CallOutcome::NoResponse => std::future::pending().await,
+                CallOutcome::Break => broken_reply(),
+                CallOutcome::NotRun => refusal(),
             };
             if let Some(attempt) = attempt {
                 reply.headers_mut().insert(ATTEMPT_HEADER, attempt);
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -100,7 +100,7 @@
     }
 
     /// Changes the faults.
-    pub fn fault(&self, change: impl FnOnce(&mut PlatformFaults)) {
+    pub fn update_faults(&self, change: impl FnOnce(&mut PlatformFaults)) {
         change(&mut self.lock().faults);
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// Takes a machine off the list.
-    pub fn drop_vm(&self, id: &str) {
+    pub fn remove_vm(&self, id: &str) {
         let mut state = self.lock();
         state.vms.remove(id);
         state.note_list();
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -23,7 +23,7 @@
     /// Swallows what is sent either way and keeps connections open, as a lost route does.
     Cut,
     /// Swallows what flows back from the far side.
-    CutBack,
+    CutReverse,
     /// Carries everything after a delay, in milliseconds.
     Slow(u64),
     /// Closes every connection and accepts none.
@@ -74,12 +74,12 @@
     }
 
     /// Returns the bytes carried, both ways.
-    pub fn carried(&self) -> u64 {
+    pub fn bytes_forwarded(&self) -> u64 {
         self.carried.load(Ordering::Relaxed)
     }
 
     /// Changes what the link does, for open connections too.
-    pub fn set(&self, mode: LinkMode) {
+    pub fn set_mode(&self, mode: LinkMode) {
         let _ = self.mode.send(mode);
     }
 }
@@ -145,7 +145,7 @@
         let present = *mode.borrow();
         match present {
             LinkMode::Cut => continue,
-            LinkMode::CutBack if is_back => continue,
+            LinkMode::CutReverse if is_back => continue,
             LinkMode::Slow(delay) => tokio::time::sleep(Duration::from_millis(delay)).await,
             _ => {}
         }
--- a/crates/standins/src/slots.rs
+++ b/crates/standins/src/slots.rs
@@ -28,7 +28,7 @@
 }
 
 impl SlotQueue {
-    pub(crate) fn open(places: usize) -> Self {
+    pub(crate) fn new(places: usize) -> Self {
         Self {
             state: Arc::new(Mutex::new(SlotState {
                 free: places,
