--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -1,27 +1,27 @@
-//! The client's command line.
+//! Command-line options.
 
 use gumdrop::Options;
 
 /// Options of `briarctl`.
 #[derive(Debug, Options)]
 pub struct CtlOptions {
-    /// Prints the usage.
+    /// Whether to print the usage.
     #[options(help = "print this help")]
     pub help: bool,
-    /// Operator listener of any node.
+    /// Address of the operator listener of any node.
     #[options(
-        help = "operator listener of any node",
+        help = "address of the operator listener of any node",
         meta = "IP:PORT",
         default = "127.0.0.1:7200"
     )]
     pub node: String,
-    /// Operator credential; `BRIARCTL_TOKEN` when absent.
+    /// Operator credential; defaults to `BRIARCTL_TOKEN`.
     #[options(help = "operator credential (or set BRIARCTL_TOKEN)", meta = "TOKEN")]
     pub token: Option<String>,
-    /// Prints JSON for programs.
-    #[options(help = "print JSON for programs")]
+    /// Whether to print JSON.
+    #[options(help = "print JSON output")]
     pub json: bool,
-    /// What to do.
+    /// Command to run.
     #[options(command)]
     pub verb: Option<Verb>,
 }
@@ -29,63 +29,67 @@
 /// Commands.
 #[derive(Debug, Options)]
 pub enum Verb {
-    /// Organisations.
+    /// Commands for organisations.
     #[options(help = "create, show, edit, delete or list organisations")]
     Organisation(EntityOptions),
-    /// Deployments.
+    /// Commands for deployments.
     #[options(help = "create, show, edit, delete or list deployments")]
     Deployment(EntityOptions),
-    /// The rule list.
-    #[options(help = "show or set the rules, or try them on a request")]
+    /// Commands for the rule list.
+    #[options(help = "show or replace the rules, or evaluate them for a request")]
     Rules(RulesOptions),
-    /// Status.
-    #[options(help = "show zones, groups, versions in force and the two measures")]
+    /// Shows the status of the system.
+    #[options(
+        help = "show zones, groups, configuration versions, group downtime and stranded accelerators"
+    )]
     Status(PlainOptions),
-    /// Plan.
-    #[options(help = "show what the zone's controller would do next, and why")]
+    /// Shows the plan of the zone's controller.
+    #[options(help = "show the next steps of the zone's controller and their reasons")]
     Plan(PlainOptions),
-    /// Usage.
-    #[options(help = "show metered use by organisation")]
+    /// Shows metered usage.
+    #[options(help = "show metered usage by organisation")]
     Usage(PlainOptions),
-    /// Costs of what a fleet's node knows.
+    /// Shows the resources a fleet node spends on coordination.
     #[options(
-        help = "show what knowing the other nodes costs a fleet's node; --node is its metrics listener"
+        help = "show what coordination with other nodes costs a fleet node; --node is its metrics listener"
     )]
     Costs(PlainOptions),
-    /// Release of a quarantined request.
+    /// Releases a request from quarantine.
     #[options(
-        help = "let a quarantined request run again; --node is a fleet's node's metrics listener"
+        help = "release a request from quarantine; --node is the metrics listener of a fleet node"
     )]
     Release(NameOptions),
-    /// State dump.
+    /// Dumps the node's state.
     #[options(help = "dump the node's state as JSON")]
     Dump(PlainOptions),
-    /// Settling of a lost answer.
-    #[options(help = "settle an edit whose answer was unknown")]
+    /// Settles an edit whose response was lost.
+    #[options(help = "find out whether an edit with unknown result is in force")]
     Settle(NameOptions),
-    /// One request's story from the logs.
-    #[options(help = "tell from the nodes' logs what became of a request, and why")]
+    /// Shows the log lines of one request.
+    #[options(
+        help = "show the log lines of a request from all nodes, and the cause of its outcome"
+    )]
     Explain(LogQueryOptions),
-    /// One group's story from the logs.
-    #[options(help = "tell from the nodes' logs what became of a group")]
+    /// Shows the log lines of one group.
+    #[options(help = "show the log lines of a group from all nodes")]
     Timeline(LogQueryOptions),
-    /// Log level.
+    /// Changes the log level.
     #[options(help = "change the node's log level")]
     LogLevel(NameOptions),
 }
 
-/// A command without arguments.
+/// Options of a command without arguments.
 #[derive(Debug, Options)]
 pub struct PlainOptions {
-    /// Prints the usage.
+    /// Whether to print the usage.
     #[options(help = "print this help")]
     pub help: bool,
 }
 
-/// A command that takes one name.
+/// Options of a command that takes one name.
 #[derive(Debug, Options)]
 pub struct NameOptions {
-    /// Prints the usage.
+    /// Whether to print the usage.
     #[options(help = "print this help")]
     pub help: bool,
     /// The name.
@@ -93,27 +97,27 @@
     pub name: String,
 }
 
-/// What to look for in the logs, and where.
+/// Options of a query on log files.
 #[derive(Debug, Options)]
 pub struct LogQueryOptions {
-    /// Whether to print help.
+    /// Whether to print the usage.
     #[options(help = "print this help")]
     pub help: bool,
     /// A request's id or a group's name.
     #[options(free, required)]
     pub name: String,
-    /// Log files; standard input where none is named.
+    /// Log files; standard input if there are none.
     #[options(free)]
     pub files: Vec<String>,
 }
 
-/// What is done with an organisation or deployment.
+/// Options of the commands for organisations and deployments.
 #[derive(Debug, Options)]
 pub struct EntityOptions {
-    /// Prints the usage.
+    /// Whether to print the usage.
     #[options(help = "print this help")]
     pub help: bool,
-    /// Action.
+    /// Action to perform.
     #[options(command, required)]
     pub action: Option<EntityAction>,
 }
@@ -121,70 +125,70 @@
 /// Actions on organisations and deployments.
 #[derive(Debug, Options)]
 pub enum EntityAction {
-    /// Creates one.
+    /// Creates an entity.
     #[options(help = "create one")]
     Create(DocumentOptions),
-    /// Replaces one's text.
-    #[options(help = "replace one's text")]
+    /// Replaces the document of an entity.
+    #[options(help = "replace the document of one")]
     Edit(DocumentOptions),
-    /// Shows one.
+    /// Shows an entity.
     #[options(help = "show one")]
     Show(NameOptions),
-    /// Deletes one.
+    /// Deletes an entity.
     #[options(help = "delete one")]
     Delete(DeleteOptions),
-    /// Lists all.
+    /// Lists all entities of the kind.
     #[options(help = "list all")]
     List(PlainOptions),
 }
 
-/// A command that takes a document.
+/// Options of a command that takes a document.
 #[derive(Debug, Options)]
 pub struct DocumentOptions {
-    /// Prints the usage.
+    /// Whether to print the usage.
     #[options(help = "print this help")]
     pub help: bool,
     /// Name of the entity.
     #[options(free, required)]
     pub name: String,
-    /// File that holds the document; `-` reads standard input.
+    /// File with the document; `-` reads standard input.
     #[options(help = "JSON document; - reads standard input", meta = "FILE")]
     pub file: Option<String>,
-    /// Key of an organisation, hashed before it is sent.
+    /// API key of an organisation; only its hash is sent.
     #[options(
-        help = "an organisation's key; it is hashed before it is sent",
+        help = "API key of an organisation; only its hash is sent",
         meta = "KEY"
     )]
     pub key: Option<String>,
-    /// Weight of an organisation given by its key.
-    #[options(help = "an organisation's weight, with --key", meta = "N")]
+    /// Weight of an organisation that is created with `key`.
+    #[options(help = "weight of an organisation, with --key", meta = "N")]
     pub weight: Option<u32>,
-    /// Version the edit was made against.
-    #[options(help = "version the edit was made against", meta = "VERSION")]
+    /// Version that the edit is based on.
+    #[options(help = "version that the edit is based on", meta = "VERSION")]
     pub base: Option<u64>,
 }
 
-/// A deletion.
+/// Options of a deletion.
 #[derive(Debug, Options)]
 pub struct DeleteOptions {
-    /// Prints the usage.
+    /// Whether to print the usage.
     #[options(help = "print this help")]
     pub help: bool,
     /// Name of the entity.
     #[options(free, required)]
     pub name: String,
-    /// Version the edit was made against.
-    #[options(help = "version the edit was made against", meta = "VERSION")]
+    /// Version that the edit is based on.
+    #[options(help = "version that the edit is based on", meta = "VERSION")]
     pub base: Option<u64>,
 }
 
-/// What is done with the rules.
+/// Options of the commands for rules.
 #[derive(Debug, Options)]
 pub struct RulesOptions {
-    /// Prints the usage.
+    /// Whether to print the usage.
     #[options(help = "print this help")]
     pub help: bool,
-    /// Action.
+    /// Action to perform.
     #[options(command, required)]
     pub action: Option<RulesAction>,
 }
@@ -192,56 +196,59 @@
 /// Actions on the rules.
 #[derive(Debug, Options)]
 pub enum RulesAction {
-    /// Shows them.
+    /// Shows the rules.
     #[options(help = "show the rules in order")]
     Show(PlainOptions),
-    /// Replaces them.
-    #[options(help = "replace the whole list")]
+    /// Replaces the rules.
+    #[options(help = "replace the list of rules")]
     Set(RulesSetOptions),
-    /// Tries them.
-    #[options(help = "tell which rule a request would meet, and why")]
+    /// Evaluates the rules for a request.
+    #[options(help = "show which rule a request would match, and why")]
     Try(RulesTryOptions),
 }
 
-/// A new rule list.
+/// Options of `rules set`.
 #[derive(Debug, Options)]
 pub struct RulesSetOptions {
-    /// Prints the usage.
+    /// Whether to print the usage.
     #[options(help = "print this help")]
     pub help: bool,
-    /// File that holds the list; `-` reads standard input.
+    /// File with the list; `-` reads standard input.
     #[options(help = "JSON list; - reads standard input", meta = "FILE", required)]
     pub file: String,
-    /// Version the edit was made against.
-    #[options(help = "version the edit was made against", meta = "VERSION")]
+    /// Version that the edit is based on.
+    #[options(help = "version that the edit is based on", meta = "VERSION")]
     pub base: Option<u64>,
 }
 
-/// A request to try the rules on.
+/// Options of `rules try`: the properties of a hypothetical request.
 #[derive(Debug, Options)]
 pub struct RulesTryOptions {
-    /// Prints the usage.
+    /// Whether to print the usage.
     #[options(help = "print this help")]
     pub help: bool,
-    /// Organisation that would call.
-    #[options(help = "organisation that would call", meta = "NAME")]
+    /// Organisation of the caller.
+    #[options(help = "organisation of the caller", meta = "NAME")]
     pub organisation: String,
-    /// Deployment asked for.
-    #[options(help = "deployment asked for", meta = "NAME")]
+    /// Deployment that the request names.
+    #[options(help = "deployment that the request names", meta = "NAME")]
     pub asked: String,
-    /// Headers.
+    /// Headers of the request.
     #[options(help = "a header; may be repeated", meta = "NAME=VALUE")]
     pub header: Vec<String>,
-    /// Bytes of the body.
-    #[options(help = "bytes of the body", meta = "N")]
+    /// Size of the body in bytes.
+    #[options(help = "size of the body in bytes", meta = "N")]
     pub bytes: u64,
-    /// Zone.
+    /// Zone of the node.
     #[options(help = "zone of the node", meta = "ZONE")]
     pub zone: Option<String>,
-    /// Minute of the day.
+    /// Minute of the UTC day.
     #[options(help = "minute of the UTC day", meta = "N")]
     pub minute: Option<u16>,
-    /// Draw for percentages.
-    #[options(help = "draw from 0 to 99 for percentages", meta = "N")]
+    /// Number from 0 to 99 that is compared with the percentages of rules.
+    #[options(
+        help = "number from 0 to 99 that is compared with the percentages of rules",
+        meta = "N"
+    )]
     pub draw: u8,
 }
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to a node's operator listener.
+//! Client for a node's operator listener.
 
 use std::time::Duration;
 
@@ -7,36 +7,36 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// Time to wait for a node.
-const LIMIT: Duration = Duration::from_secs(20);
+/// Timeout of a call to a node.
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Why a node gave no usable answer.
+/// Error of a call to a node.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum NodeError {
-    /// It was not reached, or broke off.
-    #[error("no answer from {node}: {error}; try another node with --node")]
-    NoResponse {
-        /// Address called.
+    /// The call failed: there was no response, an error status or an invalid body.
+    #[error("call to {node} failed: {error}; try another node with --node")]
+    CallFailed {
+        /// Address of the node.
         node: String,
-        /// What happened.
+        /// Error of the call.
         error: CallError,
     },
-    /// The credential is not the operators'.
-    #[error("{node} does not know this credential; give --token or set BRIARCTL_TOKEN")]
+    /// The node rejected the credential.
+    #[error("{node} rejected the credential; give --token or set BRIARCTL_TOKEN")]
     Unauthorized {
-        /// Address called.
+        /// Address of the node.
         node: String,
     },
 }
 
-/// Speaks with one node.
+/// Client for one node.
 pub struct NodeClient {
     node: String,
     client: ApiClient,
 }
 
 impl NodeClient {
-    /// Opens a client for a node's operator listener.
+    /// Creates a client for a node's operator listener.
     pub fn new(node: &str, token: Option<String>) -> Self {
         Self {
             node: node.to_owned(),
@@ -44,20 +44,20 @@
         }
     }
 
-    /// Reads something.
+    /// Sends a GET request and decodes the response.
     ///
     /// # Errors
     ///
-    /// Returns [`NodeError`] when the node gave no usable answer.
+    /// Returns [`NodeError`] if there is no valid response.
     pub async fn get<R: DeserializeOwned>(&self, path: &str) -> Result<R, NodeError> {
         self.call(Method::GET, path, None::<&()>).await
     }
 
-    /// Sends something.
+    /// Sends a POST request and decodes the response.
     ///
     /// # Errors
     ///
-    /// Returns [`NodeError`] when the node gave no usable answer.
+    /// Returns [`NodeError`] if there is no valid response.
     pub async fn post<Q: Serialize, R: DeserializeOwned>(
         &self,
         path: &str,
@@ -73,12 +73,12 @@
         body: Option<&Q>,
     ) -> Result<R, NodeError> {
         let url = format!("http://{}{path}", self.node);
-        let result = self.client.call(method, &url, body, LIMIT).await;
+        let result = self.client.call(method, &url, body, CALL_TIMEOUT).await;
         result.map_err(|error| {
             let node = self.node.clone();
             match error {
                 CallError::Status { status: 401, .. } => NodeError::Unauthorized { node },
-                error => NodeError::NoResponse { node, error },
+                error => NodeError::CallFailed { node, error },
             }
         })
     }
--- a/crates/ctl/src/edit.rs
+++ b/crates/ctl/src/edit.rs
@@ -1,4 +1,4 @@
-//! Edits: building them from files and flags, and telling how they ended.
+//! Edits: building them from files and flags, sending them, and reporting their results.
 
 use std::fs;
 use std::io::Read as _;
@@ -11,17 +11,17 @@
 use crate::client::{NodeClient, NodeError};
 use crate::exit::ExitStatus;
 
-/// What a command prints and how it ends.
+/// Output and exit status of a command.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CommandOutcome {
     /// Text to print.
     pub text: String,
-    /// How it ended.
+    /// Exit status.
     pub status: ExitStatus,
 }
 
 impl CommandOutcome {
-    /// Makes the end of a command that did what was asked.
+    /// Creates the outcome of a successful command.
     pub fn success(text: impl Into<String>) -> Self {
         Self {
             text: text.into(),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Makes the end of a command that did not.
+    /// Creates the outcome of a failed command.
     pub fn failure(status: ExitStatus, text: impl Into<String>) -> Self {
         Self {
             text: text.into(),
@@ -44,24 +44,24 @@
     }
 }
 
-/// One edit before its base is known.
+/// An edit whose base version may not be known yet.
 pub struct EditDraft {
     /// Kind of the entity.
     pub kind: KindDoc,
     /// Name of the entity.
     pub id: String,
-    /// Text wanted.
+    /// Requested value.
     pub value: ValueDoc,
-    /// Version it was made against, if the operator said so.
+    /// Version that the edit is based on, if given by the operator.
     pub base: Option<u64>,
-    /// Whether the entity must be new.
+    /// Whether the edit creates the entity.
     pub is_new: bool,
 }
 
-/// Sends an edit and tells how it ended.
+/// Sends an edit and returns its outcome.
 ///
-/// Without a base the version that the node has in force now is taken, so an edit by somebody else
-/// in between still ends in a conflict.
+/// Without a base version, the version currently in force at the node is used, so a concurrent edit
+/// still causes a conflict.
 pub async fn send_edit(client: &NodeClient, draft: EditDraft, is_json: bool) -> CommandOutcome {
     let base = match draft.base {
         Some(base) => base,
@@ -81,14 +81,14 @@
     };
     let write = request.write.clone();
     match client.post::<_, EditReply>("/v1/edit", &request).await {
-        Ok(reply) => tell_edit(reply, is_json),
+        Ok(reply) => edit_outcome(reply, is_json),
         // The node may have written the edit before the connection broke.
-        Err(NodeError::NoResponse { .. }) => tell_edit(EditReply::Unknown { write }, is_json),
+        Err(NodeError::CallFailed { .. }) => edit_outcome(EditReply::Unknown { write }, is_json),
         Err(failure) => failure.into(),
     }
 }
 
-/// Settles an edit whose answer was unknown.
+/// Queries the final result of an edit whose response was lost.
 pub async fn settle(client: &NodeClient, write: &str, is_json: bool) -> CommandOutcome {
     let reply: SettleReply = match client.post("/v1/settle", &write).await {
         Ok(reply) => reply,
@@ -100,22 +100,22 @@
             ExitStatus::Success,
         ),
         SettleReply::Void => (
-            "not in force, and it never will be; send the edit anew".to_owned(),
+            "not in force, and it never will be; send the edit again".to_owned(),
             ExitStatus::Refused,
         ),
         SettleReply::Unknown => (
-            format!("the platform gives no answer; try again: briarctl settle {write}"),
+            format!("the platform does not respond; try again: briarctl settle {write}"),
             ExitStatus::Unknown,
         ),
     };
-    end_with(&reply, text, status, is_json)
+    outcome_of(&reply, text, status, is_json)
 }
 
-/// Finds an entity in the configuration that the node has in force.
+/// Finds an entity in the configuration in force at the node.
 ///
 /// # Errors
 ///
-/// Returns [`NodeError`] when the node gave no usable answer.
+/// Returns [`NodeError`] if there is no valid response.
 pub async fn find_entity(
     client: &NodeClient,
     kind: KindDoc,
@@ -129,14 +129,14 @@
     Ok(found)
 }
 
-/// Tells that an entity is not there.
+/// Returns the outcome for an entity that does not exist.
 pub fn not_found(kind: KindDoc, id: &str) -> CommandOutcome {
     let kind = kind.name();
     let text = format!("there is no {kind} named {id}; see: briarctl {kind} list");
     CommandOutcome::failure(ExitStatus::NotFound, text)
 }
 
-fn tell_edit(reply: EditReply, is_json: bool) -> CommandOutcome {
+fn edit_outcome(reply: EditReply, is_json: bool) -> CommandOutcome {
     let (text, status) = match &reply {
         EditReply::Accepted { version } => (
             format!("accepted as version {version}"),
@@ -157,20 +157,20 @@
             let current = current.as_ref().map(ToString::to_string);
             let text = format!(
                 "conflict: edited by another operator, now at version {version}\n  in force: {}\n  \
-                 wanted:   {wanted}\nlook at it and edit again with --base {version}",
+                 wanted:   {wanted}\ncompare both and edit again with --base {version}",
                 current.unwrap_or_else(|| "nothing".to_owned())
             );
             (text, ExitStatus::Conflict)
         }
         EditReply::Unknown { write } => (
-            format!("unknown: no answer from the platform; run: briarctl settle {write}"),
+            format!("unknown: no response from the platform; run: briarctl settle {write}"),
             ExitStatus::Unknown,
         ),
     };
-    end_with(&reply, text, status, is_json)
+    outcome_of(&reply, text, status, is_json)
 }
 
-fn end_with<T: serde::Serialize>(
+fn outcome_of<T: serde::Serialize>(
     reply: &T,
     text: String,
     status: ExitStatus,
@@ -184,11 +184,11 @@
     CommandOutcome { text, status }
 }
 
-/// Reads a document for an entity from the flags.
+/// Builds the value of an entity from the flags.
 ///
 /// # Errors
 ///
-/// Returns the end of the command when the flags or the file can not be understood.
+/// Returns the outcome of the command if the flags or the file are invalid.
 pub fn read_value(kind: KindDoc, options: &DocumentOptions) -> Result<ValueDoc, CommandOutcome> {
     if let (KindDoc::Organisation, Some(key)) = (kind, &options.key) {
         return Ok(ValueDoc::Organisation(OrganisationDoc {
@@ -213,7 +213,7 @@
 ///
 /// # Errors
 ///
-/// Returns the end of the command when it can not be read.
+/// Returns the outcome of the command if the file cannot be read.
 pub fn read_file(file: &str) -> Result<String, CommandOutcome> {
     let read = if file == "-" {
         let mut text = String::new();
@@ -222,16 +222,16 @@
         fs::read_to_string(file)
     };
     read.map_err(|error| {
-        let text = format!("{file} can not be read: {error}");
+        let text = format!("cannot read {file}: {error}");
         CommandOutcome::failure(ExitStatus::Usage, text)
     })
 }
 
-/// Parses a document.
+/// Parses a JSON document.
 ///
 /// # Errors
 ///
-/// Returns the end of the command with the place of the fault.
+/// Returns the outcome of the command, with the position of the error.
 pub fn parse<T: serde::de::DeserializeOwned>(file: &str, text: &str) -> Result<T, CommandOutcome> {
     serde_json::from_str(text).map_err(|error| {
         let text = format!("{file}: {error}; see docs/INTERFACES.md for examples");
--- a/crates/ctl/src/exit.rs
+++ b/crates/ctl/src/exit.rs
@@ -1,26 +1,26 @@
 //! Exit codes, as `docs/OPERATIONS.md` lists them.
 
-/// How a command ended.
+/// Exit status of a command.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ExitStatus {
-    /// It did what was asked.
+    /// The command succeeded.
     Success,
-    /// The command line or a file could not be understood.
+    /// The command line or an input file is invalid.
     Usage,
-    /// The edit was refused with findings.
+    /// The edit was refused because it is invalid or can no longer be applied.
     Refused,
-    /// Another edit came first.
+    /// A concurrent edit changed the same entity first.
     Conflict,
-    /// Nobody can say yet whether the edit is in force.
+    /// It is not known yet whether the edit is in force.
     Unknown,
-    /// No node answered, or it answered with an error.
+    /// The node did not respond, or responded with an error.
     NodeError,
-    /// What was asked for is not there.
+    /// The requested entity or log entry does not exist.
     NotFound,
 }
 
 impl ExitStatus {
-    /// Returns the process's exit code.
+    /// Returns the exit code of the process.
     pub fn code(self) -> u8 {
         match self {
             Self::Success => 0,
--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -1,76 +1,85 @@
-//! Gathers the log lines of one request or one group from all nodes and names what decided.
+//! Collects the log lines of one request or group from the logs of all nodes and explains the outcome
+//! of requests.
 
 use std::io::{self, Read};
 
 use indexmap::IndexMap;
 
-/// One log line as its pairs.
+/// One log line, parsed into key-value pairs.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LogLine {
     fields: IndexMap<String, String>,
 }
 
-/// What a reason in the logs means, and where to look next.
-///
-/// The codes are those of `request_ended` and `attempt_failed`.
+/// Reason codes of `request_ended` and `attempt_failed`, each with an explanation and, where useful,
+/// the log events to check next.
 const REASONS: &[(&str, &str)] = &[
     (
         "no_target",
-        "no target had a free place in time; look at domain_state for the groups that were open",
+        "no target had a free slot in time; check domain_state for the groups that were open",
     ),
     (
         "queue_deadline",
-        "its time was over before a place came free",
+        "the request timed out before a slot became free",
     ),
     (
         "connect",
-        "the target could not be reached; nothing was sent",
+        "the connection to the target could not be opened; nothing was sent",
     ),
     (
         "closed_before_send",
-        "a kept connection was found closed; nothing was sent",
+        "a pooled connection was found closed; nothing was sent",
+    ),
+    (
+        "target_refused",
+        "the target reported that it did not run the request",
     ),
-    ("target_refused", "the target said that it did not run it"),
     (
         "broken_before_head",
-        "the connection broke, or the target fell silent, after the request was sent",
+        "the connection failed, or the target stopped responding, after the request was sent",
+    ),
+    ("answer_deadline", "the target did not respond in time"),
+    (
+        "foreign_answer",
+        "the response has the id of another attempt",
     ),
-    ("answer_deadline", "the target did not answer in time"),
-    ("foreign_answer", "the answer carried another attempt's id"),
     (
         "truncated",
-        "the answer ended too early or was not as the target made it",
+        "the response was incomplete or was altered on the way",
     ),
-    ("target_error", "the target failed"),
+    ("target_error", "the target responded with an error"),
     (
         "stream_silent",
-        "the whole group fell silent; look for target_suspected and target_silent",
+        "the whole group stopped responding; check target_suspected and target_silent",
     ),
     (
         "stream_broken",
-        "the stream broke off and could not go on elsewhere",
+        "the stream was interrupted and could not be resumed on another target",
     ),
     (
         "the key is not known",
-        "no configuration in force has the key; compare config with the version that holds it",
+        "the key is not in the configuration in force; compare config with the version that has it",
     ),
     (
         "no rule takes this host and path",
-        "no rule of the configuration in force matches; compare config",
+        "no rule of the configuration in force matches; compare config with the latest version",
     ),
     (
         "nobody can say whether the key still holds",
-        "the node had not reached the store for too long; look for dependency_lost",
+        "the node had no contact with the store for too long; check dependency_lost",
+    ),
+    (
+        "no configuration is known yet",
+        "the node had just started and had not received a configuration",
     ),
-    ("no configuration is known yet", "the node had just started"),
     (
         "this node is shutting down",
-        "the node was told to end; look for shutdown_begun",
+        "the node received a termination signal; check shutdown_begun",
     ),
 ];
 
 impl LogLine {
-    /// Parses a line; `None` if it is no line of the logs.
+    /// Parses a line; returns `None` if it is not a log line with an event.
     ///
     /// ```
     /// use briarswitch_ctl::explain::LogLine;
@@ -91,7 +100,7 @@
         fields.contains_key("event").then_some(Self { fields })
     }
 
-    /// Returns a field's value, empty where there is none.
+    /// Returns the value of a field, or an empty string if it is absent.
     pub fn get(&self, field: &str) -> &str {
         self.fields.get(field).map_or("", String::as_str)
     }
@@ -125,25 +134,25 @@
     };
     let mut value = String::new();
     let mut is_escaped = false;
-    for (index, letter) in quoted.char_indices() {
-        match letter {
+    for (index, character) in quoted.char_indices() {
+        match character {
             _ if is_escaped => {
-                value.push(letter);
+                value.push(character);
                 is_escaped = false;
             }
             '\\' => is_escaped = true,
             '"' => return (value, &quoted[index + 1..]),
-            _ => value.push(letter),
+            _ => value.push(character),
         }
     }
     (value, "")
 }
 
-/// Reads log files, or standard input where none is named.
+/// Reads log files, or standard input if `files` is empty.
 ///
 /// # Errors
 ///
-/// Returns the first file that can not be read, and why.
+/// Returns a message with the first file that cannot be read and the cause.
 pub fn read_logs(files: &[String]) -> Result<Vec<LogLine>, String> {
     let mut texts = Vec::new();
     for file in files {
@@ -160,42 +169,42 @@
     Ok(lines.filter_map(LogLine::parse).collect())
 }
 
-/// Returns the story of one request, or `None` if no line names it.
+/// Returns the log lines of a request and its outcome, or `None` if no line mentions it.
 pub fn explain(lines: &[LogLine], request: &str) -> Option<String> {
-    let story = told(lines, "request", request)?;
-    let last = story
+    let found = lines_of(lines, "request", request)?;
+    let last = found
         .iter()
         .rfind(|line| line.get("event") == "request_ended");
-    let cause = last.map_or_else(
-        || "the request has not ended in these logs".to_owned(),
-        |line| cause_of(line),
+    let outcome = last.map_or_else(
+        || "the logs contain no end of the request".to_owned(),
+        |line| explain_outcome(line),
     );
-    Some(format!("{}\n\n{cause}", print(&story)))
+    Some(format!("{}\n\n{outcome}", format_lines(&found)))
 }
 
-/// Returns the story of one group, or `None` if no line names it.
+/// Returns the log lines of a group, or `None` if no line mentions it.
 pub fn timeline(lines: &[LogLine], group: &str) -> Option<String> {
-    Some(print(&told(lines, "group", group)?))
+    Some(format_lines(&lines_of(lines, "group", group)?))
 }
 
-fn told<'a>(lines: &'a [LogLine], field: &str, value: &str) -> Option<Vec<&'a LogLine>> {
-    let mut story: Vec<&LogLine> = lines
+fn lines_of<'a>(lines: &'a [LogLine], field: &str, value: &str) -> Option<Vec<&'a LogLine>> {
+    let mut found: Vec<&LogLine> = lines
         .iter()
         .filter(|line| line.get(field) == value)
         .collect();
-    story.sort_by(|left, right| left.time().total_cmp(&right.time()));
-    (!story.is_empty()).then_some(story)
+    found.sort_by(|left, right| left.time().total_cmp(&right.time()));
+    (!found.is_empty()).then_some(found)
 }
 
-fn print(story: &[&LogLine]) -> String {
-    let start = story.first().map_or(0.0, |line| line.time());
-    let lines = story
+fn format_lines(lines: &[&LogLine]) -> String {
+    let start = lines.first().map_or(0.0, |line| line.time());
+    let formatted = lines
         .iter()
         .map(|line| format!("{:>+9.3} s  {}", line.time() - start, line.text()));
-    lines.collect::<Vec<_>>().join("\n")
+    formatted.collect::<Vec<_>>().join("\n")
 }
 
-fn cause_of(line: &LogLine) -> String {
+fn explain_outcome(line: &LogLine) -> String {
     let reason = line.get("reason");
     let outcome = line.get("outcome");
     let meaning = REASONS.iter().find(|(code, _)| *code == reason);
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operator's command-line client as a library.
+//! Library of `briarctl`, the command-line client for operators.
 //!
 //! ```
 //! use briarswitch_ctl::ExitStatus;
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The operator's command-line client.
+//! `briarctl`, the command-line client for operators.
 
 use std::process::ExitCode;
 
@@ -19,7 +19,7 @@
 use serde::Serialize;
 use serde_json::Value;
 
-/// Name of the only rule list.
+/// Id of the rule list; there is only one.
 const RULE_LIST: &str = "main";
 
 fn main() -> ExitCode {
@@ -27,16 +27,16 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let end = match runtime {
+    let outcome = match runtime {
         Ok(runtime) => runtime.block_on(run(options)),
         Err(error) => CommandOutcome::failure(ExitStatus::NodeError, error.to_string()),
     };
-    if end.status == ExitStatus::Success {
-        println!("{}", end.text);
+    if outcome.status == ExitStatus::Success {
+        println!("{}", outcome.text);
     } else {
-        eprintln!("{}", end.text);
+        eprintln!("{}", outcome.text);
     }
-    ExitCode::from(end.status.code())
+    ExitCode::from(outcome.status.code())
 }
 
 async fn run(options: CtlOptions) -> CommandOutcome {
@@ -51,7 +51,7 @@
         let text = format!("briarctl [OPTIONS] COMMAND\n\n{usage}\n\n{commands}");
         return CommandOutcome::failure(ExitStatus::Usage, text);
     };
-    let end = match verb {
+    let result = match verb {
         Verb::Organisation(options) => {
             entity(&client, KindDoc::Organisation, options.action, is_json).await
         }
@@ -70,39 +70,39 @@
         Verb::Release(options) => release(&client, &options.name).await,
         Verb::Dump(_) => read::<Value>(&client, "/v1/dump", true, Value::to_string).await,
         Verb::Settle(options) => Ok(settle(&client, &options.name, is_json).await),
-        Verb::Explain(options) => Ok(story(&options, explain)),
-        Verb::Timeline(options) => Ok(story(&options, timeline)),
+        Verb::Explain(options) => Ok(query_logs(&options, explain)),
+        Verb::Timeline(options) => Ok(query_logs(&options, timeline)),
         Verb::LogLevel(options) => log_level(&client, &options.name).await,
     };
-    end.unwrap_or_else(|end| end)
+    result.unwrap_or_else(|failure| failure)
 }
 
-/// Tells a story from the logs, which needs no node.
-fn story(
+/// Runs a query on log files; no node is contacted.
+fn query_logs(
     options: &LogQueryOptions,
-    tell: impl Fn(&[LogLine], &str) -> Option<String>,
+    query: impl Fn(&[LogLine], &str) -> Option<String>,
 ) -> CommandOutcome {
     match read_logs(&options.files) {
         Err(error) => CommandOutcome::failure(ExitStatus::Usage, error),
-        Ok(lines) => match tell(&lines, &options.name) {
+        Ok(lines) => match query(&lines, &options.name) {
             Some(text) => CommandOutcome::success(text),
             None => {
-                let text = format!("no line names {}", options.name);
+                let text = format!("no log line mentions {}", options.name);
                 CommandOutcome::failure(ExitStatus::NotFound, text)
             }
         },
     }
 }
 
-/// A command's end, or an early one.
-type Ending = Result<CommandOutcome, CommandOutcome>;
+/// Outcome of a command; the error case allows an early return with `?`.
+type CommandResult = Result<CommandOutcome, CommandOutcome>;
 
 async fn entity(
     client: &NodeClient,
     kind: KindDoc,
     action: Option<EntityAction>,
     is_json: bool,
-) -> Ending {
+) -> CommandResult {
     let Some(action) = action else {
         let text = "expected create, show, edit, delete or list";
         return Err(CommandOutcome::failure(ExitStatus::Usage, text));
@@ -115,7 +115,7 @@
                 .into_iter()
                 .filter(|entry| entry.kind == kind)
                 .collect();
-            Ok(print(&of_kind, is_json, || show::entities(kind, &of_kind)))
+            Ok(render(&of_kind, is_json, || show::entities(kind, &of_kind)))
         }
         EntityAction::Show(options) => {
             let Some(entry) = find_entity(client, kind, &options.name).await? else {
@@ -128,7 +128,7 @@
                     show::value_text(&entry.value)
                 )
             };
-            Ok(print(&entry, is_json, text))
+            Ok(render(&entry, is_json, text))
         }
         EntityAction::Delete(options) => {
             let draft = EditDraft {
@@ -151,7 +151,7 @@
     options: DocumentOptions,
     is_new: bool,
     is_json: bool,
-) -> Ending {
+) -> CommandResult {
     let value = read_value(kind, &options)?;
     let draft = EditDraft {
         kind,
@@ -163,7 +163,7 @@
     Ok(send_edit(client, draft, is_json).await)
 }
 
-async fn rules(client: &NodeClient, action: Option<RulesAction>, is_json: bool) -> Ending {
+async fn rules(client: &NodeClient, action: Option<RulesAction>, is_json: bool) -> CommandResult {
     let Some(action) = action else {
         let text = "expected show, set or try";
         return Err(CommandOutcome::failure(ExitStatus::Usage, text));
@@ -171,7 +171,7 @@
     match action {
         RulesAction::Show(_) => {
             let Some(entry) = find_entity(client, KindDoc::Rules, RULE_LIST).await? else {
-                let text = "there are no rules; set them with: briarctl rules set --file FILE";
+                let text = "there are no rules; create them with: briarctl rules set --file FILE";
                 return Err(CommandOutcome::failure(ExitStatus::NotFound, text));
             };
             let text = || {
@@ -181,32 +181,32 @@
                     show::value_text(&entry.value)
                 )
             };
-            Ok(print(&entry, is_json, text))
+            Ok(render(&entry, is_json, text))
         }
         RulesAction::Set(options) => {
             let text = read_file(&options.file)?;
             let value = ValueDoc::Rules(parse(&options.file, &text)?);
-            let held = find_entity(client, KindDoc::Rules, RULE_LIST).await?;
+            let existing = find_entity(client, KindDoc::Rules, RULE_LIST).await?;
             let draft = EditDraft {
                 kind: KindDoc::Rules,
                 id: RULE_LIST.to_owned(),
                 value,
                 base: options.base,
-                is_new: held.is_none(),
+                is_new: existing.is_none(),
             };
             Ok(send_edit(client, draft, is_json).await)
         }
-        RulesAction::Try(trial) => {
-            let request = trial_request(trial)?;
+        RulesAction::Try(options) => {
+            let request = try_request(options)?;
             let reply: TryReply = client.post("/v1/rules/try", &request).await?;
-            Ok(print(&reply, is_json, || show::rule_match(&reply)))
+            Ok(render(&reply, is_json, || show::rule_match(&reply)))
         }
     }
 }
 
-fn trial_request(trial: RulesTryOptions) -> Result<TryRequest, CommandOutcome> {
+fn try_request(options: RulesTryOptions) -> Result<TryRequest, CommandOutcome> {
     let mut headers = Vec::new();
-    for header in &trial.header {
+    for header in &options.header {
         let Some((name, value)) = header.split_once('=') else {
             let text = format!("--header {header}: expected NAME=VALUE");
             return Err(CommandOutcome::failure(ExitStatus::Usage, text));
@@ -217,13 +217,13 @@
         });
     }
     Ok(TryRequest {
-        organisation: trial.organisation,
-        asked: trial.asked,
+        organisation: options.organisation,
+        asked: options.asked,
         headers,
-        body_bytes: trial.bytes,
-        zone: trial.zone,
-        minute_of_day: trial.minute,
-        draw: trial.draw,
+        body_bytes: options.bytes,
+        zone: options.zone,
+        minute_of_day: options.minute,
+        draw: options.draw,
     })
 }
 
@@ -232,22 +232,22 @@
     path: &str,
     is_json: bool,
     show: impl FnOnce(&T) -> String,
-) -> Ending {
+) -> CommandResult {
     let reply: T = client.get(path).await?;
-    Ok(print(&reply, is_json, || show(&reply)))
+    Ok(render(&reply, is_json, || show(&reply)))
 }
 
-async fn release(client: &NodeClient, print: &str) -> Ending {
-    let released: String = client.post(&format!("/release/{print}"), &()).await?;
+async fn release(client: &NodeClient, fingerprint: &str) -> CommandResult {
+    let released: String = client.post(&format!("/release/{fingerprint}"), &()).await?;
     Ok(CommandOutcome::success(format!("released {released}")))
 }
 
-async fn log_level(client: &NodeClient, level: &str) -> Ending {
+async fn log_level(client: &NodeClient, level: &str) -> CommandResult {
     let set: String = client.post("/v1/log-level", &level).await?;
     Ok(CommandOutcome::success(format!("log level {set}")))
 }
 
-fn print<T: Serialize>(value: &T, is_json: bool, text: impl FnOnce() -> String) -> CommandOutcome {
+fn render<T: Serialize>(value: &T, is_json: bool, text: impl FnOnce() -> String) -> CommandOutcome {
     if is_json {
         return CommandOutcome::success(serde_json::to_string_pretty(value).unwrap_or_default());
     }
--- a/crates/ctl/src/show.rs
+++ b/crates/ctl/src/show.rs
@@ -1,4 +1,4 @@
-//! Tables for people.
+//! Human-readable output.
 
 use std::cmp::Reverse;
 use std::fmt::Write as _;
@@ -7,7 +7,7 @@
 use briarswitch_wire::operator::{CostLine, StatusReply, TryReply, UsageRow};
 use serde_json::Value;
 
-/// Lays rows out in columns as wide as their widest cell.
+/// Formats rows as a table; each column is as wide as its widest cell.
 ///
 /// ```
 /// use briarswitch_ctl::show::table;
@@ -15,12 +15,15 @@
 /// let text = table(&["a", "b"], &[vec!["1".into(), "22".into()]]);
 /// assert_eq!(text, "a  b\n1  22");
 /// ```
-pub fn table(heads: &[&str], rows: &[Vec<String>]) -> String {
+pub fn table(headings: &[&str], rows: &[Vec<String>]) -> String {
     let width = |column: usize| {
         let cells = rows.iter().map(|row| row[column].chars().count());
-        cells.max().unwrap_or(0).max(heads[column].chars().count())
+        cells
+            .max()
+            .unwrap_or(0)
+            .max(headings[column].chars().count())
     };
-    let widths: Vec<usize> = (0..heads.len()).map(width).collect();
+    let widths: Vec<usize> = (0..headings.len()).map(width).collect();
     let line = |cells: Vec<&str>| {
         let mut line = String::new();
         for (cell, width) in cells.iter().zip(&widths) {
@@ -28,7 +31,7 @@
         }
         line.trim_end().to_owned()
     };
-    let mut lines = vec![line(heads.to_vec())];
+    let mut lines = vec![line(headings.to_vec())];
     lines.extend(
         rows.iter()
             .map(|row| line(row.iter().map(String::as_str).collect())),
@@ -36,7 +39,7 @@
     lines.join("\n")
 }
 
-/// Lists the entities of one kind.
+/// Formats the entities of one kind as a table.
 pub fn entities(kind: KindDoc, entries: &[EntryDoc]) -> String {
     let rows: Vec<Vec<String>> = entries
         .iter()
@@ -49,7 +52,7 @@
     table(&["name", "version", "text"], &rows)
 }
 
-/// Returns an entity's text as JSON.
+/// Formats the value of an entity as JSON.
 pub fn value_text(value: &ValueDoc) -> String {
     let text = match value {
         ValueDoc::Organisation(doc) => serde_json::to_string(doc),
@@ -60,15 +63,15 @@
     text.unwrap_or_default()
 }
 
-/// Shows the state of the system as one node sees it.
+/// Formats the status of the system as reported by one node.
 pub fn status(status: &StatusReply) -> String {
     let controller = status.controller.as_ref();
     let mut text = format!(
         "node {} in zone {}; controller {} at epoch {}\n",
         status.node,
         status.zone,
-        controller.map_or("nobody", |found| found.holder.as_str()),
-        controller.map_or(0, |found| found.epoch),
+        controller.map_or("nobody", |lease| lease.holder.as_str()),
+        controller.map_or(0, |lease| lease.epoch),
     );
     let _ = writeln!(
         text,
@@ -90,7 +93,7 @@
             ]
         })
         .collect();
-    let heads = [
+    let headings = [
         "zone",
         "deployment",
         "group",
@@ -99,7 +102,7 @@
         "routable",
         "members",
     ];
-    text.push_str(&table(&heads, &groups));
+    text.push_str(&table(&headings, &groups));
     text.push_str("\n\n");
     let versions: Vec<Vec<String>> = status
         .versions
@@ -116,7 +119,7 @@
     text
 }
 
-/// Shows metered use.
+/// Formats metered usage.
 pub fn usage(rows: &[UsageRow]) -> String {
     let rows: Vec<Vec<String>> = rows
         .iter()
@@ -131,7 +134,7 @@
     table(&["organisation", "requests", "tokens"], &rows)
 }
 
-/// Shows what a node's knowledge has cost, the most frequent cause first.
+/// Formats the costs of a node's activities, the most frequent first.
 pub fn costs(lines: &[CostLine]) -> String {
     let mut lines: Vec<&CostLine> = lines.iter().collect();
     lines.sort_by_key(|line| Reverse(line.count));
@@ -146,7 +149,7 @@
     table(&["cause", "count", "bytes", "microseconds"], &rows)
 }
 
-/// Shows which rule a request would meet.
+/// Formats which rule matches a request, and why the earlier ones do not.
 pub fn rule_match(reply: &TryReply) -> String {
     let mut text = String::new();
     for passed in &reply.passed_over {
@@ -166,15 +169,15 @@
     text
 }
 
-/// Shows the plan of a zone's controller.
+/// Formats the plan of a zone's controller.
 pub fn plan(plan: &Value) -> String {
     let holder = plan["controller"].as_str().unwrap_or("nobody");
     if plan["is_controller"] != true {
-        return format!("this node does not control its zone; ask {holder}");
+        return format!("this node does not control its zone; query {holder}");
     }
     let steps = plan["steps"].as_array().cloned().unwrap_or_default();
     if steps.is_empty() {
-        return "nothing to do: every wanted group stands, or no machines are free".to_owned();
+        return "nothing to do: all desired groups exist, or no machines are free".to_owned();
     }
     let lines: Vec<&str> = steps.iter().filter_map(Value::as_str).collect();
     lines.join("\n")
--- a/crates/ctl/tests/costs.rs
+++ b/crates/ctl/tests/costs.rs
@@ -1,4 +1,4 @@
-//! What a fleet's node has spent, as operators see it.
+//! Output of `briarctl costs`.
 
 use std::process::Command;
 
@@ -33,11 +33,11 @@
 }
 
 #[gtest]
-fn a_node_that_can_not_be_reached_is_named() {
+fn an_unreachable_node_is_named() {
     let output = Command::new(env!("CARGO_BIN_EXE_briarctl"))
         .args(["--node", "127.0.0.1:1", "costs"])
         .output()
-        .expect("the program runs");
+        .expect("briarctl runs");
     expect_false!(output.status.success());
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     expect_that!(text, contains_substring("127.0.0.1:1"));
--- a/crates/ctl/tests/explain.rs
+++ b/crates/ctl/tests/explain.rs
@@ -1,9 +1,9 @@
-//! Requests and groups followed through kept log lines.
+//! Log queries of `briarctl explain` and `briarctl timeline`.
 
 use briarswitch_ctl::explain::{explain, timeline, LogLine};
 use googletest::prelude::*;
 
-/// Two nodes' lines, out of order, with lines of other requests between.
+/// Log lines of two nodes, out of order and mixed with lines of other requests.
 const LINES: &str = r#"
 ts=12.300 level=info node=front-2 event=request_ended request=r1 organisation=acme rule=chat config=7 config_age_ms=310 service=lm target_id=i-9 group=g-4 outcome=unknown reason=stream_broken sent=2 events=11 wait_ms=0 first_ms=74 pause_ms=310 ms=1250
 ts=11.050 level=info node=front-2 event=stream_resumed request=r1 from=i-4 to=i-9 reason=stream_silent after_event=3 silence_ms=205
@@ -19,30 +19,30 @@
 }
 
 #[gtest]
-fn a_request_is_told_in_order_and_its_cause_is_named() {
-    let story = explain(&lines(), "r1").expect("the request is there");
-    let events: Vec<&str> = story.lines().collect();
+fn the_lines_of_a_request_are_sorted_and_its_cause_is_named() {
+    let report = explain(&lines(), "r1").expect("the request is found");
+    let events: Vec<&str> = report.lines().collect();
     expect_that!(events[0], contains_substring("stream_resumed"));
     expect_that!(events[0], contains_substring("silence_ms=205"));
     expect_that!(events[1], contains_substring("+1.250 s"));
     expect_that!(
-        story,
+        report,
         contains_substring("unknown, because of stream_broken")
     );
-    expect_that!(story, not(contains_substring("r2")));
+    expect_that!(report, not(contains_substring("r2")));
 }
 
 #[gtest]
-fn a_group_is_followed_over_all_nodes() {
-    let story = timeline(&lines(), "g-2").expect("the group is there");
-    let events: Vec<&str> = story.lines().collect();
+fn the_lines_of_a_group_come_from_all_nodes() {
+    let report = timeline(&lines(), "g-2").expect("the group is found");
+    let events: Vec<&str> = report.lines().collect();
     expect_that!(events.len(), eq(3));
     expect_that!(events[0], contains_substring("target_suspected"));
     expect_that!(events[2], contains_substring("result=held"));
 }
 
 #[gtest]
-fn what_no_line_names_is_missing() {
+fn an_id_without_log_lines_is_not_found() {
     expect_that!(explain(&lines(), "r3"), none());
     expect_that!(timeline(&lines(), "g-9"), none());
 }
--- a/crates/ctl/tests/release.rs
+++ b/crates/ctl/tests/release.rs
@@ -1,4 +1,4 @@
-//! Releasing a quarantined request from the command line.
+//! `briarctl release`, which releases a request from quarantine.
 
 use std::process::{Command, Output};
 
@@ -8,23 +8,23 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_briarctl"));
     command.args(["--node", "127.0.0.1:1", "release"]);
     command.args(arguments);
-    command.output().expect("the program runs")
+    command.output().expect("briarctl runs")
 }
 
-fn error_of(output: &Output) -> String {
+fn stderr_of(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
 #[gtest]
-fn a_node_that_can_not_be_reached_is_named() {
+fn an_unreachable_node_is_named() {
     let output = release(&["00112233445566778899aabbccddeeff"]);
     expect_false!(output.status.success());
-    expect_that!(error_of(&output), contains_substring("127.0.0.1:1"));
+    expect_that!(stderr_of(&output), contains_substring("127.0.0.1:1"));
 }
 
 #[gtest]
-fn a_request_has_to_be_named() {
+fn the_request_is_a_required_argument() {
     let output = release(&[]);
     expect_false!(output.status.success());
-    expect_that!(error_of(&output), contains_substring("missing required"));
+    expect_that!(stderr_of(&output), contains_substring("missing required"));
 }
