--- a/crates/node/tests/measure.rs
+++ b/crates/node/tests/measure.rs
@@ -187,11 +187,11 @@
         cluster.wait_routable(engines / 2).await;
         let link = probed.expect("a relayed machine");
         tokio::time::sleep(Duration::from_secs(2)).await;
-        let (before, bytes) = (cluster.usage_of(0), link.bytes_forwarded());
+        let (before, bytes) = (cluster.usage_of(0), link.byte_count());
         let peer = cluster.peer_bytes(0).await;
         let calls = cluster.platform.calls();
         tokio::time::sleep(window).await;
-        let (after, probes) = (cluster.usage_of(0), link.bytes_forwarded() - bytes);
+        let (after, probes) = (cluster.usage_of(0), link.byte_count() - bytes);
         let peer = cluster.peer_bytes(0).await - peer;
         let later = cluster.platform.calls();
         let seconds = window.as_secs_f64();
--- a/crates/standins/examples/overhead.rs
+++ b/crates/standins/examples/overhead.rs
@@ -1,8 +1,9 @@
-//! Measures what a node adds: callers through a node against callers straight to the engine.
+//! Measures the overhead of a node: requests through a node compared with direct requests to the
+//! engine.
 //!
-//! Usage: `overhead [SECONDS]`, against `briarswitch-node` built with the same profile. Prints, for
-//! rising load, added latency at 50, 99 and 99.9 in 100, and the node's processor time a request and
-//! a token event. Traffic goes to the loopback interface only.
+//! Usage: `overhead [SECONDS]`. Needs `briarswitch-node` built with the same profile. Prints, for
+//! increasing load, the latency at the 50th, 99th and 99.9th percentile and the CPU time of the node
+//! per request and per token event. All traffic uses the loopback interface.
 
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
@@ -24,26 +25,26 @@
 use http::Method;
 
 /// Time between the tokens of a paced stream.
-const PACE: Duration = Duration::from_millis(20);
+const TOKEN_INTERVAL: Duration = Duration::from_millis(20);
 const MODEL: &str = "m";
 /// SHA-256 of the key `key`.
 const KEY_HASH: &str = "2c70e12b7a0646f92279f427c7b38e7334d8e5389cff167a1dc30e73f826b683";
-/// Slowest request that is told apart, in microseconds.
-const SLOWEST_US: u64 = 60_000_000;
-const LIMIT: Duration = Duration::from_secs(10);
-/// Clock ticks a second in the kernel's accounting.
-const TICKS: f64 = 100.0;
+/// Upper bound of the latency histogram, in microseconds.
+const MAX_LATENCY_US: u64 = 60_000_000;
+const TIMEOUT: Duration = Duration::from_secs(10);
+/// Clock ticks per second in the kernel's CPU accounting.
+const TICKS_PER_SECOND: f64 = 100.0;
 
-type Failure = Box<dyn std::error::Error + Send + Sync>;
+type Error = Box<dyn std::error::Error + Send + Sync>;
 
-struct Bench {
+struct Cluster {
     _platform: PlatformStandin,
     engine: EngineStandin,
     node: Child,
     callers: String,
 }
 
-/// What one run of load measured.
+/// Results of one load run.
 struct LoadResult {
     latency: Histogram<u64>,
     requests: u64,
@@ -51,7 +52,7 @@
     failures: u64,
 }
 
-fn main() -> Result<(), Failure> {
+fn main() -> Result<(), Error> {
     let seconds = std::env::args().nth(1).map_or(Ok(4), |text| text.parse())?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(4)
@@ -60,46 +61,54 @@
     runtime.block_on(measure(Duration::from_secs(seconds)))
 }
 
-async fn measure(time: Duration) -> Result<(), Failure> {
-    let bench = Bench::start().await?;
-    let direct = bench.engine.address().to_string();
-    let pid = bench.node.id();
+async fn measure(time: Duration) -> Result<(), Error> {
+    let cluster = Cluster::start().await?;
+    let direct = cluster.engine.address().to_string();
+    let pid = cluster.node.id();
     println!("load                    rate/s  direct p50/p99/p99.9 us   via node p50/p99/p99.9 us  added p50  node us/request  us/event");
     for (tokens, is_stream) in [(1, false), (32, true), (300, true)] {
         for clients in [1, 8, 32] {
-            let straight = run_load(&direct, tokens, is_stream, clients, time).await?;
+            let direct_result = run_load(&direct, tokens, is_stream, clients, time).await?;
             let before = cpu_seconds(pid)?;
-            let through = run_load(&bench.callers, tokens, is_stream, clients, time).await?;
-            let spent = cpu_seconds(pid)? - before;
-            print_row(tokens, is_stream, clients, &straight, &through, spent, time);
+            let node_result = run_load(&cluster.callers, tokens, is_stream, clients, time).await?;
+            let cpu_time = cpu_seconds(pid)? - before;
+            print_row(
+                tokens,
+                is_stream,
+                clients,
+                &direct_result,
+                &node_result,
+                cpu_time,
+                time,
+            );
         }
     }
     println!("node memory: {} kB resident", resident_kb(pid)?);
-    measure_paced(&bench, time).await
+    measure_paced(&cluster, time).await
 }
 
-/// Measures many streams at once whose tokens come at the pace of a real engine.
-async fn measure_paced(bench: &Bench, time: Duration) -> Result<(), Failure> {
-    println!("\nstreams of one token every {PACE:?}");
-    bench.engine.set_token_time(PACE);
-    let pid = bench.node.id();
+/// Measures many concurrent streams at the token rate of a real engine.
+async fn measure_paced(cluster: &Cluster, time: Duration) -> Result<(), Error> {
+    println!("\nstreams of one token every {TOKEN_INTERVAL:?}");
+    cluster.engine.set_token_time(TOKEN_INTERVAL);
+    let pid = cluster.node.id();
     let idle = resident_kb(pid)?;
     for streams in [100, 500, 1000] {
-        let address = bench.callers.clone();
+        let address = cluster.callers.clone();
         let load = tokio::spawn(async move { run_load(&address, 200, true, streams, time).await });
         tokio::time::sleep(time / 2).await;
         let before = cpu_seconds(pid)?;
-        let from = Instant::now();
+        let start = Instant::now();
         tokio::time::sleep(time).await;
-        let spent = cpu_seconds(pid)? - before;
-        let rate = streams as f64 / PACE.as_secs_f64();
-        let events = rate * from.elapsed().as_secs_f64();
+        let cpu_time = cpu_seconds(pid)? - before;
+        let rate = streams as f64 / TOKEN_INTERVAL.as_secs_f64();
+        let events = rate * start.elapsed().as_secs_f64();
         let resident = resident_kb(pid)?;
         load.await??;
         println!(
             "{streams:>5} streams, about {rate:.0} events/s: {:.2} cores, {:.1} us/event, {:.1} kB a stream",
-            spent / time.as_secs_f64(),
-            spent * 1e6 / events,
+            cpu_time / time.as_secs_f64(),
+            cpu_time * 1e6 / events,
             (resident.saturating_sub(idle)) as f64 / streams as f64,
         );
     }
@@ -110,39 +119,41 @@
     tokens: u32,
     is_stream: bool,
     clients: usize,
-    straight: &LoadResult,
-    through: &LoadResult,
-    spent: f64,
+    direct: &LoadResult,
+    node: &LoadResult,
+    cpu_time: f64,
     time: Duration,
 ) {
     let quantiles = |result: &LoadResult| {
         let at = |quantile| result.latency.value_at_quantile(quantile);
         format!("{:>6}/{:>6}/{:>6}", at(0.5), at(0.99), at(0.999))
     };
-    let middle = |result: &LoadResult| result.latency.value_at_quantile(0.5) as f64;
+    let median = |result: &LoadResult| result.latency.value_at_quantile(0.5) as f64;
     println!(
         "{:<6} {tokens:>3} tokens x{clients:<3} {:>8.0}  {}      {}      {:>6.0}     {:>8.1}      {:>6.2}  failures {}",
-        if is_stream { "stream" } else { "whole" },
-        through.requests as f64 / time.as_secs_f64(),
-        quantiles(straight),
-        quantiles(through),
-        middle(through) - middle(straight),
-        spent * 1e6 / through.requests.max(1) as f64,
-        spent * 1e6 / through.events.max(1) as f64,
-        straight.failures + through.failures,
+        if is_stream { "stream" } else { "single" },
+        node.requests as f64 / time.as_secs_f64(),
+        quantiles(direct),
+        quantiles(node),
+        median(node) - median(direct),
+        cpu_time * 1e6 / node.requests.max(1) as f64,
+        cpu_time * 1e6 / node.events.max(1) as f64,
+        direct.failures + node.failures,
     );
 }
 
-/// Sends requests from `clients` callers, one after another each, for some time.
+/// Runs `clients` concurrent clients for `time`; each sends its requests one after another.
 async fn run_load(
     address: &str,
     tokens: u32,
     is_stream: bool,
     clients: usize,
     time: Duration,
-) -> Result<LoadResult, Failure> {
-    let shared = Arc::new(Mutex::new(Histogram::<u64>::new_with_bounds(
-        1, SLOWEST_US, 3,
+) -> Result<LoadResult, Error> {
+    let histogram = Arc::new(Mutex::new(Histogram::<u64>::new_with_bounds(
+        1,
+        MAX_LATENCY_US,
+        3,
     )?));
     let events = Arc::new(AtomicU64::new(0));
     let failures = Arc::new(AtomicU64::new(0));
@@ -153,39 +164,43 @@
             address: address.to_owned(),
             incarnation: 0,
         };
-        let (shared, events, failures) = (
-            Arc::clone(&shared),
+        let (histogram, events, failures) = (
+            Arc::clone(&histogram),
             Arc::clone(&events),
             Arc::clone(&failures),
         );
         tasks.push(tokio::spawn(async move {
             let client = TargetClient::new(TargetLimits {
-                connect_timeout: LIMIT,
+                connect_timeout: TIMEOUT,
                 max_idle: 1,
             });
-            let mut own = Histogram::<u64>::new_with_bounds(1, SLOWEST_US, 3).expect("a histogram");
+            let mut latencies =
+                Histogram::<u64>::new_with_bounds(1, MAX_LATENCY_US, 3).expect("a histogram");
             while Instant::now() < end {
                 let start = Instant::now();
-                match ask(&client, &target, tokens, is_stream).await {
+                match send_request(&client, &target, tokens, is_stream).await {
                     Some(count) => {
                         events.fetch_add(count, Ordering::Relaxed);
                         let micros = start.elapsed().as_micros() as u64;
-                        own.saturating_record(micros);
+                        latencies.saturating_record(micros);
                     }
                     None => {
                         failures.fetch_add(1, Ordering::Relaxed);
                     }
                 }
             }
-            if let Ok(mut all) = shared.lock() {
-                let _ = all.add(own);
+            if let Ok(mut all) = histogram.lock() {
+                let _ = all.add(latencies);
             }
         }));
     }
     for task in tasks {
         task.await?;
     }
-    let latency = shared.lock().map_err(|_| "a caller failed")?.clone();
+    let latency = histogram
+        .lock()
+        .map_err(|_| "a client task panicked")?
+        .clone();
     Ok(LoadResult {
         requests: latency.len(),
         latency,
@@ -194,8 +209,8 @@
     })
 }
 
-/// Sends one request and counts the stream events, or returns `None` when it was not answered whole.
-async fn ask(
+/// Sends a request and returns the number of stream events, or `None` if it failed.
+async fn send_request(
     client: &TargetClient,
     target: &TargetAddress,
     tokens: u32,
@@ -209,20 +224,20 @@
         .header("authorization", "Bearer key")
         .body(full_body(Bytes::from(body)))
         .ok()?;
-    let mut reply = client.send(target, request, false).await.ok()?;
+    let mut response = client.send(target, request, false).await.ok()?;
     let mut events = 0;
-    while let Some(piece) = reply.body.next().await.ok()? {
-        events += memchr_count(&piece);
+    while let Some(chunk) = response.body.next().await.ok()? {
+        events += count_events(&chunk);
     }
-    (reply.head.status == 200).then_some(events)
+    (response.head.status == 200).then_some(events)
 }
 
-fn memchr_count(piece: &[u8]) -> u64 {
-    piece.windows(2).filter(|pair| *pair == b"\n\n").count() as u64
+fn count_events(chunk: &[u8]) -> u64 {
+    chunk.windows(2).filter(|pair| *pair == b"\n\n").count() as u64
 }
 
-impl Bench {
-    async fn start() -> Result<Self, Failure> {
+impl Cluster {
+    async fn start() -> Result<Self, Error> {
         let platform = PlatformStandin::spawn("127.0.0.1:0")?;
         let mut settings = EngineSettings::quick("vm-1");
         settings.slots = 1024;
@@ -249,27 +264,27 @@
         command.args(["--set", &format!("listen.operators={operators}")]);
         command.args(["--set", "log_level=warn"]);
         let node = command.stderr(Stdio::null()).spawn()?;
-        let bench = Self {
+        let cluster = Self {
             _platform: platform,
             engine,
             node,
             callers,
         };
         configure(&operators).await?;
-        // The engine answers straight requests too once it is in its group.
-        println!("requests carry {GROUP_HEADER} from the node and none straight");
-        Ok(bench)
+        // Once it is in its group, the engine also accepts requests without a group header.
+        println!("requests through the node carry {GROUP_HEADER}, direct ones do not");
+        Ok(cluster)
     }
 }
 
-impl Drop for Bench {
+impl Drop for Cluster {
     fn drop(&mut self) {
         let _ = self.node.kill();
         let _ = self.node.wait();
     }
 }
 
-async fn configure(operators: &str) -> Result<(), Failure> {
+async fn configure(operators: &str) -> Result<(), Error> {
     let client = ApiClient::new(Codec::Json, Some("change-me-operator".to_owned()));
     let organisation = ValueDoc::Organisation(OrganisationDoc {
         key_hash: KEY_HASH.to_owned(),
@@ -312,7 +327,7 @@
         };
         let url = format!("http://{operators}/v1/edit");
         loop {
-            let sent = client.call::<_, EditReply>(Method::POST, &url, Some(&request), LIMIT);
+            let sent = client.call::<_, EditReply>(Method::POST, &url, Some(&request), TIMEOUT);
             if let Ok(EditReply::Accepted { .. }) = sent.await {
                 break;
             }
@@ -321,7 +336,7 @@
     }
     let url = format!("http://{operators}/v1/status");
     loop {
-        let status = client.call::<(), StatusReply>(Method::GET, &url, None, LIMIT);
+        let status = client.call::<(), StatusReply>(Method::GET, &url, None, TIMEOUT);
         if status.await?.groups.iter().any(|group| group.is_routable) {
             return Ok(());
         }
@@ -329,29 +344,31 @@
     }
 }
 
-fn node_program() -> Result<PathBuf, Failure> {
+fn node_program() -> Result<PathBuf, Error> {
     let example = std::env::current_exe()?;
-    let folder = example.parent().and_then(|folder| folder.parent());
-    let program = folder.ok_or("no folder")?.join("briarswitch-node");
+    let directory = example.parent().and_then(|examples| examples.parent());
+    let program = directory
+        .ok_or("the program has no parent directory")?
+        .join("briarswitch-node");
     if program.exists() {
         return Ok(program);
     }
-    Err("build briarswitch-node with the same profile first".into())
+    Err("briarswitch-node not found; build it with the same profile first".into())
 }
 
-fn free_ports(count: usize) -> Result<Vec<u16>, Failure> {
-    let held: Result<Vec<_>, _> = (0..count)
+fn free_ports(count: usize) -> Result<Vec<u16>, Error> {
+    let listeners: Result<Vec<_>, _> = (0..count)
         .map(|_| std::net::TcpListener::bind("127.0.0.1:0"))
         .collect();
-    let ports = held?
+    let ports = listeners?
         .iter()
         .map(|listener| Ok(listener.local_addr()?.port()))
         .collect::<Result<Vec<_>, std::io::Error>>()?;
     Ok(ports)
 }
 
-/// Returns the processor time of a process, from the kernel's accounting.
-fn cpu_seconds(pid: u32) -> Result<f64, Failure> {
+/// Returns the CPU time of a process from procfs.
+fn cpu_seconds(pid: u32) -> Result<f64, Error> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
     let fields: Vec<&str> = stat
         .rsplit(')')
@@ -361,10 +378,10 @@
         .collect();
     let user: f64 = fields.get(11).ok_or("no user time")?.parse()?;
     let system: f64 = fields.get(12).ok_or("no system time")?.parse()?;
-    Ok((user + system) / TICKS)
+    Ok((user + system) / TICKS_PER_SECOND)
 }
 
-fn resident_kb(pid: u32) -> Result<u64, Failure> {
+fn resident_kb(pid: u32) -> Result<u64, Error> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status"))?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let text = line
--- a/crates/standins/examples/platform.rs
+++ b/crates/standins/examples/platform.rs
@@ -1,4 +1,4 @@
-//! Runs the platform stand-in until it is ended.
+//! Runs the fake platform until it receives a termination signal.
 //!
 //! Usage: `platform ADDRESS`
 
--- a/crates/standins/examples/ports.rs
+++ b/crates/standins/examples/ports.rs
@@ -1,17 +1,17 @@
-//! Prints free ports, one a line, for scripts that have to know addresses beforehand.
+//! Prints free ports, one per line, for scripts that must know addresses in advance.
 //!
 //! Usage: `ports COUNT`
 //!
-//! The ports lie below those that the system gives to outgoing connections. A port from that range can be
-//! taken by such a connection before its listener is bound, and the program that wants it then ends with
-//! "address already in use".
+//! The ports are below the range for outgoing connections. An outgoing connection could otherwise
+//! take a port before its listener is bound, and the program would fail with "address already in
+//! use".
 
 use std::net::TcpListener;
 use std::ops::Range;
 
 use rand::seq::SliceRandom;
 
-/// Ports below the lowest that common systems give to outgoing connections, 32,768.
+/// Candidate ports; common systems use 32,768 and above for outgoing connections.
 const PORTS: Range<u16> = 12_000..32_000;
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
@@ -20,7 +20,7 @@
         .ok_or("usage: ports COUNT")?
         .parse()?;
     let mut ports: Vec<u16> = PORTS.collect();
-    // Two scripts that begin at the same time must not try the same ones.
+    // Scripts that start at the same time should not pick the same ports.
     ports.shuffle(&mut rand::rng());
     let free = ports
         .into_iter()
--- a/crates/standins/examples/vm.rs
+++ b/crates/standins/examples/vm.rs
@@ -1,4 +1,4 @@
-//! Runs one machine's stand-in, an engine or a plain service, and has the platform list it.
+//! Runs a fake machine, either an engine or a plain service, and adds it to the platform's VM list.
 //!
 //! Usage: `vm PLATFORM engine|service NAME ZONE DOMAIN POOL`
 
@@ -8,7 +8,7 @@
 use briarswitch_standins::{wait_for_shutdown_signal, EngineSettings, EngineStandin, PlainStandin};
 use briarswitch_wire::platform::VmDoc;
 
-const LIMIT: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
@@ -41,7 +41,7 @@
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?
-        .block_on(client.call::<_, ()>(http::Method::POST, &url, Some(&doc), LIMIT))?;
+        .block_on(client.call::<_, ()>(http::Method::POST, &url, Some(&doc), CALL_TIMEOUT))?;
     println!("{kind} {name} at {address}");
     wait_for_shutdown_signal()?;
     Ok(())
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine on one machine of a replica group.
+//! Fake model engine on one machine of a replica group.
 
 use std::collections::HashMap;
 use std::io;
@@ -26,38 +26,38 @@
 use crate::slots::SlotQueue;
 use crate::tokens::{token_text, CancelGuard, StreamCursor, StreamPlan};
 
-const BODY_LIMIT: usize = 16 << 20;
-/// Time before a break, so that what was sent before it has left.
-const BREAK_PAUSE: Duration = Duration::from_millis(30);
+const MAX_BODY_BYTES: usize = 16 << 20;
+/// Pause before a connection is aborted, so that the data written before is still transmitted.
+const ABORT_DELAY: Duration = Duration::from_millis(30);
 const DEFAULT_TOKENS: u32 = 8;
-/// Bytes of a prompt that one cached block covers.
-const BLOCK_BYTES: usize = 64;
+/// Size of one block of the prompt cache.
+const CACHE_BLOCK_BYTES: usize = 64;
 
-/// How an engine behaves when nothing is wrong.
+/// Settings of an engine's regular behaviour.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
     /// Machine.
     pub vm: VmId,
-    /// Life of the machine.
+    /// Incarnation of the machine.
     pub incarnation: Incarnation,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with an outdated fencing number are rejected.
     pub checks_fencing: bool,
-    /// Time by which the load in reports lags.
+    /// Interval at which the load in reports is updated.
     pub report_lag: Duration,
-    /// Time to load weights it does not hold.
+    /// Time to load weights.
     pub load_time: Duration,
-    /// Time to read one uncached block of a prompt.
+    /// Prefill time of one uncached block of a prompt.
     pub block_time: Duration,
     /// Time to generate one token.
     pub token_time: Duration,
-    /// Requests in one batch.
+    /// Maximum number of requests in a batch.
     pub slots: usize,
-    /// Blocks of prompts kept.
+    /// Capacity of the prompt cache in blocks.
     pub cached_blocks: usize,
 }
 
 impl EngineSettings {
-    /// Makes settings for a fast engine of a machine's first life.
+    /// Creates settings for a fast engine on the first incarnation of a machine.
     pub fn quick(vm: &str) -> Self {
         Self {
             vm: vm.to_owned(),
@@ -73,56 +73,56 @@
     }
 }
 
-/// Ways in which an engine can be made to fail; counters are used up one request at a time.
+/// Faults that can be injected into an engine; each affected request decrements its counter.
 #[derive(Clone, Debug, Default)]
 pub struct EngineFaults {
-    /// Streams to break after this many events.
+    /// Number of events after which a stream is aborted.
     pub break_after: Option<usize>,
-    /// Breaks that are left to make.
+    /// Number of streams to abort.
     pub breaks: u32,
-    /// Whether a broken stream may not be resumed.
+    /// Whether the engine refuses to resume streams.
     pub rejects_resume: bool,
-    /// Whole answers to cut short of their announced length.
+    /// Number of non-streaming responses to truncate before their announced length.
     pub truncations: u32,
-    /// Answers to give under another attempt's id.
+    /// Number of responses to return with the id of another attempt.
     pub foreign_responses: u32,
-    /// Requests to refuse as not run.
+    /// Number of requests to reject as not run.
     pub refusals: u32,
-    /// Requests to run and then fail with a server error.
+    /// Number of non-streaming requests to run and then fail with a server error.
     pub errors: u32,
-    /// Streams to end without their end mark.
+    /// Number of streams to end without their final event.
     pub missing_end_events: u32,
-    /// Whether the engine says that it is leaving.
+    /// Whether rejections carry the header for a target that is shutting down.
     pub is_leaving: bool,
 }
 
-/// One request that the engine ran.
+/// A request that the engine ran.
 #[derive(Clone, Debug)]
 pub struct Execution {
-    /// Attempt it was given.
+    /// Id of the attempt.
     pub attempt: AttemptId,
-    /// Caller's key, if it had one.
+    /// Idempotency key of the caller, if any.
     pub key: Option<String>,
-    /// Group and generation the engine was in.
+    /// Group and generation of the engine at that time.
     pub group: Option<(GroupId, Generation)>,
-    /// Time it was accepted.
+    /// Time at which the request was accepted.
     pub at: Instant,
-    /// Blocks of its prompt that were cached.
+    /// Number of leading blocks of the prompt that were cached.
     pub cached_blocks: usize,
-    /// Whether it resumed a stream.
+    /// Whether the request resumed a stream.
     pub is_resumed: bool,
 }
 
-/// What an engine saw.
+/// Record of the calls that an engine received.
 #[derive(Clone, Debug, Default)]
 pub struct EngineRecord {
-    /// Requests it ran.
+    /// Requests that were run.
     pub executions: Vec<Execution>,
-    /// Orders it took, with the time and its state after them.
+    /// Accepted orders and their times.
     pub orders: Vec<(Instant, OrderDoc)>,
-    /// Orders it refused for their fencing number.
+    /// Number of orders rejected because of their fencing number.
     pub rejected_orders: usize,
-    /// Streams whose reader left before the end.
+    /// Number of streams that the client closed before their end.
     pub cancelled: usize,
 }
 
@@ -137,8 +137,8 @@
     pub(crate) record: EngineRecord,
     attempts: HashMap<AttemptId, ()>,
     token_time: Duration,
-    /// Load that reports show, and since when.
-    load_shown: Option<(Instant, (u32, u32))>,
+    /// Load shown in reports (running, queued) and the time it was updated.
+    reported_load: Option<(Instant, (u32, u32))>,
 }
 
 struct EngineHandler {
@@ -148,7 +148,7 @@
     frozen: Arc<FreezeGate>,
 }
 
-/// A running engine.
+/// A running fake engine.
 pub struct EngineStandin {
     host: StandinHost,
     state: Arc<Mutex<EngineState>>,
@@ -160,7 +160,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the operating system's error when the address cannot be had.
+    /// Returns an error if the address cannot be bound.
     pub fn spawn(address: &str, settings: EngineSettings) -> io::Result<Self> {
         let state = Arc::new(Mutex::new(EngineState {
             state: StateDoc::Idle,
@@ -173,7 +173,7 @@
             record: EngineRecord::default(),
             attempts: HashMap::new(),
             token_time: settings.token_time,
-            load_shown: None,
+            reported_load: None,
         }));
         let frozen = Arc::new(FreezeGate::default());
         let handler = EngineHandler {
@@ -190,43 +190,43 @@
         })
     }
 
-    /// Returns the address it listens at.
+    /// Returns the address the engine listens on.
     pub fn address(&self) -> SocketAddr {
         self.host.address()
     }
 
-    /// Changes the faults.
+    /// Changes the injected faults.
     pub fn update_faults(&self, change: impl FnOnce(&mut EngineFaults)) {
         change(&mut self.lock().faults);
     }
 
-    /// Changes the time to generate one token, for streams that begin from now on.
+    /// Changes the time to generate one token, for responses that start from now on.
     pub fn set_token_time(&self, token_time: Duration) {
         self.lock().token_time = token_time;
     }
 
-    /// Returns what the engine saw so far.
+    /// Returns the record of calls received so far.
     pub fn record(&self) -> EngineRecord {
         self.lock().record.clone()
     }
 
-    /// Returns its state, group and generation.
+    /// Returns the state, group and generation of the engine.
     pub fn status(&self) -> (StateDoc, Option<(GroupId, Generation)>) {
         let state = self.lock();
         (state.state, state.membership())
     }
 
-    /// Ends the engine at once.
+    /// Stops the engine immediately and closes its connections.
     pub fn kill(&mut self) {
         self.host.kill();
     }
 
-    /// Stops every answer until [`EngineStandin::thaw`].
+    /// Holds back all responses until [`EngineStandin::thaw`].
     pub fn freeze(&self) {
         self.frozen.close();
     }
 
-    /// Lets the engine go on where it was frozen.
+    /// Continues where the engine was frozen.
     pub fn thaw(&self) {
         self.frozen.open();
     }
@@ -243,26 +243,27 @@
             .map(|join| (join.group.clone(), join.generation))
     }
 
-    /// Counts how many leading blocks of a prompt are cached, and caches all of them.
+    /// Adds the blocks of a prompt to the LRU cache; returns the number of leading blocks that were
+    /// already cached and the total number of blocks.
     fn cache_prompt(&mut self, prompt: &str, limit: usize) -> (usize, usize) {
         let mut hash = 0_u64;
         let mut cached = 0;
         let mut is_prefix = true;
-        let blocks: Vec<&[u8]> = prompt.as_bytes().chunks(BLOCK_BYTES).collect();
+        let blocks: Vec<&[u8]> = prompt.as_bytes().chunks(CACHE_BLOCK_BYTES).collect();
         for block in &blocks {
             for byte in *block {
                 hash = hash.wrapping_mul(0x0100_0000_01b3) ^ u64::from(*byte);
             }
-            let place = self.cache.iter().position(|held| *held == hash);
-            is_prefix &= place.is_some();
+            let position = self.cache.iter().position(|cached| *cached == hash);
+            is_prefix &= position.is_some();
             cached += usize::from(is_prefix);
-            if let Some(place) = place {
-                self.cache.remove(place);
+            if let Some(position) = position {
+                self.cache.remove(position);
             }
             self.cache.push(hash);
         }
-        let over = self.cache.len().saturating_sub(limit);
-        self.cache.drain(..over);
+        let excess = self.cache.len().saturating_sub(limit);
+        self.cache.drain(..excess);
         (cached, blocks.len())
     }
 }
@@ -272,8 +273,8 @@
         Box::pin(async move {
             self.frozen.pass().await;
             let (head, body) = request.into_parts();
-            let Ok(bytes) = read_body(body, BODY_LIMIT).await else {
-                return reply_text(StatusCode::BAD_REQUEST, "broken body");
+            let Ok(bytes) = read_body(body, MAX_BODY_BYTES).await else {
+                return reply_text(StatusCode::BAD_REQUEST, "incomplete or too large body");
             };
             self.frozen.pass().await;
             match head.uri.path() {
@@ -301,11 +302,11 @@
         let load = self.slots.load();
         let mut state = self.lock();
         let is_due = state
-            .load_shown
+            .reported_load
             .is_none_or(|(at, _)| at.elapsed() >= self.settings.report_lag);
-        let (running, queued) = state.load_shown.map_or(load, |(_, shown)| shown);
+        let (running, queued) = state.reported_load.map_or(load, |(_, load)| load);
         if is_due {
-            state.load_shown = Some((Instant::now(), load));
+            state.reported_load = Some((Instant::now(), load));
         }
         ReportDoc {
             vm: self.settings.vm.clone(),
@@ -324,7 +325,7 @@
         let mut state = self.lock();
         if self.settings.checks_fencing && order.fence < state.fence {
             state.record.rejected_orders += 1;
-            return reply_text(StatusCode::CONFLICT, "old fencing number");
+            return reply_text(StatusCode::CONFLICT, "outdated fencing number");
         }
         state.fence = state.fence.max(order.fence);
         state.record.orders.push((Instant::now(), order.clone()));
@@ -341,17 +342,17 @@
     }
 
     fn join(&self, state: &mut EngineState, join: JoinDoc) {
-        let is_held = state.weights.as_ref() == Some(&join.deployment);
+        let is_loaded = state.weights.as_ref() == Some(&join.deployment);
         let deployment = join.deployment.clone();
         state.group = Some(join);
-        if is_held {
+        if is_loaded {
             state.state = StateDoc::Ready;
             return;
         }
         self.load(state, deployment);
     }
 
-    /// Loads weights; the engine is ready after that if it is in a group, else idle.
+    /// Loads weights; afterwards the engine is ready if it is in a group, and idle otherwise.
     fn load(&self, state: &mut EngineState, deployment: DeploymentId) {
         state.state = StateDoc::Loading;
         state.loads += 1;
@@ -382,8 +383,8 @@
             .and_then(|text| text.parse().ok())
             .unwrap_or(0);
         let group = text_of(headers, GROUP_HEADER);
-        if let Some(refusal) = self.refuse(&attempt, resume, group.as_deref()) {
-            return refusal;
+        if let Some(rejection) = self.reject(&attempt, resume, group.as_deref()) {
+            return rejection;
         }
         let slot = self.slots.acquire(priority).await;
         let prompt: String = chat
@@ -394,33 +395,33 @@
         let uncached = self.accept(headers, &attempt, &prompt, resume);
         sleep_for(self.settings.block_time * uncached).await;
         let tokens = chat.max_tokens.unwrap_or(DEFAULT_TOKENS) as usize;
-        let shown = self.shown_attempt(&attempt);
+        let response_id = self.response_id(&attempt);
         if chat.stream {
-            let plan = self.plan_stream(&shown, tokens, resume.unwrap_or(0));
+            let plan = self.plan_stream(&response_id, tokens, resume.unwrap_or(0));
             let body = self.stream(plan, slot);
-            return stream_reply(body, &shown);
+            return stream_reply(body, &response_id);
         }
-        let pace = self.lock().token_time;
-        sleep_for(pace * tokens as u32).await;
+        let token_time = self.lock().token_time;
+        sleep_for(token_time * tokens as u32).await;
         drop(slot);
-        self.whole(&chat, &prompt, tokens, &shown)
+        self.complete_reply(&chat, &prompt, tokens, &response_id)
     }
 
-    fn refuse(
+    fn reject(
         &self,
         attempt: &str,
         resume: Option<usize>,
         group: Option<&str>,
     ) -> Option<Response> {
         let mut state = self.lock();
-        let own = state.membership();
-        let own = own.map(|(group, generation)| format!("{group}@{generation}"));
-        let is_meant = group.is_none() || group == own.as_deref();
-        let is_ready = state.state == StateDoc::Ready && is_meant;
+        let current = state.membership();
+        let current = current.map(|(group, generation)| format!("{group}@{generation}"));
+        let is_addressed = group.is_none() || group == current.as_deref();
+        let is_ready = state.state == StateDoc::Ready && is_addressed;
         let is_known = state.attempts.contains_key(attempt) && !state.faults.rejects_resume;
-        let is_lost = resume.is_some() && !is_known;
-        let is_refused = use_up(&mut state.faults.refusals);
-        if is_ready && !is_lost && !is_refused {
+        let is_unresumable = resume.is_some() && !is_known;
+        let is_rejected = take_fault(&mut state.faults.refusals);
+        if is_ready && !is_unresumable && !is_rejected {
             return None;
         }
         let mut reply = reply_text(StatusCode::SERVICE_UNAVAILABLE, "not run");
@@ -432,7 +433,7 @@
         Some(reply)
     }
 
-    /// Records a request as run and returns the blocks of its prompt that have to be read.
+    /// Records a request as run and returns the number of blocks of its prompt that need prefill.
     fn accept(
         &self,
         headers: &HeaderMap,
@@ -458,16 +459,22 @@
         (blocks - cached) as u32
     }
 
-    fn shown_attempt(&self, attempt: &str) -> String {
-        if use_up(&mut self.lock().faults.foreign_responses) {
+    fn response_id(&self, attempt: &str) -> String {
+        if take_fault(&mut self.lock().faults.foreign_responses) {
             return "someone-else".to_owned();
         }
         attempt.to_owned()
     }
 
-    fn whole(&self, chat: &ChatDoc, prompt: &str, tokens: usize, attempt: &str) -> Response {
+    fn complete_reply(
+        &self,
+        chat: &ChatDoc,
+        prompt: &str,
+        tokens: usize,
+        attempt: &str,
+    ) -> Response {
         let content: String = (0..tokens).map(token_text).collect();
-        let answer = serde_json::json!({
+        let completion = serde_json::json!({
             "id": attempt,
             "object": "chat.completion",
             "model": chat.model,
@@ -482,34 +489,34 @@
             },
         });
         let mut state = self.lock();
-        if use_up(&mut state.faults.errors) {
+        if take_fault(&mut state.faults.errors) {
             return reply_text(StatusCode::INTERNAL_SERVER_ERROR, "engine failed");
         }
-        let is_cut = use_up(&mut state.faults.truncations);
+        let is_truncated = take_fault(&mut state.faults.truncations);
         drop(state);
-        let text = answer.to_string();
-        let mut reply = if is_cut {
-            cut_short(&text)
+        let text = completion.to_string();
+        let mut reply = if is_truncated {
+            truncated_reply(&text)
         } else {
             reply_bytes(StatusCode::OK, "application/json", Bytes::from(text))
         };
-        mark_attempt(&mut reply, attempt);
+        set_attempt_id(&mut reply, attempt);
         reply
     }
 
     fn plan_stream(&self, attempt: &str, tokens: usize, from: usize) -> StreamPlan {
         let mut state = self.lock();
-        let is_broken = state.faults.break_after.is_some() && use_up(&mut state.faults.breaks);
+        let is_aborted = state.faults.break_after.is_some() && take_fault(&mut state.faults.breaks);
         StreamPlan {
             attempt: attempt.to_owned(),
             from,
             tokens,
-            break_at: if is_broken {
+            abort_at: if is_aborted {
                 state.faults.break_after
             } else {
                 None
             },
-            is_marked: !use_up(&mut state.faults.missing_end_events),
+            has_end_event: !take_fault(&mut state.faults.missing_end_events),
         }
     }
 
@@ -535,8 +542,8 @@
             let frozen = Arc::clone(&frozen);
             async move {
                 sleep_for(token_time).await;
-                if cursor.plan.break_at == Some(cursor.next) {
-                    sleep_for(BREAK_PAUSE).await;
+                if cursor.plan.abort_at == Some(cursor.next) {
+                    sleep_for(ABORT_DELAY).await;
                 }
                 frozen.pass().await;
                 cursor.advance().map(|item| (item, cursor))
@@ -545,10 +552,10 @@
     }
 }
 
-fn use_up(counter: &mut u32) -> bool {
-    let is_left = *counter > 0;
+fn take_fault(counter: &mut u32) -> bool {
+    let is_pending = *counter > 0;
     *counter = counter.saturating_sub(1);
-    is_left
+    is_pending
 }
 
 async fn sleep_for(time: Duration) {
@@ -557,7 +564,7 @@
     }
 }
 
-fn mark_attempt(reply: &mut Response, attempt: &str) {
+fn set_attempt_id(reply: &mut Response, attempt: &str) {
     if let Ok(value) = HeaderValue::from_str(attempt) {
         reply.headers_mut().insert(ATTEMPT_HEADER, value);
     }
@@ -573,19 +580,19 @@
         http::header::CONTENT_TYPE,
         HeaderValue::from_static("text/event-stream"),
     );
-    mark_attempt(&mut reply, attempt);
+    set_attempt_id(&mut reply, attempt);
     reply
 }
 
-/// Announces the whole length and closes the connection half way.
-fn cut_short(text: &str) -> Response {
+/// Announces the full length, but aborts the connection after half of the body.
+fn truncated_reply(text: &str) -> Response {
     let half = Bytes::copy_from_slice(&text.as_bytes()[..text.len() / 2]);
-    let pieces = futures::stream::once(async { Ok(half) }).chain(futures::stream::once(async {
-        sleep_for(BREAK_PAUSE).await;
-        Err(io::Error::other("cut on purpose"))
+    let chunks = futures::stream::once(async { Ok(half) }).chain(futures::stream::once(async {
+        sleep_for(ABORT_DELAY).await;
+        Err(io::Error::other("injected fault: truncated response"))
     }));
     let mut reply = reply_text(StatusCode::OK, "");
-    *reply.body_mut() = stream_body(pieces);
+    *reply.body_mut() = stream_body(chunks);
     reply.headers_mut().insert(
         http::header::CONTENT_LENGTH,
         HeaderValue::from(text.len() as u64),
--- a/crates/standins/src/freeze.rs
+++ b/crates/standins/src/freeze.rs
@@ -1,10 +1,10 @@
-//! Holds a stand-in's answers while its machine is frozen.
+//! Holds back the responses of a fake server while its machine is frozen.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use tokio::sync::Notify;
 
-/// A gate that every handler passes.
+/// Gate that handlers pass before they process a request or send data.
 #[derive(Default)]
 pub(crate) struct FreezeGate {
     is_frozen: AtomicBool,
@@ -12,12 +12,12 @@
 }
 
 impl FreezeGate {
-    /// Stops whoever passes from now on.
+    /// Blocks all subsequent calls of `pass`.
     pub(crate) fn close(&self) {
         self.is_frozen.store(true, Ordering::SeqCst);
     }
 
-    /// Lets everybody go on.
+    /// Opens the gate and wakes all waiters.
     pub(crate) fn open(&self) {
         self.is_frozen.store(false, Ordering::SeqCst);
         self.thaw.notify_waiters();
--- a/crates/standins/src/host.rs
+++ b/crates/standins/src/host.rs
@@ -1,4 +1,4 @@
-//! A thread of its own for each stand-in, so that one can be killed without the others.
+//! Runs each fake server on a runtime of its own, so that it can be killed independently.
 
 use std::future::Future;
 use std::io;
@@ -11,19 +11,19 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::watch;
 
-/// Time between looks at whether a killed stand-in still listens.
-const CLOSE_PAUSE: Duration = Duration::from_millis(5);
-/// Looks before a stand-in is taken for closed whatever it does.
-const CLOSE_LOOKS: usize = 1000;
+/// Interval between checks whether a killed server still listens.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Number of checks after which `kill` returns even if the server still listens.
+const MAX_CLOSE_POLLS: usize = 1000;
 
-/// Waits until the process is told to end.
+/// Waits until the process receives SIGTERM or SIGINT.
 ///
-/// The HTTP library takes the signals that end a process for itself, so a stand-in that only parked
-/// its thread would never end.
+/// The HTTP library installs handlers for these signals, so they no longer end the process by
+/// themselves: a program that only parked its main thread would never exit.
 ///
 /// # Errors
 ///
-/// Returns the operating system's error when signals can not be received.
+/// Returns an error if the signal handlers cannot be installed.
 pub fn wait_for_shutdown_signal() -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -39,7 +39,7 @@
     })
 }
 
-/// One listener on a runtime of its own; dropping or killing it closes every connection.
+/// A server on its own runtime; dropping or killing it closes all connections.
 pub struct StandinHost {
     address: SocketAddr,
     runtime: Option<Runtime>,
@@ -48,13 +48,14 @@
 }
 
 impl StandinHost {
-    /// Starts a handler at an address; port 0 lets the operating system choose.
+    /// Starts a server; with port 0 the operating system chooses a free port.
     ///
     /// # Errors
     ///
-    /// Returns the operating system's error when a thread or the address cannot be had.
+    /// Returns an error if the address cannot be bound or the runtime cannot be started.
     pub fn spawn(address: &str, handler: Arc<dyn Handler>) -> io::Result<Self> {
-        // Bound before the runtime is made, which can not be dropped everywhere.
+        // Bind before creating the runtime: on an early return the runtime would be dropped, which
+        // panics in an asynchronous context.
         let listener = TcpListener::bind(address)?;
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
@@ -74,19 +75,19 @@
         })
     }
 
-    /// Returns the address it listens at.
+    /// Returns the address the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Runs work on the stand-in's runtime.
-    pub fn run(&self, work: impl Future<Output = ()> + Send + 'static) {
+    /// Spawns a future on the runtime of the server.
+    pub fn run(&self, future: impl Future<Output = ()> + Send + 'static) {
         if let Some(runtime) = &self.runtime {
-            runtime.spawn(work);
+            runtime.spawn(future);
         }
     }
 
-    /// Ends the stand-in at once, as a machine that loses power.
+    /// Stops the server immediately, as if its machine lost power.
     pub fn kill(&mut self) {
         self.server.take();
         if let Some(runtime) = self.runtime.take() {
@@ -97,14 +98,14 @@
 }
 
 impl StandinHost {
-    /// Waits until nothing listens any more: the runtime closes its sockets a little later, and a
-    /// connection taken meanwhile would be broken rather than refused.
+    /// Waits until connections are refused. The runtime closes its sockets with a delay, and a
+    /// connection accepted in the meantime would be reset rather than refused.
     fn wait_until_refused(&self) {
-        for _ in 0..CLOSE_LOOKS {
-            if TcpStream::connect_timeout(&self.address, CLOSE_PAUSE).is_err() {
+        for _ in 0..MAX_CLOSE_POLLS {
+            if TcpStream::connect_timeout(&self.address, CLOSE_POLL_INTERVAL).is_err() {
                 return;
             }
-            std::thread::sleep(CLOSE_PAUSE);
+            std::thread::sleep(CLOSE_POLL_INTERVAL);
         }
     }
 }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,7 +1,8 @@
-//! Stand-ins for what briarswitch runs against: the platform, engines, plain services and links.
+//! Fake implementations of the systems around briarswitch: the platform, engines, plain services and
+//! network links.
 //!
-//! They serve tests, measurements and the quick start, record what they saw, and can be made to fail
-//! on purpose. None of it ships.
+//! They are used by tests, benchmarks and the quick start. They record the calls they receive and
+//! support fault injection. They are not part of a release.
 //!
 //! ```
 //! use briarswitch_standins::PlatformStandin;
--- a/crates/standins/src/plain.rs
+++ b/crates/standins/src/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service on one machine, such as a billing application.
+//! Fake plain service on one machine, such as a billing application.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,31 +18,31 @@
 use crate::headers::text_of;
 use crate::host::StandinHost;
 
-const BODY_LIMIT: usize = 16 << 20;
+const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// Ways in which a plain service can be made to fail.
+/// Faults that can be injected into a plain service.
 #[derive(Clone, Debug, Default)]
 pub struct PlainFaults {
-    /// Calls to run without ever answering.
+    /// Number of calls to run without ever responding.
     pub unanswered: u32,
-    /// Time to spend on each call.
+    /// Processing time of each call.
     pub processing_time: Duration,
-    /// Calls to run and then break off without an answer.
+    /// Number of calls to run and then abort without a response.
     pub breaks: u32,
-    /// Whether the service says that it is leaving, and runs nothing.
+    /// Whether the service rejects all calls because it is shutting down.
     pub is_leaving: bool,
 }
 
-/// One call that the service ran.
+/// A call that the service ran.
 #[derive(Clone, Debug)]
 pub struct ServiceCall {
-    /// Attempt it was given.
+    /// Id of the attempt.
     pub attempt: AttemptId,
-    /// Caller's key, if it had one.
+    /// Idempotency key of the caller, if any.
     pub key: Option<String>,
-    /// Path called.
+    /// Path of the request.
     pub path: String,
-    /// Time it was accepted.
+    /// Time at which the call was accepted.
     pub at: Instant,
 }
 
@@ -59,7 +59,7 @@
     frozen: Arc<FreezeGate>,
 }
 
-/// A running plain service.
+/// A running fake service.
 pub struct PlainStandin {
     host: StandinHost,
     state: Arc<Mutex<PlainState>>,
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the operating system's error when the address cannot be had.
+    /// Returns an error if the address cannot be bound.
     pub fn spawn(address: &str, vm: &str, incarnation: Incarnation) -> io::Result<Self> {
         let state = Arc::new(Mutex::new(PlainState::default()));
         let frozen = Arc::new(FreezeGate::default());
@@ -89,32 +89,32 @@
         })
     }
 
-    /// Returns the address it listens at.
+    /// Returns the address the service listens on.
     pub fn address(&self) -> SocketAddr {
         self.host.address()
     }
 
-    /// Changes the faults.
+    /// Changes the injected faults.
     pub fn update_faults(&self, change: impl FnOnce(&mut PlainFaults)) {
         change(&mut self.lock().faults);
     }
 
-    /// Returns every call it ran.
+    /// Returns all calls that the service ran.
     pub fn calls(&self) -> Vec<ServiceCall> {
         self.lock().calls.clone()
     }
 
-    /// Ends the service at once.
+    /// Stops the service immediately and closes its connections.
     pub fn kill(&mut self) {
         self.host.kill();
     }
 
-    /// Stops every answer until [`PlainStandin::thaw`].
+    /// Holds back all responses until [`PlainStandin::thaw`].
     pub fn freeze(&self) {
         self.frozen.close();
     }
 
-    /// Lets the service go on where it was frozen.
+    /// Continues where the service was frozen.
     pub fn thaw(&self) {
         self.frozen.open();
     }
@@ -127,7 +127,7 @@
 enum CallOutcome {
     Respond(usize),
     NoResponse,
-    Break,
+    Abort,
     NotRun,
 }
 
@@ -138,7 +138,7 @@
 
     fn run(&self, headers: &HeaderMap, path: &str) -> (CallOutcome, Duration) {
         let mut state = self.lock();
-        let work = state.faults.processing_time;
+        let processing_time = state.faults.processing_time;
         if state.faults.is_leaving {
             return (CallOutcome::NotRun, Duration::ZERO);
         }
@@ -150,13 +150,13 @@
         });
         if state.faults.unanswered > 0 {
             state.faults.unanswered -= 1;
-            return (CallOutcome::NoResponse, work);
+            return (CallOutcome::NoResponse, processing_time);
         }
         if state.faults.breaks > 0 {
             state.faults.breaks -= 1;
-            return (CallOutcome::Break, work);
+            return (CallOutcome::Abort, processing_time);
         }
-        (CallOutcome::Respond(state.calls.len()), work)
+        (CallOutcome::Respond(state.calls.len()), processing_time)
     }
 
     fn report(&self) -> ReportDoc {
@@ -179,27 +179,27 @@
         Box::pin(async move {
             self.frozen.pass().await;
             let (head, body) = request.into_parts();
-            let Ok(bytes) = read_body(body, BODY_LIMIT).await else {
-                return reply_text(StatusCode::BAD_REQUEST, "broken body");
+            let Ok(bytes) = read_body(body, MAX_BODY_BYTES).await else {
+                return reply_text(StatusCode::BAD_REQUEST, "incomplete or too large body");
             };
             let path = head.uri.path();
             if path == "/report" {
                 return reply_json(StatusCode::OK, &self.report());
             }
-            let (fate, work) = self.run(&head.headers, path);
-            if !work.is_zero() {
-                tokio::time::sleep(work).await;
+            let (outcome, processing_time) = self.run(&head.headers, path);
+            if !processing_time.is_zero() {
+                tokio::time::sleep(processing_time).await;
             }
             let attempt = head.headers.get(ATTEMPT_HEADER).cloned();
-            let mut reply = match fate {
+            let mut reply = match outcome {
                 CallOutcome::Respond(count) => {
                     let text = String::from_utf8_lossy(&bytes);
-                    let answer = serde_json::json!({"vm": self.vm, "count": count, "echo": text});
-                    reply_json(StatusCode::OK, &answer)
+                    let body = serde_json::json!({"vm": self.vm, "count": count, "echo": text});
+                    reply_json(StatusCode::OK, &body)
                 }
                 CallOutcome::NoResponse => std::future::pending().await,
-                CallOutcome::Break => broken_reply(),
-                CallOutcome::NotRun => refusal(),
+                CallOutcome::Abort => aborted_reply(),
+                CallOutcome::NotRun => rejection(),
             };
             if let Some(attempt) = attempt {
                 reply.headers_mut().insert(ATTEMPT_HEADER, attempt);
@@ -209,14 +209,14 @@
     }
 }
 
-fn broken_reply() -> Response {
+fn aborted_reply() -> Response {
     let mut reply = reply_text(StatusCode::OK, "");
-    let pieces = [Err(io::Error::other("broken on purpose"))];
-    *reply.body_mut() = briarswitch_http::stream_body(futures::stream::iter(pieces));
+    let chunks = [Err(io::Error::other("injected fault: aborted response"))];
+    *reply.body_mut() = briarswitch_http::stream_body(futures::stream::iter(chunks));
     reply
 }
 
-fn refusal() -> Response {
+fn rejection() -> Response {
     let mut reply = reply_text(StatusCode::SERVICE_UNAVAILABLE, "leaving");
     let headers = reply.headers_mut();
     headers.insert(NOT_RUN_HEADER, HeaderValue::from_static("1"));
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: table, object store, list of machines and weight store in one process.
+//! Fake platform: table, object store, VM list and weight store behind one listener.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::io;
@@ -21,30 +21,30 @@
 
 use crate::host::StandinHost;
 
-const BODY_LIMIT: usize = 64 << 20;
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// Ways in which the platform can be made to fail.
+/// Faults that can be injected into the platform.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct PlatformFaults {
-    /// Every call is answered with an error and does nothing.
+    /// Every call fails without an effect.
     pub is_down: bool,
-    /// Time before every answer, in milliseconds.
+    /// Delay of every response, in milliseconds.
     pub delay_ms: u64,
-    /// Transactions that take effect although their answer is lost.
+    /// Number of transactions to commit without returning their result.
     pub lose_answers: u32,
-    /// Transactions whose answer is lost and that do not take effect.
+    /// Number of transactions to drop: they neither commit nor return a result.
     pub lose_requests: u32,
-    /// Time by which the list of machines lags, in milliseconds.
+    /// Delay until a change appears in the VM list, in milliseconds.
     pub list_lag_ms: u64,
-    /// Calls a second before calls are refused; zero for no limit.
+    /// Rate limit for calls; zero for no limit.
     pub calls_per_second: u32,
 }
 
-/// One transaction that took effect.
+/// A committed transaction.
 #[derive(Clone, Debug, Serialize)]
 pub struct WriteRecord {
-    /// Time since the stand-in was started.
+    /// Time since the platform was started.
     pub at: Duration,
     /// Rows written, with their new values.
     pub rows: Vec<RowDoc>,
@@ -58,13 +58,14 @@
     version: u64,
     objects: HashMap<String, Bytes>,
     vms: BTreeMap<String, VmDoc>,
-    lists: VecDeque<(Instant, Vec<VmDoc>)>,
+    list_history: VecDeque<(Instant, Vec<VmDoc>)>,
     faults: PlatformFaults,
     history: Vec<WriteRecord>,
     reads: u64,
     writes: u64,
-    window: Option<(Instant, u32)>,
-    permits: Option<usize>,
+    /// Start of the current one-second window of the rate limit, and the calls in it.
+    rate_window: Option<(Instant, u32)>,
+    load_permits: Option<usize>,
 }
 
 struct PlatformHandler {
@@ -72,7 +73,7 @@
     started: Instant,
 }
 
-/// A running platform.
+/// A running fake platform.
 pub struct PlatformStandin {
     host: StandinHost,
     state: Arc<Mutex<PlatformState>>,
@@ -83,7 +84,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the operating system's error when the address cannot be had.
+    /// Returns an error if the address cannot be bound.
     pub fn spawn(address: &str) -> io::Result<Self> {
         let state = Arc::new(Mutex::new(PlatformState::default()));
         let handler = PlatformHandler {
@@ -94,28 +95,28 @@
         Ok(Self { host, state })
     }
 
-    /// Returns the address of every service.
+    /// Returns the address, which is the same for all services.
     pub fn address(&self) -> SocketAddr {
         self.host.address()
     }
 
-    /// Changes the faults.
+    /// Changes the injected faults.
     pub fn update_faults(&self, change: impl FnOnce(&mut PlatformFaults)) {
         change(&mut self.lock().faults);
     }
 
-    /// Lists a machine, or changes how it is listed.
+    /// Adds a machine to the list, or replaces its entry.
     pub fn list_vm(&self, vm: VmDoc) {
         let mut state = self.lock();
         state.vms.insert(vm.id.clone(), vm);
-        state.note_list();
+        state.record_list();
     }
 
-    /// Takes a machine off the list.
+    /// Removes a machine from the list.
     pub fn remove_vm(&self, id: &str) {
         let mut state = self.lock();
         state.vms.remove(id);
-        state.note_list();
+        state.record_list();
     }
 
     /// Marks a machine as leaving.
@@ -124,25 +125,25 @@
         if let Some(vm) = state.vms.get_mut(id) {
             vm.leaving = true;
         }
-        state.note_list();
+        state.record_list();
     }
 
-    /// Limits the loads granted from now on; `None` grants all.
+    /// Limits the loads granted per request from now on; `None` removes the limit.
     pub fn limit_loads(&self, loads: Option<usize>) {
-        self.lock().permits = loads;
+        self.lock().load_permits = loads;
     }
 
-    /// Returns every transaction that took effect, in order.
+    /// Returns all committed transactions, in order.
     pub fn history(&self) -> Vec<WriteRecord> {
         self.lock().history.clone()
     }
 
-    /// Returns the rows whose key begins with a prefix.
+    /// Returns the rows whose key starts with `prefix`.
     pub fn rows(&self, prefix: &str) -> Vec<RowDoc> {
         self.lock().scan(prefix)
     }
 
-    /// Returns how many reads and writes were asked for.
+    /// Returns the number of reads and writes received.
     pub fn calls(&self) -> (u64, u64) {
         let state = self.lock();
         (state.reads, state.writes)
@@ -188,11 +189,11 @@
 
     fn transact(&mut self, request: TransactRequest, at: Duration) -> TransactReply {
         self.writes += 1;
-        let failing = request.checks.iter().find(|check| {
+        let failed = request.checks.iter().find(|check| {
             let found = self.rows.get(&check.key).map_or(0, |(version, _)| *version);
             found != check.version
         });
-        if let Some(check) = failing {
+        if let Some(check) = failed {
             return TransactReply::Conflict {
                 key: check.key.clone(),
             };
@@ -225,19 +226,19 @@
         TransactReply::Committed { versions }
     }
 
-    fn note_list(&mut self) {
+    fn record_list(&mut self) {
         let list = self.vms.values().cloned().collect();
-        self.lists.push_back((Instant::now(), list));
+        self.list_history.push_back((Instant::now(), list));
     }
 
     fn list(&mut self, zone: &str) -> VmListDoc {
         let lag = Duration::from_millis(self.faults.list_lag_ms);
         let now = Instant::now();
-        while self.lists.len() > 1 && self.lists[1].0 + lag <= now {
-            self.lists.pop_front();
+        while self.list_history.len() > 1 && self.list_history[1].0 + lag <= now {
+            self.list_history.pop_front();
         }
-        let shown = self.lists.front().filter(|(at, _)| *at + lag <= now);
-        let vms = shown.map(|(_, list)| list.clone()).unwrap_or_default();
+        let visible = self.list_history.front().filter(|(at, _)| *at + lag <= now);
+        let vms = visible.map(|(_, list)| list.clone()).unwrap_or_default();
         VmListDoc {
             vms: vms.into_iter().filter(|vm| vm.zone == zone).collect(),
         }
@@ -246,21 +247,21 @@
     fn is_over_rate(&mut self) -> bool {
         let limit = self.faults.calls_per_second;
         let now = Instant::now();
-        let (start, count) = self.window.unwrap_or((now, 0));
+        let (start, count) = self.rate_window.unwrap_or((now, 0));
         let window = if now - start >= Duration::from_secs(1) {
             (now, 1)
         } else {
             (start, count + 1)
         };
-        self.window = Some(window);
+        self.rate_window = Some(window);
         limit > 0 && window.1 > limit
     }
 
-    /// Takes one from a counter of faults.
-    fn use_up(counter: &mut u32) -> bool {
-        let is_left = *counter > 0;
+    /// Decrements a fault counter; returns whether it was above zero.
+    fn take_fault(counter: &mut u32) -> bool {
+        let is_pending = *counter > 0;
         *counter = counter.saturating_sub(1);
-        is_left
+        is_pending
     }
 }
 
@@ -269,8 +270,8 @@
         Box::pin(async move {
             let (head, body) = request.into_parts();
             let path = head.uri.path().to_owned();
-            let Ok(bytes) = read_body(body, BODY_LIMIT).await else {
-                return reply_text(StatusCode::BAD_REQUEST, "broken body");
+            let Ok(bytes) = read_body(body, MAX_BODY_BYTES).await else {
+                return reply_text(StatusCode::BAD_REQUEST, "incomplete or too large body");
             };
             if path.starts_with("/admin/") {
                 return self.admin(&path, &bytes);
@@ -279,7 +280,7 @@
             if delay > 0 {
                 tokio::time::sleep(Duration::from_millis(delay)).await;
             }
-            self.answer(&head.method, &path, bytes)
+            self.respond(&head.method, &path, bytes)
         })
     }
 }
@@ -289,7 +290,7 @@
         self.state.lock().expect("platform state")
     }
 
-    fn answer(&self, method: &Method, path: &str, bytes: Bytes) -> Response {
+    fn respond(&self, method: &Method, path: &str, bytes: Bytes) -> Response {
         let mut state = self.lock();
         if state.faults.is_down {
             return reply_text(StatusCode::SERVICE_UNAVAILABLE, "down");
@@ -298,7 +299,7 @@
             return reply_text(StatusCode::TOO_MANY_REQUESTS, "too many calls");
         }
         if let Some(name) = path.strip_prefix("/objects/") {
-            return answer_object(&mut state, method, name, bytes);
+            return respond_object(&mut state, method, name, bytes);
         }
         if let Some(zone) = path.strip_prefix("/vms/") {
             return reply_json(StatusCode::OK, &state.list(zone));
@@ -309,13 +310,13 @@
                 Err(error) => reply_text(StatusCode::BAD_REQUEST, error.to_string()),
             },
             "/table/transact" => match serde_json::from_slice(&bytes) {
-                Ok(request) => answer_transact(&mut state, request, self.started.elapsed()),
+                Ok(request) => respond_transact(&mut state, request, self.started.elapsed()),
                 Err(error) => reply_text(StatusCode::BAD_REQUEST, error.to_string()),
             },
             "/weights/permits" => match serde_json::from_slice::<LoadPermitRequest>(&bytes) {
                 Ok(request) => {
                     let granted = state
-                        .permits
+                        .load_permits
                         .map_or(request.loads, |left| left.min(request.loads));
                     reply_json(StatusCode::OK, &LoadPermitReply { granted })
                 }
@@ -335,7 +336,7 @@
             "/admin/vms" => match serde_json::from_slice::<VmDoc>(bytes) {
                 Ok(vm) => {
                     state.vms.insert(vm.id.clone(), vm);
-                    state.note_list();
+                    state.record_list();
                 }
                 Err(error) => return reply_text(StatusCode::BAD_REQUEST, error.to_string()),
             },
@@ -345,18 +346,23 @@
     }
 }
 
-fn answer_transact(state: &mut PlatformState, request: TransactRequest, at: Duration) -> Response {
-    if PlatformState::use_up(&mut state.faults.lose_requests) {
-        return reply_text(StatusCode::GATEWAY_TIMEOUT, "no answer");
+fn respond_transact(state: &mut PlatformState, request: TransactRequest, at: Duration) -> Response {
+    if PlatformState::take_fault(&mut state.faults.lose_requests) {
+        return reply_text(StatusCode::GATEWAY_TIMEOUT, "no response");
     }
     let reply = state.transact(request, at);
-    if PlatformState::use_up(&mut state.faults.lose_answers) {
-        return reply_text(StatusCode::GATEWAY_TIMEOUT, "no answer");
+    if PlatformState::take_fault(&mut state.faults.lose_answers) {
+        return reply_text(StatusCode::GATEWAY_TIMEOUT, "no response");
     }
     reply_json(StatusCode::OK, &reply)
 }
 
-fn answer_object(state: &mut PlatformState, method: &Method, name: &str, bytes: Bytes) -> Response {
+fn respond_object(
+    state: &mut PlatformState,
+    method: &Method,
+    name: &str,
+    bytes: Bytes,
+) -> Response {
     if *method == Method::PUT {
         state.writes += 1;
         state.objects.insert(name.to_owned(), bytes);
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -1,4 +1,4 @@
-//! A link between two processes that can be cut, slowed or cut in one direction.
+//! TCP relay that simulates a network link which can fail in both directions or one, or be slow.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,38 +12,38 @@
 use tokio::runtime::Runtime;
 use tokio::sync::watch;
 
-const CHUNK: usize = 16 << 10;
+const BUFFER_BYTES: usize = 16 << 10;
 
-/// What a link does.
+/// Behaviour of a link.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum LinkMode {
-    /// Carries everything.
+    /// Forwards all data.
     #[default]
     Open,
-    /// Swallows what is sent either way and keeps connections open, as a lost route does.
+    /// Drops data in both directions and keeps connections open, like a lost route.
     Cut,
-    /// Swallows what flows back from the far side.
+    /// Drops data from the far side only.
     CutReverse,
-    /// Carries everything after a delay, in milliseconds.
+    /// Delays every chunk of data by this many milliseconds.
     Slow(u64),
-    /// Closes every connection and accepts none.
+    /// Closes all connections, including new ones.
     Reset,
 }
 
-/// A running link to one address.
+/// A running relay to one address.
 pub struct LinkRelay {
     address: SocketAddr,
     mode: watch::Sender<LinkMode>,
-    carried: Arc<AtomicU64>,
+    byte_count: Arc<AtomicU64>,
     runtime: Option<Runtime>,
 }
 
 impl LinkRelay {
-    /// Starts a link to `far`.
+    /// Starts a relay to `far`.
     ///
     /// # Errors
     ///
-    /// Returns the operating system's error when a thread or a port cannot be had.
+    /// Returns an error if the runtime cannot be started or no port can be bound.
     pub fn spawn(far: &str) -> io::Result<Self> {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
@@ -56,29 +56,29 @@
             let _context = runtime.enter();
             TcpListener::from_std(listener)?
         };
-        let (mode, watched) = watch::channel(LinkMode::Open);
-        let carried = Arc::new(AtomicU64::new(0));
-        let counter = Arc::clone(&carried);
-        runtime.spawn(accept(listener, far.to_owned(), watched, counter));
+        let (mode, mode_receiver) = watch::channel(LinkMode::Open);
+        let byte_count = Arc::new(AtomicU64::new(0));
+        let counter = Arc::clone(&byte_count);
+        runtime.spawn(accept(listener, far.to_owned(), mode_receiver, counter));
         Ok(Self {
             address,
             mode,
-            carried,
+            byte_count,
             runtime: Some(runtime),
         })
     }
 
-    /// Returns the near address.
+    /// Returns the address of the near side, to which clients connect.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns the bytes carried, both ways.
-    pub fn bytes_forwarded(&self) -> u64 {
-        self.carried.load(Ordering::Relaxed)
+    /// Returns the number of bytes received in both directions, including dropped ones.
+    pub fn byte_count(&self) -> u64 {
+        self.byte_count.load(Ordering::Relaxed)
     }
 
-    /// Changes what the link does, for open connections too.
+    /// Changes the behaviour, also of open connections.
     pub fn set_mode(&self, mode: LinkMode) {
         let _ = self.mode.send(mode);
     }
@@ -96,21 +96,26 @@
     listener: TcpListener,
     far: String,
     mode: watch::Receiver<LinkMode>,
-    carried: Arc<AtomicU64>,
+    byte_count: Arc<AtomicU64>,
 ) {
     while let Ok((near, _)) = listener.accept().await {
         if *mode.borrow() == LinkMode::Reset {
             continue;
         }
-        tokio::spawn(carry(near, far.clone(), mode.clone(), Arc::clone(&carried)));
+        tokio::spawn(relay(
+            near,
+            far.clone(),
+            mode.clone(),
+            Arc::clone(&byte_count),
+        ));
     }
 }
 
-async fn carry(
+async fn relay(
     near: TcpStream,
     far: String,
     mode: watch::Receiver<LinkMode>,
-    carried: Arc<AtomicU64>,
+    byte_count: Arc<AtomicU64>,
 ) {
     let Ok(far) = TcpStream::connect(far).await else {
         return;
@@ -120,36 +125,36 @@
     let (near_read, near_write) = near.into_split();
     let (far_read, far_write) = far.into_split();
     let mut reset = mode.clone();
-    let out = pump(near_read, far_write, mode.clone(), false, &carried);
-    let back = pump(far_read, near_write, mode, true, &carried);
+    let forward = forward_data(near_read, far_write, mode.clone(), false, &byte_count);
+    let reverse = forward_data(far_read, near_write, mode, true, &byte_count);
     tokio::select! {
-        _ = out => {}
-        _ = back => {}
+        _ = forward => {}
+        _ = reverse => {}
         _ = reset.wait_for(|mode| *mode == LinkMode::Reset) => {}
     }
 }
 
-async fn pump(
+async fn forward_data(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mode: watch::Receiver<LinkMode>,
-    is_back: bool,
-    carried: &AtomicU64,
+    is_reverse: bool,
+    byte_count: &AtomicU64,
 ) {
-    let mut chunk = vec![0; CHUNK];
-    while let Ok(count) = from.read(&mut chunk).await {
+    let mut buffer = vec![0; BUFFER_BYTES];
+    while let Ok(count) = from.read(&mut buffer).await {
         if count == 0 {
             return;
         }
-        carried.fetch_add(count as u64, Ordering::Relaxed);
-        let present = *mode.borrow();
-        match present {
+        byte_count.fetch_add(count as u64, Ordering::Relaxed);
+        let current = *mode.borrow();
+        match current {
             LinkMode::Cut => continue,
-            LinkMode::CutReverse if is_back => continue,
+            LinkMode::CutReverse if is_reverse => continue,
             LinkMode::Slow(delay) => tokio::time::sleep(Duration::from_millis(delay)).await,
             _ => {}
         }
-        if to.write_all(&chunk[..count]).await.is_err() {
+        if to.write_all(&buffer[..count]).await.is_err() {
             return;
         }
     }
--- a/crates/standins/src/slots.rs
+++ b/crates/standins/src/slots.rs
@@ -1,4 +1,4 @@
-//! Places in an engine's batch, given to the highest priority first.
+//! Slots in an engine's batch, assigned by priority and then in order of arrival.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -11,28 +11,28 @@
 #[derive(Debug)]
 struct SlotState {
     free: usize,
-    next: u64,
+    next_ticket: u64,
     waiting: Waiters,
     running: u32,
 }
 
-/// A batch with a limited number of places.
+/// A batch with a limited number of slots.
 #[derive(Clone, Debug)]
 pub(crate) struct SlotQueue {
     state: Arc<Mutex<SlotState>>,
 }
 
-/// A place in the batch; dropping it gives it to the next waiter.
+/// A slot in the batch; dropping it passes the slot to the next waiter.
 pub(crate) struct SlotGuard {
     state: Arc<Mutex<SlotState>>,
 }
 
 impl SlotQueue {
-    pub(crate) fn new(places: usize) -> Self {
+    pub(crate) fn new(slots: usize) -> Self {
         Self {
             state: Arc::new(Mutex::new(SlotState {
-                free: places,
-                next: 0,
+                free: slots,
+                next_ticket: 0,
                 waiting: BTreeMap::new(),
                 running: 0,
             })),
@@ -48,8 +48,8 @@
                 None
             } else {
                 let (sender, receiver) = oneshot::channel();
-                let ticket = state.next;
-                state.next += 1;
+                let ticket = state.next_ticket;
+                state.next_ticket += 1;
                 state.waiting.insert((Reverse(priority), ticket), sender);
                 Some(receiver)
             }
--- a/crates/standins/src/tokens.rs
+++ b/crates/standins/src/tokens.rs
@@ -1,4 +1,4 @@
-//! The token stream of a model engine.
+//! Token stream of the fake engine.
 
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -13,8 +13,8 @@
     pub(crate) attempt: String,
     pub(crate) from: usize,
     pub(crate) tokens: usize,
-    pub(crate) break_at: Option<usize>,
-    pub(crate) is_marked: bool,
+    pub(crate) abort_at: Option<usize>,
+    pub(crate) has_end_event: bool,
 }
 
 pub(crate) struct StreamCursor {
@@ -30,10 +30,10 @@
         if self.is_ended {
             return None;
         }
-        if self.plan.break_at == Some(self.next) {
+        if self.plan.abort_at == Some(self.next) {
             self.is_ended = true;
             self.guard.is_done = true;
-            return Some(Err(io::Error::other("broken on purpose")));
+            return Some(Err(io::Error::other("injected fault: aborted stream")));
         }
         if self.next < self.plan.tokens {
             let index = self.next;
@@ -47,11 +47,11 @@
         }
         self.is_ended = true;
         self.guard.is_done = true;
-        self.plan.is_marked.then(|| Ok(Bytes::from(STREAM_END)))
+        self.plan.has_end_event.then(|| Ok(Bytes::from(STREAM_END)))
     }
 }
 
-/// Counts a stream whose reader left before its end.
+/// Counts the stream as cancelled if it is dropped before its end.
 pub(crate) struct CancelGuard {
     pub(crate) state: Arc<Mutex<EngineState>>,
     pub(crate) is_done: bool,
@@ -67,7 +67,7 @@
     }
 }
 
-/// Returns the text of one token.
+/// Returns the text of the token at `index`.
 pub(crate) fn token_text(index: usize) -> String {
     format!("w{index} ")
 }
