--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,68 +1,68 @@
-//! Calls to a node's operator listener.
+//! Client for a node's operator listener.
 
 use std::time::Duration;
 
-use briarswitch_http::{CallError, CallerClient, Codec};
+use briarswitch_http::{ApiClient, CallError, Codec};
 use http::Method;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// Time to wait for a node.
-const LIMIT: Duration = Duration::from_secs(20);
+/// Timeout of a call to a node.
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Why a node gave no usable answer.
+/// Error of a call to a node.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
-pub enum NodeFailure {
-    /// It was not reached, or broke off.
-    #[error("no answer from {node}: {error}; try another node with --node")]
-    NoAnswer {
-        /// Address called.
+pub enum NodeError {
+    /// The call failed: there was no response, an error status or an invalid body.
+    #[error("call to {node} failed: {error}; try another node with --node")]
+    CallFailed {
+        /// Address of the node.
         node: String,
-        /// What happened.
+        /// Error of the call.
         error: CallError,
     },
-    /// The credential is not the operators'.
-    #[error("{node} does not know this credential; give --token or set BRIARCTL_TOKEN")]
-    Credential {
-        /// Address called.
+    /// The node rejected the credential.
+    #[error("{node} rejected the credential; give --token or set BRIARCTL_TOKEN")]
+    Unauthorized {
+        /// Address of the node.
         node: String,
     },
 }
 
-/// Speaks with one node.
+/// Client for one node.
 pub struct NodeClient {
     node: String,
-    client: CallerClient,
+    client: ApiClient,
 }
 
 impl NodeClient {
-    /// Opens a client for a node's operator listener.
-    pub fn open(node: &str, token: Option<String>) -> Self {
+    /// Creates a client for a node's operator listener.
+    pub fn new(node: &str, token: Option<String>) -> Self {
         Self {
             node: node.to_owned(),
-            client: CallerClient::open(Codec::Json, token),
+            client: ApiClient::new(Codec::Json, token),
         }
     }
 
-    /// Reads something.
+    /// Sends a GET request and decodes the response.
     ///
     /// # Errors
     ///
-    /// Returns [`NodeFailure`] when the node gave no usable answer.
-    pub async fn get<R: DeserializeOwned>(&self, path: &str) -> Result<R, NodeFailure> {
+    /// Returns [`NodeError`] if there is no valid response.
+    pub async fn get<R: DeserializeOwned>(&self, path: &str) -> Result<R, NodeError> {
         self.call(Method::GET, path, None::<&()>).await
     }
 
-    /// Sends something.
+    /// Sends a POST request and decodes the response.
     ///
     /// # Errors
     ///
-    /// Returns [`NodeFailure`] when the node gave no usable answer.
+    /// Returns [`NodeError`] if there is no valid response.
     pub async fn post<Q: Serialize, R: DeserializeOwned>(
         &self,
         path: &str,
         body: &Q,
-    ) -> Result<R, NodeFailure> {
+    ) -> Result<R, NodeError> {
         self.call(Method::POST, path, Some(body)).await
     }
 
@@ -71,14 +71,14 @@
         method: Method,
         path: &str,
         body: Option<&Q>,
-    ) -> Result<R, NodeFailure> {
+    ) -> Result<R, NodeError> {
         let url = format!("http://{}{path}", self.node);
-        let result = self.client.call(method, &url, body, LIMIT).await;
+        let result = self.client.call(method, &url, body, CALL_TIMEOUT).await;
         result.map_err(|error| {
             let node = self.node.clone();
             match error {
-                CallError::Status { status: 401, .. } => NodeFailure::Credential { node },
-                error => NodeFailure::NoAnswer { node, error },
+                CallError::Status { status: 401, .. } => NodeError::Unauthorized { node },
+                error => NodeError::CallFailed { node, error },
             }
         })
     }
--- a/crates/ctl/src/edit.rs
+++ b/crates/ctl/src/edit.rs
@@ -1,4 +1,4 @@
-//! Edits: building them from files and flags, and telling how they ended.
+//! Edits: building them from files and flags, sending them, and reporting their results.
 
 use std::fs;
 use std::io::Read as _;
@@ -8,29 +8,29 @@
 use sha2::{Digest, Sha256};
 
 use crate::cli::DocumentOptions;
-use crate::client::{NodeClient, NodeFailure};
+use crate::client::{NodeClient, NodeError};
 use crate::exit::ExitStatus;
 
-/// What a command prints and how it ends.
+/// Output and exit status of a command.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct CommandEnd {
+pub struct CommandOutcome {
     /// Text to print.
     pub text: String,
-    /// How it ended.
+    /// Exit status.
     pub status: ExitStatus,
 }
 
-impl CommandEnd {
-    /// Makes the end of a command that did what was asked.
-    pub fn done(text: impl Into<String>) -> Self {
+impl CommandOutcome {
+    /// Creates the outcome of a successful command.
+    pub fn success(text: impl Into<String>) -> Self {
         Self {
             text: text.into(),
-            status: ExitStatus::Done,
+            status: ExitStatus::Success,
         }
     }
 
-    /// Makes the end of a command that did not.
-    pub fn failed(status: ExitStatus, text: impl Into<String>) -> Self {
+    /// Creates the outcome of a failed command.
+    pub fn failure(status: ExitStatus, text: impl Into<String>) -> Self {
         Self {
             text: text.into(),
             status,
@@ -38,37 +38,37 @@
     }
 }
 
-impl From<NodeFailure> for CommandEnd {
-    fn from(failure: NodeFailure) -> Self {
-        Self::failed(ExitStatus::NoAnswer, failure.to_string())
+impl From<NodeError> for CommandOutcome {
+    fn from(failure: NodeError) -> Self {
+        Self::failure(ExitStatus::NodeError, failure.to_string())
     }
 }
 
-/// One edit before its base is known.
+/// An edit whose base version may not be known yet.
 pub struct EditDraft {
     /// Kind of the entity.
     pub kind: KindDoc,
     /// Name of the entity.
     pub id: String,
-    /// Text wanted.
+    /// Requested value.
     pub value: ValueDoc,
-    /// Version it was made against, if the operator said so.
+    /// Version that the edit is based on, if given by the operator.
     pub base: Option<u64>,
-    /// Whether the entity must be new.
+    /// Whether the edit creates the entity.
     pub is_new: bool,
 }
 
-/// Sends an edit and tells how it ended.
+/// Sends an edit and returns its outcome.
 ///
-/// Without a base the version that the node has in force now is taken, so an edit by somebody else
-/// in between still ends in a conflict.
-pub async fn send_edit(client: &NodeClient, draft: EditDraft, is_json: bool) -> CommandEnd {
+/// Without a base version, the version currently in force at the node is used, so a concurrent edit
+/// still causes a conflict.
+pub async fn send_edit(client: &NodeClient, draft: EditDraft, is_json: bool) -> CommandOutcome {
     let base = match draft.base {
         Some(base) => base,
         None if draft.is_new => 0,
-        None => match current(client, draft.kind, &draft.id).await {
+        None => match find_entity(client, draft.kind, &draft.id).await {
             Ok(Some(entry)) => entry.version,
-            Ok(None) => return missing(draft.kind, &draft.id),
+            Ok(None) => return not_found(draft.kind, &draft.id),
             Err(failure) => return failure.into(),
         },
     };
@@ -81,45 +81,46 @@
     };
     let write = request.write.clone();
     match client.post::<_, EditReply>("/v1/edit", &request).await {
-        Ok(reply) => tell_edit(reply, is_json),
+        Ok(reply) => edit_outcome(reply, is_json),
         // The node may have written the edit before the connection broke.
-        Err(NodeFailure::NoAnswer { .. }) => tell_edit(EditReply::Unknown { write }, is_json),
+        Err(NodeError::CallFailed { .. }) => edit_outcome(EditReply::Unknown { write }, is_json),
         Err(failure) => failure.into(),
     }
 }
 
-/// Settles an edit whose answer was unknown.
-pub async fn settle(client: &NodeClient, write: &str, is_json: bool) -> CommandEnd {
+/// Queries the final result of an edit whose response was lost.
+pub async fn settle(client: &NodeClient, write: &str, is_json: bool) -> CommandOutcome {
     let reply: SettleReply = match client.post("/v1/settle", &write).await {
         Ok(reply) => reply,
         Err(failure) => return failure.into(),
     };
     let (text, status) = match &reply {
-        SettleReply::Accepted { version } => {
-            (format!("accepted as version {version}"), ExitStatus::Done)
-        }
+        SettleReply::Accepted { version } => (
+            format!("accepted as version {version}"),
+            ExitStatus::Success,
+        ),
         SettleReply::Void => (
-            "not in force, and it never will be; send the edit anew".to_owned(),
+            "not in force, and it never will be; send the edit again".to_owned(),
             ExitStatus::Refused,
         ),
         SettleReply::Unknown => (
-            format!("the platform gives no answer; try again: briarctl settle {write}"),
+            format!("the platform does not respond; try again: briarctl settle {write}"),
             ExitStatus::Unknown,
         ),
     };
-    end_with(&reply, text, status, is_json)
+    outcome_of(&reply, text, status, is_json)
 }
 
-/// Finds an entity in the configuration that the node has in force.
+/// Finds an entity in the configuration in force at the node.
 ///
 /// # Errors
 ///
-/// Returns [`NodeFailure`] when the node gave no usable answer.
-pub async fn current(
+/// Returns [`NodeError`] if there is no valid response.
+pub async fn find_entity(
     client: &NodeClient,
     kind: KindDoc,
     id: &str,
-) -> Result<Option<EntryDoc>, NodeFailure> {
+) -> Result<Option<EntryDoc>, NodeError> {
     let config: ConfigReply = client.get("/v1/config").await?;
     let found = config
         .entries
@@ -128,18 +129,19 @@
     Ok(found)
 }
 
-/// Tells that an entity is not there.
-pub fn missing(kind: KindDoc, id: &str) -> CommandEnd {
+/// Returns the outcome for an entity that does not exist.
+pub fn not_found(kind: KindDoc, id: &str) -> CommandOutcome {
     let kind = kind.name();
     let text = format!("there is no {kind} named {id}; see: briarctl {kind} list");
-    CommandEnd::failed(ExitStatus::Missing, text)
+    CommandOutcome::failure(ExitStatus::NotFound, text)
 }
 
-fn tell_edit(reply: EditReply, is_json: bool) -> CommandEnd {
+fn edit_outcome(reply: EditReply, is_json: bool) -> CommandOutcome {
     let (text, status) = match &reply {
-        EditReply::Accepted { version } => {
-            (format!("accepted as version {version}"), ExitStatus::Done)
-        }
+        EditReply::Accepted { version } => (
+            format!("accepted as version {version}"),
+            ExitStatus::Success,
+        ),
         EditReply::Refused { findings } => {
             let lines = findings
                 .iter()
@@ -155,39 +157,39 @@
             let current = current.as_ref().map(ToString::to_string);
             let text = format!(
                 "conflict: edited by another operator, now at version {version}\n  in force: {}\n  \
-                 wanted:   {wanted}\nlook at it and edit again with --base {version}",
+                 wanted:   {wanted}\ncompare both and edit again with --base {version}",
                 current.unwrap_or_else(|| "nothing".to_owned())
             );
             (text, ExitStatus::Conflict)
         }
         EditReply::Unknown { write } => (
-            format!("unknown: no answer from the platform; run: briarctl settle {write}"),
+            format!("unknown: no response from the platform; run: briarctl settle {write}"),
             ExitStatus::Unknown,
         ),
     };
-    end_with(&reply, text, status, is_json)
+    outcome_of(&reply, text, status, is_json)
 }
 
-fn end_with<T: serde::Serialize>(
+fn outcome_of<T: serde::Serialize>(
     reply: &T,
     text: String,
     status: ExitStatus,
     is_json: bool,
-) -> CommandEnd {
+) -> CommandOutcome {
     let text = if is_json {
         serde_json::to_string(reply).unwrap_or(text)
     } else {
         text
     };
-    CommandEnd { text, status }
+    CommandOutcome { text, status }
 }
 
-/// Reads a document for an entity from the flags.
+/// Builds the value of an entity from the flags.
 ///
 /// # Errors
 ///
-/// Returns the end of the command when the flags or the file can not be understood.
-pub fn read_value(kind: KindDoc, options: &DocumentOptions) -> Result<ValueDoc, CommandEnd> {
+/// Returns the outcome of the command if the flags or the file are invalid.
+pub fn read_value(kind: KindDoc, options: &DocumentOptions) -> Result<ValueDoc, CommandOutcome> {
     if let (KindDoc::Organisation, Some(key)) = (kind, &options.key) {
         return Ok(ValueDoc::Organisation(OrganisationDoc {
             key_hash: key_hash(key),
@@ -197,7 +199,7 @@
     }
     let Some(file) = &options.file else {
         let text = "give the document with --file FILE, or --file - for standard input";
-        return Err(CommandEnd::failed(ExitStatus::Usage, text));
+        return Err(CommandOutcome::failure(ExitStatus::Usage, text));
     };
     let text = read_file(file)?;
     match kind {
@@ -211,8 +213,8 @@
 ///
 /// # Errors
 ///
-/// Returns the end of the command when it can not be read.
-pub fn read_file(file: &str) -> Result<String, CommandEnd> {
+/// Returns the outcome of the command if the file cannot be read.
+pub fn read_file(file: &str) -> Result<String, CommandOutcome> {
     let read = if file == "-" {
         let mut text = String::new();
         std::io::stdin().read_to_string(&mut text).map(|_| text)
@@ -220,20 +222,20 @@
         fs::read_to_string(file)
     };
     read.map_err(|error| {
-        let text = format!("{file} can not be read: {error}");
-        CommandEnd::failed(ExitStatus::Usage, text)
+        let text = format!("cannot read {file}: {error}");
+        CommandOutcome::failure(ExitStatus::Usage, text)
     })
 }
 
-/// Parses a document.
+/// Parses a JSON document.
 ///
 /// # Errors
 ///
-/// Returns the end of the command with the place of the fault.
-pub fn parse<T: serde::de::DeserializeOwned>(file: &str, text: &str) -> Result<T, CommandEnd> {
+/// Returns the outcome of the command, with the position of the error.
+pub fn parse<T: serde::de::DeserializeOwned>(file: &str, text: &str) -> Result<T, CommandOutcome> {
     serde_json::from_str(text).map_err(|error| {
         let text = format!("{file}: {error}; see docs/INTERFACES.md for examples");
-        CommandEnd::failed(ExitStatus::Usage, text)
+        CommandOutcome::failure(ExitStatus::Usage, text)
     })
 }
 
--- a/crates/ctl/src/exit.rs
+++ b/crates/ctl/src/exit.rs
@@ -1,35 +1,35 @@
 //! Exit codes, as `docs/OPERATIONS.md` lists them.
 
-/// How a command ended.
+/// Exit status of a command.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ExitStatus {
-    /// It did what was asked.
-    Done,
-    /// The command line or a file could not be understood.
+    /// The command succeeded.
+    Success,
+    /// The command line or an input file is invalid.
     Usage,
-    /// The edit was refused with findings.
+    /// The edit was refused because it is invalid or can no longer be applied.
     Refused,
-    /// Another edit came first.
+    /// A concurrent edit changed the same entity first.
     Conflict,
-    /// Nobody can say yet whether the edit is in force.
+    /// It is not known yet whether the edit is in force.
     Unknown,
-    /// No node answered, or it answered with an error.
-    NoAnswer,
-    /// What was asked for is not there.
-    Missing,
+    /// The node did not respond, or responded with an error.
+    NodeError,
+    /// The requested entity or log entry does not exist.
+    NotFound,
 }
 
 impl ExitStatus {
-    /// Returns the process's exit code.
+    /// Returns the exit code of the process.
     pub fn code(self) -> u8 {
         match self {
-            Self::Done => 0,
+            Self::Success => 0,
             Self::Usage => 2,
             Self::Refused => 3,
             Self::Conflict => 4,
             Self::Unknown => 5,
-            Self::NoAnswer => 6,
-            Self::Missing => 7,
+            Self::NodeError => 6,
+            Self::NotFound => 7,
         }
     }
 }
--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use briarswitch_core::prelude::*;
-use briarswitch_http::{whole_body, SendFailure, TargetBody, TargetClient, TargetReply};
+use briarswitch_http::{full_body, SendError, TargetBody, TargetClient, TargetResponse};
 use briarswitch_kernel::{BootClock, Mailbox};
 use briarswitch_wire::engine::{
     ATTEMPT_HEADER, GROUP_HEADER, LEAVING_HEADER, NOT_RUN_HEADER, PRIORITY_HEADER, RESUME_HEADER,
@@ -88,26 +88,26 @@
         self.check_reply(reply, request, target, attempt)
     }
 
-    fn report_failure(&self, failure: SendFailure, target: &Target, sent: Moment) -> FailurePoint {
+    fn report_failure(&self, failure: SendError, target: &Target, sent: Moment) -> FailurePoint {
         let _ = self.watch.post(WatchMessage::Failed {
             vm: target.vm.clone(),
             at: sent,
         });
         match failure {
-            SendFailure::Connect | SendFailure::Refused => FailurePoint::Connect,
-            SendFailure::ClosedBeforeSend => FailurePoint::ClosedBeforeSend,
-            SendFailure::Broken => FailurePoint::BrokenBeforeHead,
+            SendError::Connect | SendError::Refused => FailurePoint::Connect,
+            SendError::ClosedBeforeSend => FailurePoint::ClosedBeforeSend,
+            SendError::Broken => FailurePoint::BrokenBeforeHead,
         }
     }
 
     fn check_reply(
         &self,
-        reply: TargetReply,
+        reply: TargetResponse,
         request: &TargetRequest,
         target: &Target,
         attempt: &str,
     ) -> Result<AttemptReply, FailurePoint> {
-        let TargetReply { head, body } = reply;
+        let TargetResponse { head, body } = reply;
         if head.headers.contains_key(LEAVING_HEADER) {
             let _ = self.watch.post(WatchMessage::Leaving {
                 vm: target.vm.clone(),
@@ -140,7 +140,7 @@
 /// [`FailurePoint::AnswerDeadline`] if it is not complete in time.
 pub async fn read_to_end(body: TargetBody, deadline: Moment) -> Result<Bytes, FailurePoint> {
     let left = deadline.saturating_sub(BootClock::now());
-    match tokio::time::timeout(left, body.read_whole(MAX_RESPONSE_BYTES)).await {
+    match tokio::time::timeout(left, body.read_all(MAX_RESPONSE_BYTES)).await {
         Ok(result) => result.map_err(|_| FailurePoint::Truncated),
         Err(_) => Err(FailurePoint::AnswerDeadline),
     }
@@ -153,7 +153,7 @@
     resume: Option<usize>,
     left: Duration,
 ) -> http::Request<http_body_util::Full<Bytes>> {
-    let mut outgoing = http::Request::new(whole_body(request.body.clone()));
+    let mut outgoing = http::Request::new(full_body(request.body.clone()));
     *outgoing.method_mut() = request.method.clone();
     *outgoing.uri_mut() = request.path.parse::<Uri>().unwrap_or_default();
     let headers = outgoing.headers_mut();
--- a/crates/node/src/controller.rs
+++ b/crates/node/src/controller.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use briarswitch_core::prelude::*;
-use briarswitch_http::{CallError, CallerClient, Codec};
+use briarswitch_http::{ApiClient, CallError, Codec};
 use briarswitch_kernel::{BootClock, Service, ServiceLink};
 use briarswitch_platform::StoreError;
 use briarswitch_wire::engine::{OrderAction, OrderDoc, ReportDoc, StateDoc};
@@ -77,7 +77,7 @@
 /// Controls one zone while this node holds the zone's lease.
 pub struct ZoneController {
     shared: Arc<NodeShared>,
-    client: CallerClient,
+    client: ApiClient,
     lease: LeaseDriver,
     planner: GroupPlanner,
     term: Option<ControllerTerm>,
@@ -98,7 +98,7 @@
         Self {
             lease: LeaseDriver::new(settings, shared.incarnation),
             planner: GroupPlanner::new(control.load_time, control.member_grace),
-            client: CallerClient::open(Codec::Json, None),
+            client: ApiClient::new(Codec::Json, None),
             term: None,
             counters: TermCounters::default(),
             is_change_pending: false,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -108,9 +108,9 @@
         let usage = kernel.mount(UsageWriter::new(Arc::clone(&shared)))?;
         kernel.mount(PeerExchange::new(Arc::clone(&shared)))?;
 
-        let client = TargetClient::open(TargetLimits {
-            connect: shared.settings.requests.connect_timeout,
-            idle: MAX_IDLE_CONNECTIONS,
+        let client = TargetClient::new(TargetLimits {
+            connect_timeout: shared.settings.requests.connect_timeout,
+            max_idle: MAX_IDLE_CONNECTIONS,
         });
         let suspects = NodeSuspectHost::new(Arc::clone(&shared), watcher.clone());
         let suspect_host: Arc<dyn SuspectHost> = Arc::clone(&suspects) as Arc<dyn SuspectHost>;
--- a/crates/node/src/peer_api.rs
+++ b/crates/node/src/peer_api.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use briarswitch_http::{read_body, reply_packed, reply_text, Handler, Request, Response};
+use briarswitch_http::{read_body, reply_msgpack, reply_text, Handler, Request, Response};
 use briarswitch_kernel::BootClock;
 use briarswitch_wire::config::{EntryDoc, SnapshotDoc};
 use briarswitch_wire::peer::{
@@ -118,7 +118,7 @@
             };
             self.shared.metrics.add_peer_bytes(bytes.len());
             match unpack_request(&bytes) {
-                Some(request) => reply_packed(StatusCode::OK, &self.respond(request)),
+                Some(request) => reply_msgpack(StatusCode::OK, &self.respond(request)),
                 None => reply_text(StatusCode::BAD_REQUEST, "unreadable request"),
             }
         })
@@ -126,5 +126,5 @@
 }
 
 fn unpack_request(bytes: &[u8]) -> Option<ExchangeRequest> {
-    briarswitch_http::unpack(bytes).ok()
+    briarswitch_http::decode_msgpack(bytes).ok()
 }
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -5,7 +5,7 @@
 
 use briarswitch_core::prelude::*;
 use briarswitch_core::watch::watchers;
-use briarswitch_http::{CallError, CallerClient, Codec};
+use briarswitch_http::{ApiClient, CallError, Codec};
 use briarswitch_kernel::{BootClock, Service, ServiceLink};
 use briarswitch_platform::StoreError;
 use briarswitch_wire::engine::ReportDoc;
@@ -83,7 +83,7 @@
 /// Watches VMs and publishes the route table.
 pub struct FleetWatcher {
     shared: Arc<NodeShared>,
-    client: CallerClient,
+    client: ApiClient,
     evidence: EvidenceCache,
     fleet: FleetView,
     /// Latest view of each zone. VMs of other zones are routed to only through these.
@@ -113,7 +113,7 @@
         let incarnation = shared.incarnation;
         Self {
             evidence: EvidenceCache::new(shared.settings.gate.evidence_ttl),
-            client: CallerClient::open(Codec::Json, None),
+            client: ApiClient::new(Codec::Json, None),
             fleet: FleetView::default(),
             views: ZoneViews::default(),
             own_feed: EvidenceFeed::new(incarnation),
@@ -230,7 +230,7 @@
             }
             // Another VM has the address now, so the probed VM is gone.
             Ok(_) => self.mark_lost(&result.vm, result.requested_at),
-            Err(CallError::Lost(text)) if is_refusal(&text) => {
+            Err(CallError::NoResponse(text)) if is_refusal(&text) => {
                 self.mark_lost(&result.vm, result.requested_at);
             }
             Err(_) => {}
@@ -424,7 +424,7 @@
     })
 }
 
-async fn probe(client: CallerClient, vm: VmId, address: String, timeout: Duration) -> WatchMessage {
+async fn probe(client: ApiClient, vm: VmId, address: String, timeout: Duration) -> WatchMessage {
     let requested_at = BootClock::now();
     let url = format!("http://{address}/report");
     let report = client.call(Method::GET, &url, None::<&()>, timeout).await;
--- a/crates/node/tests/config.rs
+++ b/crates/node/tests/config.rs
@@ -102,7 +102,9 @@
     // A write of the lease may meet the fault instead, so several edits are made.
     let mut accepted = 0;
     for round in 0..5 {
-        cluster.platform.fault(|faults| faults.lose_answers = 2);
+        cluster
+            .platform
+            .update_faults(|faults| faults.lose_answers = 2);
         let name = format!("shop-{round}");
         let reply = cluster
             .edit(0, KindDoc::Organisation, &name, 0, organisation(&name))
@@ -128,7 +130,9 @@
         ..ClusterSpec::default()
     })
     .await;
-    cluster.platform.fault(|faults| faults.is_down = true);
+    cluster
+        .platform
+        .update_faults(|faults| faults.is_down = true);
     let request = EditRequest {
         kind: KindDoc::Organisation,
         id: "late".to_owned(),
@@ -145,7 +149,9 @@
         }))
     );
 
-    cluster.platform.fault(|faults| faults.is_down = false);
+    cluster
+        .platform
+        .update_faults(|faults| faults.is_down = false);
     let settled: Option<SettleReply> = cluster
         .operator_request(0, "POST", "/v1/settle", "\"write-late\"")
         .await;
@@ -225,7 +231,9 @@
         ..ClusterSpec::default()
     })
     .await;
-    cluster.platform.fault(|faults| faults.is_down = true);
+    cluster
+        .platform
+        .update_faults(|faults| faults.is_down = true);
     cluster.nodes[0].restart();
     cluster
         .wait("the restarted node is ready", async |cluster| {
@@ -247,7 +255,9 @@
     assert_that!(cluster.is_ready(1).await, eq(false));
     assert_that!(answer.code(), eq("not_ready"));
 
-    cluster.platform.fault(|faults| faults.is_down = false);
+    cluster
+        .platform
+        .update_faults(|faults| faults.is_down = false);
     cluster
         .wait("the platform gives the floor", async |cluster| {
             cluster.is_ready(1).await && cluster.version(1).await == Some(4)
@@ -276,7 +286,7 @@
             cluster.version(1).await == Some(4)
         })
         .await;
-    link.set(LinkMode::Cut);
+    link.set_mode(LinkMode::Cut);
     let mut seen = Vec::new();
     for round in 0..5 {
         let name = format!("shop-{round}");
@@ -290,7 +300,7 @@
             .await;
         seen.extend(cluster.version(1).await);
     }
-    link.set(LinkMode::Open);
+    link.set_mode(LinkMode::Open);
     for _ in 0..20 {
         seen.extend(cluster.version(1).await);
     }
--- a/crates/node/tests/crashes.rs
+++ b/crates/node/tests/crashes.rs
@@ -37,7 +37,7 @@
                 answer.is_some_and(|answer| answer.outcome() == "answered")
             })
             .await;
-        cluster.services[&name].fault(|faults| faults.breaks = 1);
+        cluster.services[&name].update_faults(|faults| faults.breaks = 1);
         cluster.call_service(node, "/deadly", &[]).await;
         runs += cluster.calls("/deadly");
         cluster.services.get_mut(&name).expect("a service").kill();
@@ -70,7 +70,7 @@
                 answer.is_some_and(|answer| answer.outcome() == "answered")
             })
             .await;
-        cluster.services[&name].fault(|faults| faults.breaks = 1);
+        cluster.services[&name].update_faults(|faults| faults.breaks = 1);
         let answer = cluster.call_service(node, "/deadly", &[]).await;
         refusal = answer.filter(|answer| answer.code() == "quarantined");
         cluster.services.get_mut(&name).expect("a service").kill();
@@ -87,9 +87,9 @@
                 "the node serves others and refuses this one",
                 async |cluster| {
                     let other = cluster.call_service(node, "/look", &[]).await;
-                    cluster.services[&name].fault(|faults| faults.breaks = 1);
+                    cluster.services[&name].update_faults(|faults| faults.breaks = 1);
                     let same = cluster.call_service(node, "/deadly", &[]).await;
-                    cluster.services[&name].fault(|faults| faults.breaks = 0);
+                    cluster.services[&name].update_faults(|faults| faults.breaks = 0);
                     other.is_some_and(|answer| answer.outcome() == "answered")
                         && same.is_some_and(|answer| answer.code() == "quarantined")
                 },
--- a/crates/node/tests/cuts.rs
+++ b/crates/node/tests/cuts.rs
@@ -27,7 +27,7 @@
     cluster.wait_routable(2).await;
 
     for link in links.values().chain([&platform]) {
-        link.set(LinkMode::Cut);
+        link.set_mode(LinkMode::Cut);
     }
     for node in 0..2 {
         cluster
@@ -47,7 +47,7 @@
     assert_that!(cluster.version(1).await, some(lt(version)));
 
     for link in links.values() {
-        link.set(LinkMode::Open);
+        link.set_mode(LinkMode::Open);
     }
     cluster
         .wait(
@@ -55,7 +55,7 @@
             async |cluster| cluster.version(1).await == Some(version),
         )
         .await;
-    platform.set(LinkMode::Open);
+    platform.set_mode(LinkMode::Open);
     cluster.wait_routable(2).await;
     check_history(&cluster.platform);
 }
@@ -76,7 +76,7 @@
     }
     cluster.wait_routable(2).await;
 
-    links[&(0, 1)].set(LinkMode::CutBack);
+    links[&(0, 1)].set_mode(LinkMode::CutReverse);
     cluster
         .wait(
             "the node without responses drops the remote group",
@@ -85,7 +85,7 @@
         .await;
     assert_that!(cluster.routable(1).await, eq(2));
 
-    links[&(0, 1)].set(LinkMode::Open);
+    links[&(0, 1)].set_mode(LinkMode::Open);
     cluster.wait_routable(2).await;
 }
 
@@ -104,7 +104,9 @@
     })
     .await;
     let before = cluster.status(0).await.expect("a status").controller;
-    cluster.platform.fault(|faults| faults.delay_ms = 300);
+    cluster
+        .platform
+        .update_faults(|faults| faults.delay_ms = 300);
     let writes = cluster.platform.history().len();
     cluster
         .wait("the lease is renewed several times", async |cluster| {
--- a/crates/node/tests/groups.rs
+++ b/crates/node/tests/groups.rs
@@ -205,7 +205,9 @@
         ..ClusterSpec::default()
     };
     let cluster = Cluster::start_unconfigured(&plan).await;
-    cluster.platform.fault(|faults| faults.lose_answers = 4);
+    cluster
+        .platform
+        .update_faults(|faults| faults.lose_answers = 4);
     let cluster = cluster.configured(&plan).await;
 
     cluster.wait_routable(2).await;
@@ -224,7 +226,9 @@
         ..ClusterSpec::default()
     })
     .await;
-    cluster.platform.fault(|faults| faults.is_down = true);
+    cluster
+        .platform
+        .update_faults(|faults| faults.is_down = true);
     let writes = cluster.platform.history().len();
     cluster
         .wait("the lease is over", async |cluster| {
@@ -245,7 +249,9 @@
     assert_that!(answer.outcome(), eq("answered"));
     assert_that!(cluster.platform.history(), len(eq(writes)));
 
-    cluster.platform.fault(|faults| faults.is_down = false);
+    cluster
+        .platform
+        .update_faults(|faults| faults.is_down = false);
     cluster.wait_routable(2).await;
     check_history(&cluster.platform);
 }
@@ -274,7 +280,7 @@
     cluster.engines[&leader].thaw();
     cluster
         .wait("the returned VM is idle", async |cluster| {
-            cluster.engines[&leader].standing() == (StateDoc::Idle, None)
+            cluster.engines[&leader].status() == (StateDoc::Idle, None)
         })
         .await;
 
@@ -302,11 +308,11 @@
 }
 
 async fn send_chat(address: String) -> String {
-    let client = briarswitch_http::TargetClient::open(briarswitch_http::TargetLimits {
-        connect: support::WAIT_TIMEOUT,
-        idle: 0,
+    let client = briarswitch_http::TargetClient::new(briarswitch_http::TargetLimits {
+        connect_timeout: support::WAIT_TIMEOUT,
+        max_idle: 0,
     });
-    let body = briarswitch_http::whole_body(support::chat_body(2, false).into());
+    let body = briarswitch_http::full_body(support::chat_body(2, false).into());
     let request = http::Request::post("/v1/chat/completions")
         .header("host", &address)
         .header("authorization", "Bearer kayal-key")
