--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -36,10 +36,10 @@
         text: String,
     },
     /// No response was received; the call may or may not have taken effect.
-    #[error("no response: {0}")]
+    #[error("no answer: {0}")]
     NoResponse(String),
     /// A body could not be encoded or decoded.
-    #[error("invalid body: {0}")]
+    #[error("unreadable answer: {0}")]
     InvalidBody(String),
 }
 
@@ -132,7 +132,7 @@
         match tokio::time::timeout(timeout, exchange).await {
             Ok(result) => result,
             Err(_) => Err(CallError::NoResponse(format!(
-                "no response within {timeout:?}"
+                "no reply within {timeout:?}"
             ))),
         }
     }
--- a/crates/http/src/reply.rs
+++ b/crates/http/src/reply.rs
@@ -27,7 +27,7 @@
         limit: usize,
     },
     /// The connection was closed before the end of the body.
-    #[error("the body is incomplete: the connection was closed before its end")]
+    #[error("the body ended before its announced length")]
     Incomplete,
 }
 
--- a/crates/http/src/target.rs
+++ b/crates/http/src/target.rs
@@ -42,13 +42,13 @@
     #[error("the connection could not be opened")]
     Connect,
     /// The connection was refused: no process listens on the address.
-    #[error("the connection was refused")]
+    #[error("nobody listens at the address")]
     Refused,
     /// The connection was closed before a byte of the request was written.
     #[error("the connection was closed before the request was written")]
     ClosedBeforeSend,
     /// The connection failed after bytes of the request may have been sent.
-    #[error("the connection failed before the response began")]
+    #[error("the connection broke before the answer began")]
     Broken,
 }
 
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -40,7 +40,7 @@
 
 /// The kind of a document differs from the kind of its entity.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
-#[error("expected a document of kind {wanted}")]
+#[error("the document is not of kind {wanted}")]
 pub struct KindMismatch {
     /// Kind that the entity requires.
     pub wanted: &'static str,
