--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,6 +1,5 @@
 //! A running node: its services, listeners and shutdown.
 
-use crate::peer_api::PeerApi;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -25,6 +24,7 @@
 use crate::dispatch::RequestDispatcher;
 use crate::health::HealthApi;
 use crate::operator_api::OperatorApi;
+use crate::peer_api::PeerApi;
 use crate::peers::PeerExchange;
 use crate::settings::NodeSettings;
 use crate::shared::{NodeShared, Phase};
